--- a/src/net/http.cpp
+++ b/src/codec/http.cpp
@@ -1,4 +1,4 @@
-#include "net/http.h"
+#include "codec/http.h"
 
 #include <fmt/format.h>
 
--- a/src/net/jsonl.cpp
+++ b/src/codec/json_lines.cpp
@@ -1,4 +1,4 @@
-#include "net/jsonl.h"
+#include "codec/json_lines.h"
 
 #include <Poco/Base64Decoder.h>
 #include <Poco/Base64Encoder.h>
--- a/src/net/thrift.cpp
+++ b/src/codec/thrift.cpp
@@ -1,4 +1,4 @@
-#include "net/thrift.h"
+#include "codec/thrift.h"
 
 #include <concepts>
 #include <type_traits>
--- a/src/commands/failover.cpp
+++ b/src/commands/failover_command.cpp
@@ -1,5 +1,5 @@
 // failover: the plan that the zones follow. So far only computed from a file of figures, without a fleet.
-#include "options/failover.h"
+#include "options/failover_options.h"
 
 #include <fmt/format.h>
 
--- a/src/commands/members.cpp
+++ b/src/commands/members_command.cpp
@@ -1,5 +1,5 @@
 // witness and members: a member without a server, and what a running instance sees of the others.
-#include "net/members.h"
+#include "membership_transport/membership_transport.h"
 
 #include <Poco/Exception.h>
 #include <Poco/Net/StreamSocket.h>
@@ -14,8 +14,8 @@
 
 #include "commands/commands.h"
 #include "options/options.h"
-#include "server/kept.h"
-#include "server/presence.h"
+#include "server/incarnation_store.h"
+#include "server/membership_service.h"
 
 namespace rainhook::commands {
 namespace {
--- a/src/commands/serve.cpp
+++ b/src/commands/serve_command.cpp
@@ -10,12 +10,12 @@
 #include <random>
 
 #include "commands/commands.h"
-#include "facts/place.h"
-#include "net/log.h"
+#include "configuration/server_configuration.h"
+#include "logging/log.h"
 #include "net/reactor.h"
 #include "options/options.h"
-#include "server/presence.h"
-#include "server/server.h"
+#include "server/membership_service.h"
+#include "server/request_server.h"
 
 namespace rainhook::commands {
 namespace {
--- a/src/facts/facts.cpp
+++ b/src/configuration/deployment_settings.cpp
@@ -1,4 +1,4 @@
-#include "facts/facts.h"
+#include "configuration/deployment_settings.h"
 
 #include <algorithm>
 #include <limits>
--- a/src/facts/facts.h
+++ b/src/configuration/deployment_settings.h
@@ -6,7 +6,7 @@
 #include <vector>
 
 #include "decision/decision.h"
-#include "facts/pairs.h"
+#include "configuration/settings_reader.h"
 
 namespace rainhook {
 
--- a/src/facts/place.cpp
+++ b/src/configuration/server_configuration.cpp
@@ -1,4 +1,4 @@
-#include "facts/place.h"
+#include "configuration/server_configuration.h"
 
 #include <Poco/Net/IPAddress.h>
 
--- a/src/facts/place.h
+++ b/src/configuration/server_configuration.h
@@ -6,7 +6,7 @@
 #include <string>
 #include <vector>
 
-#include "facts/facts.h"
+#include "configuration/deployment_settings.h"
 
 namespace rainhook {
 
--- a/src/facts/pairs.cpp
+++ b/src/configuration/settings_reader.cpp
@@ -1,4 +1,4 @@
-#include "facts/pairs.h"
+#include "configuration/settings_reader.h"
 
 #include <charconv>
 #include <cmath>
--- a/src/failover/plan.cpp
+++ b/src/failover/failover_planner.cpp
@@ -1,4 +1,4 @@
-#include "failover/plan.h"
+#include "failover/failover_planner.h"
 
 #include <algorithm>
 #include <boost/graph/adjacency_list.hpp>
--- a/src/failover/plan.h
+++ b/src/failover/failover_planner.h
@@ -19,7 +19,7 @@
 #include <utility>
 #include <vector>
 
-#include "membership/words.h"
+#include "membership/messages.h"
 
 namespace rainhook::failover {
 
--- a/src/net/log.cpp
+++ b/src/logging/log.cpp
@@ -1,4 +1,4 @@
-#include "net/log.h"
+#include "logging/log.h"
 
 #include <poll.h>
 #include <spdlog/logger.h>
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -5,7 +5,7 @@
 #include <cstdlib>
 
 #include "commands/commands.h"
-#include "facts/place.h"
+#include "configuration/server_configuration.h"
 #include "options/options.h"
 
 namespace rainhook::commands {
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -4,7 +4,7 @@
 #include <cmath>
 #include <utility>
 
-#include "membership/wire.h"
+#include "membership/message_codec.h"
 
 namespace rainhook::membership {
 
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -23,7 +23,7 @@
 #include <vector>
 
 #include "membership/rumours.h"
-#include "membership/words.h"
+#include "membership/messages.h"
 
 namespace rainhook::membership {
 
--- a/src/membership/wire.cpp
+++ b/src/membership/message_codec.cpp
@@ -1,4 +1,4 @@
-#include "membership/wire.h"
+#include "membership/message_codec.h"
 
 #include <algorithm>
 #include <chrono>
--- a/src/membership/wire.h
+++ b/src/membership/message_codec.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <string_view>
 
-#include "membership/words.h"
+#include "membership/messages.h"
 
 namespace rainhook::membership {
 
--- a/src/membership/rumours.h
+++ b/src/membership/rumours.h
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "membership/words.h"
+#include "membership/messages.h"
 
 namespace rainhook::membership {
 
--- a/src/net/members.cpp
+++ b/src/membership_transport/membership_transport.cpp
@@ -1,11 +1,11 @@
-#include "net/members.h"
+#include "membership_transport/membership_transport.h"
 
 #include <Poco/Exception.h>
 
 #include <nlohmann/json.hpp>
 
 #include "membership/sums.h"
-#include "membership/wire.h"
+#include "membership/message_codec.h"
 
 namespace rainhook::net {
 
--- a/src/net/members.h
+++ b/src/membership_transport/membership_transport.h
@@ -17,9 +17,9 @@
 #include "membership/membership.h"
 #include "membership/place.h"
 #include "net/connection.h"
-#include "net/log.h"
+#include "logging/log.h"
 #include "net/reactor.h"
-#include "net/seal.h"
+#include "membership_transport/message_authenticator.h"
 
 namespace rainhook::net {
 
--- a/src/net/seal.cpp
+++ b/src/membership_transport/message_authenticator.cpp
@@ -1,4 +1,4 @@
-#include "net/seal.h"
+#include "membership_transport/message_authenticator.h"
 
 #include <sodium.h>
 
--- a/src/net/buffers.cpp
+++ b/src/net/buffer_pool.cpp
@@ -1,4 +1,4 @@
-#include "net/buffers.h"
+#include "net/buffer_pool.h"
 
 #include <algorithm>
 #include <cstring>
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -12,7 +12,7 @@
 #include <string>
 #include <string_view>
 
-#include "net/buffers.h"
+#include "net/buffer_pool.h"
 #include "net/reactor.h"
 
 namespace rainhook::net {
--- a/src/options/failover.cpp
+++ b/src/options/failover_options.cpp
@@ -1,4 +1,4 @@
-#include "options/failover.h"
+#include "options/failover_options.h"
 
 #include <fmt/format.h>
 
--- a/src/options/failover.h
+++ b/src/options/failover_options.h
@@ -4,8 +4,8 @@
 
 #include <string>
 
-#include "failover/plan.h"
-#include "options/section.h"
+#include "failover/failover_planner.h"
+#include "options/yaml_section.h"
 
 namespace rainhook::options {
 
--- a/src/options/options.cpp
+++ b/src/options/options.cpp
@@ -10,8 +10,8 @@
 #include <fstream>
 #include <iterator>
 
-#include "membership/wire.h"
-#include "net/members.h"
+#include "membership/message_codec.h"
+#include "membership_transport/membership_transport.h"
 
 namespace rainhook::options {
 namespace {
--- a/src/options/options.h
+++ b/src/options/options.h
@@ -7,7 +7,7 @@
 #include <vector>
 
 #include "membership/place.h"
-#include "options/section.h"
+#include "options/yaml_section.h"
 #include "store/bounds.h"
 
 namespace rainhook::options {
--- a/src/options/section.cpp
+++ b/src/options/yaml_section.cpp
@@ -1,4 +1,4 @@
-#include "options/section.h"
+#include "options/yaml_section.h"
 
 #include <fmt/format.h>
 
--- a/src/net/servers.cpp
+++ b/src/peers/downstream_client.cpp
@@ -1,8 +1,8 @@
-#include "net/servers.h"
+#include "peers/downstream_client.h"
 
 #include <algorithm>
 
-#include "net/http.h"
+#include "codec/http.h"
 
 namespace rainhook::net {
 
--- a/src/net/servers.h
+++ b/src/peers/downstream_client.h
@@ -11,7 +11,7 @@
 
 #include "decision/decision.h"
 #include "net/connection.h"
-#include "net/log.h"
+#include "logging/log.h"
 #include "net/reactor.h"
 
 namespace rainhook::net {
--- a/src/net/engine.cpp
+++ b/src/peers/execution_engine_client.cpp
@@ -1,4 +1,4 @@
-#include "net/engine.h"
+#include "peers/execution_engine_client.h"
 
 #include <charconv>
 
--- a/src/net/engine.h
+++ b/src/peers/execution_engine_client.h
@@ -11,8 +11,8 @@
 
 #include "decision/decision.h"
 #include "net/connection.h"
-#include "net/jsonl.h"
-#include "net/log.h"
+#include "codec/json_lines.h"
+#include "logging/log.h"
 #include "net/reactor.h"
 
 namespace rainhook::net {
--- a/src/net/list.cpp
+++ b/src/peers/registry_client.cpp
@@ -1,6 +1,6 @@
-#include "net/list.h"
+#include "peers/registry_client.h"
 
-#include "net/http.h"
+#include "codec/http.h"
 
 namespace rainhook::net {
 
--- a/src/net/list.h
+++ b/src/peers/registry_client.h
@@ -10,7 +10,7 @@
 #include <string>
 
 #include "net/connection.h"
-#include "net/log.h"
+#include "logging/log.h"
 #include "net/reactor.h"
 
 namespace rainhook::net {
--- a/src/net/clients.cpp
+++ b/src/peers/request_listener.cpp
@@ -1,4 +1,4 @@
-#include "net/clients.h"
+#include "peers/request_listener.h"
 
 #include <Poco/Exception.h>
 #include <fmt/format.h>
--- a/src/net/clients.h
+++ b/src/peers/request_listener.h
@@ -16,9 +16,9 @@
 
 #include "decision/decision.h"
 #include "net/connection.h"
-#include "net/log.h"
+#include "logging/log.h"
 #include "net/reactor.h"
-#include "net/thrift.h"
+#include "codec/thrift.h"
 
 namespace rainhook::net {
 
--- a/src/pools/pools.cpp
+++ b/src/pools/work_pools.cpp
@@ -1,4 +1,4 @@
-#include "pools/pools.h"
+#include "pools/work_pools.h"
 
 #include <algorithm>
 #include <cmath>
--- a/src/server/kept.cpp
+++ b/src/server/incarnation_store.cpp
@@ -1,4 +1,4 @@
-#include "server/kept.h"
+#include "server/incarnation_store.h"
 
 #include <algorithm>
 #include <charconv>
--- a/src/server/kept.h
+++ b/src/server/incarnation_store.h
@@ -12,8 +12,8 @@
 
 #include "membership/membership.h"
 #include "membership/place.h"
-#include "net/log.h"
-#include "net/members.h"
+#include "logging/log.h"
+#include "membership_transport/membership_transport.h"
 #include "net/reactor.h"
 #include "store/store.h"
 
--- a/src/server/presence.cpp
+++ b/src/server/membership_service.cpp
@@ -1,4 +1,4 @@
-#include "server/presence.h"
+#include "server/membership_service.h"
 
 #include <algorithm>
 
--- a/src/server/presence.h
+++ b/src/server/membership_service.h
@@ -3,9 +3,9 @@
 #pragma once
 
 #include "membership/share.h"
-#include "net/members.h"
-#include "server/kept.h"
-#include "server/server.h"
+#include "membership_transport/membership_transport.h"
+#include "server/incarnation_store.h"
+#include "server/request_server.h"
 
 namespace rainhook::server {
 
--- a/src/server/server.cpp
+++ b/src/server/request_server.cpp
@@ -1,4 +1,4 @@
-#include "server/server.h"
+#include "server/request_server.h"
 
 #include <fmt/ranges.h>
 
--- a/src/server/server.h
+++ b/src/server/request_server.h
@@ -11,14 +11,14 @@
 #include <vector>
 
 #include "decision/decision.h"
-#include "facts/place.h"
-#include "net/clients.h"
-#include "net/engine.h"
-#include "net/list.h"
-#include "net/log.h"
+#include "configuration/server_configuration.h"
+#include "peers/request_listener.h"
+#include "peers/execution_engine_client.h"
+#include "peers/registry_client.h"
+#include "logging/log.h"
 #include "net/reactor.h"
-#include "net/servers.h"
-#include "server/table.h"
+#include "peers/downstream_client.h"
+#include "server/request_table.h"
 
 namespace rainhook::server {
 
--- a/src/server/table.cpp
+++ b/src/server/request_table.cpp
@@ -1,4 +1,4 @@
-#include "server/table.h"
+#include "server/request_table.h"
 
 #include <xxhash.h>
 
--- a/src/server/table.h
+++ b/src/server/request_table.h
@@ -8,7 +8,7 @@
 #include <vector>
 
 #include "decision/decision.h"
-#include "net/clients.h"
+#include "peers/request_listener.h"
 #include "net/reactor.h"
 
 namespace rainhook::server {
--- a/src/simhost/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -5,7 +5,7 @@
 #include <string>
 #include <vector>
 
-#include "simhost/host.h"
+#include "simulator_adapter/simulator_host.h"
 
 namespace {
 
--- a/src/simhost/host.cpp
+++ b/src/simulator_adapter/simulator_host.cpp
@@ -1,4 +1,4 @@
-#include "simhost/host.h"
+#include "simulator_adapter/simulator_host.h"
 
 #include <string>
 #include <utility>
--- a/src/simhost/host.h
+++ b/src/simulator_adapter/simulator_host.h
@@ -8,8 +8,8 @@
 #include <vector>
 
 #include "decision/decision.h"
-#include "facts/facts.h"
-#include "simhost/wire.h"
+#include "configuration/deployment_settings.h"
+#include "simulator_adapter/simulator_protocol.h"
 
 namespace simhost {
 
--- a/src/simhost/wire.cpp
+++ b/src/simulator_adapter/simulator_protocol.cpp
@@ -1,4 +1,4 @@
-#include "simhost/wire.h"
+#include "simulator_adapter/simulator_protocol.h"
 
 #include <algorithm>
 #include <bit>
--- a/src/store/plan.cpp
+++ b/src/store/compaction_policy.cpp
@@ -1,4 +1,4 @@
-#include "store/plan.h"
+#include "store/compaction_policy.h"
 
 #include <algorithm>
 
--- a/src/store/book.cpp
+++ b/src/store/log_structured_store.cpp
@@ -1,10 +1,10 @@
-#include "store/book.h"
+#include "store/log_structured_store.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
 
-#include "store/book_jobs.h"
+#include "store/log_structured_store_jobs.h"
 
 namespace rainhook::store {
 namespace {
--- a/src/store/book.h
+++ b/src/store/log_structured_store.h
@@ -24,7 +24,7 @@
 #include "store/disk.h"
 #include "store/format.h"
 #include "store/index.h"
-#include "store/plan.h"
+#include "store/compaction_policy.h"
 #include "store/scanner.h"
 #include "store/segment.h"
 
--- a/src/store/book_jobs.h
+++ b/src/store/log_structured_store_jobs.h
@@ -1,7 +1,7 @@
 // The work that a Book carries on from step to step; private to it.
 #pragma once
 
-#include "store/book.h"
+#include "store/log_structured_store.h"
 
 namespace rainhook::store {
 
--- a/src/store/recovery.h
+++ b/src/store/recovery.h
@@ -3,7 +3,7 @@
 
 #include <set>
 
-#include "store/book.h"
+#include "store/log_structured_store.h"
 
 namespace rainhook::store {
 
--- a/src/store/snapshot.cpp
+++ b/src/store/snapshot.cpp
@@ -5,8 +5,8 @@
 
 #include <algorithm>
 
-#include "store/book.h"
-#include "store/book_jobs.h"
+#include "store/log_structured_store.h"
+#include "store/log_structured_store_jobs.h"
 
 namespace rainhook::store {
 
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -18,7 +18,7 @@
 #include <unordered_map>
 #include <vector>
 
-#include "store/book.h"
+#include "store/log_structured_store.h"
 #include "store/bounds.h"
 #include "store/disk.h"
 
--- a/src/standins/next.cpp
+++ b/src/test_doubles/fake_downstream.cpp
@@ -1,4 +1,4 @@
-#include "standins/next.h"
+#include "test_doubles/fake_downstream.h"
 
 #include <algorithm>
 #include <utility>
--- a/src/standins/next.h
+++ b/src/test_doubles/fake_downstream.h
@@ -10,7 +10,7 @@
 #include <thread>
 #include <vector>
 
-#include "standins/line.h"
+#include "test_doubles/socket_helpers.h"
 
 namespace rainhook::standins {
 
--- a/src/standins/engine.cpp
+++ b/src/test_doubles/fake_engine.cpp
@@ -1,9 +1,9 @@
-#include "standins/engine.h"
+#include "test_doubles/fake_engine.h"
 
 #include <algorithm>
 #include <nlohmann/json.hpp>
 
-#include "net/jsonl.h"
+#include "codec/json_lines.h"
 
 namespace rainhook::standins {
 
--- a/src/standins/engine.h
+++ b/src/test_doubles/fake_engine.h
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "standins/line.h"
+#include "test_doubles/socket_helpers.h"
 
 namespace rainhook::standins {
 
--- a/src/standins/caller.cpp
+++ b/src/test_doubles/open_loop_client.cpp
@@ -1,8 +1,8 @@
-#include "standins/caller.h"
+#include "test_doubles/open_loop_client.h"
 
 #include <utility>
 
-#include "net/thrift.h"
+#include "codec/thrift.h"
 
 namespace rainhook::standins {
 
--- a/src/standins/caller.h
+++ b/src/test_doubles/open_loop_client.h
@@ -8,7 +8,7 @@
 #include <string>
 #include <thread>
 
-#include "standins/line.h"
+#include "test_doubles/socket_helpers.h"
 
 namespace rainhook::standins {
 
--- a/tests/failover_test.cpp
+++ b/tests/failover_test.cpp
@@ -5,7 +5,7 @@
 #include <cmath>
 #include <numeric>
 
-#include "failover/plan.h"
+#include "failover/failover_planner.h"
 
 namespace rainhook::failover {
 namespace {
--- a/tests/fleet/crossing_test.cpp
+++ b/tests/fleet/crossing_test.cpp
@@ -9,8 +9,8 @@
 
 #include "../world.h"
 #include "fleet/process.h"
-#include "standins/engine.h"
-#include "standins/next.h"
+#include "test_doubles/fake_engine.h"
+#include "test_doubles/fake_downstream.h"
 
 namespace rainhook::fleet {
 namespace {
--- a/tests/fleet/other_release.cpp
+++ b/tests/fleet/other_release.cpp
@@ -8,7 +8,7 @@
 
 #define packed packedOfThisRelease
 #define unpacked unpackedOfThisRelease
-#include "membership/wire.cpp"
+#include "membership/message_codec.cpp"
 #undef packed
 #undef unpacked
 
--- a/tests/fleet/relays.cpp
+++ b/tests/fleet/relays.cpp
@@ -16,7 +16,7 @@
 #include <stdexcept>
 #include <vector>
 
-#include "standins/line.h"
+#include "test_doubles/socket_helpers.h"
 
 namespace rainhook::fleet {
 
--- a/tests/fleet/serve_test.cpp
+++ b/tests/fleet/serve_test.cpp
@@ -7,9 +7,9 @@
 #include <numeric>
 
 #include "fleet/fleet.h"
-#include "standins/caller.h"
-#include "standins/engine.h"
-#include "standins/next.h"
+#include "test_doubles/open_loop_client.h"
+#include "test_doubles/fake_engine.h"
+#include "test_doubles/fake_downstream.h"
 
 namespace rainhook::fleet {
 namespace {
--- a/tests/membership_world.h
+++ b/tests/membership_world.h
@@ -11,7 +11,7 @@
 #include <vector>
 
 #include "membership/membership.h"
-#include "membership/wire.h"
+#include "membership/message_codec.h"
 
 namespace rainhook::membership {
 
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -2,10 +2,10 @@
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
-#include "net/buffers.h"
-#include "net/http.h"
-#include "net/jsonl.h"
-#include "net/thrift.h"
+#include "net/buffer_pool.h"
+#include "codec/http.h"
+#include "codec/json_lines.h"
+#include "codec/thrift.h"
 #include "world.h"
 
 namespace rainhook::net {
--- a/tests/options_test.cpp
+++ b/tests/options_test.cpp
@@ -8,7 +8,7 @@
 #include <filesystem>
 #include <fstream>
 
-#include "options/failover.h"
+#include "options/failover_options.h"
 
 namespace rainhook::options {
 namespace {
--- a/tests/pools_test.cpp
+++ b/tests/pools_test.cpp
@@ -1,5 +1,5 @@
 // The pools by themselves: sums, floors, lending and its return, whole runs out of shares, the jump.
-#include "pools/pools.h"
+#include "pools/work_pools.h"
 
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
--- a/tests/seal_test.cpp
+++ b/tests/seal_test.cpp
@@ -1,5 +1,5 @@
 // What the seal lets through: only what is under a key of ours, once.
-#include "net/seal.h"
+#include "membership_transport/message_authenticator.h"
 
 #include <gtest/gtest.h>
 
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -12,7 +12,7 @@
 #include <fstream>
 #include <thread>
 
-#include "store/plan.h"
+#include "store/compaction_policy.h"
 #include "store/posix_disk.h"
 #include "store_world.h"
 
--- a/tests/store_world.h
+++ b/tests/store_world.h
@@ -15,7 +15,7 @@
 #include <utility>
 #include <vector>
 
-#include "store/book.h"
+#include "store/log_structured_store.h"
 #include "store/verify.h"
 
 namespace rainhook::store {
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -3,8 +3,8 @@
 
 #include <cstring>
 
-#include "facts/place.h"
-#include "simhost/host.h"
+#include "configuration/server_configuration.h"
+#include "simulator_adapter/simulator_host.h"
 
 namespace simhost {
 namespace {
--- a/tests/world.h
+++ b/tests/world.h
@@ -18,10 +18,10 @@
 #include <vector>
 
 #include "decision/decision.h"
-#include "net/http.h"
-#include "net/jsonl.h"
-#include "net/thrift.h"
-#include "server/server.h"
+#include "codec/http.h"
+#include "codec/json_lines.h"
+#include "codec/thrift.h"
+#include "server/request_server.h"
 
 namespace rainhook {
 
