--- a/src/codec/http.h
+++ b/src/codec/http.h
@@ -10,7 +10,7 @@
 
 #include "net/connection.h"
 
-namespace rainhook::net::http {
+namespace rainhook::codec::http {
 
 struct Response {
   int status = 0;
@@ -35,4 +35,4 @@
 std::string request(std::string_view method, std::string_view path, std::string_view host,
                     const Headers& headers, std::string_view body);
 
-}  // namespace rainhook::net::http
+}  // namespace rainhook::codec::http
--- a/src/codec/json_lines.h
+++ b/src/codec/json_lines.h
@@ -8,7 +8,7 @@
 
 #include "net/connection.h"
 
-namespace rainhook::net::jsonl {
+namespace rainhook::codec::jsonLines {
 
 struct Line {
   nlohmann::json object;
@@ -22,4 +22,4 @@
 std::string toBase64(std::string_view bytes);
 std::string fromBase64(const std::string& text);
 
-}  // namespace rainhook::net::jsonl
+}  // namespace rainhook::codec::jsonLines
--- a/src/codec/thrift.cpp
+++ b/src/codec/thrift.cpp
@@ -3,7 +3,7 @@
 #include <concepts>
 #include <type_traits>
 
-namespace rainhook::net::thrift {
+namespace rainhook::codec::thrift {
 namespace {
 
 constexpr std::uint32_t strictVersion = 0x80010000;
@@ -12,7 +12,7 @@
 }  // namespace
 
 std::string_view Reader::bytes(std::size_t count) {
-  if (rest_.size() < count) throw Nonsense("a value runs past its frame");
+  if (rest_.size() < count) throw net::ProtocolError("a value runs past its frame");
   const auto taken = rest_.substr(0, count);
   rest_.remove_prefix(count);
   return taken;
@@ -32,15 +32,16 @@
 
 std::string_view Reader::text() {
   const auto length = i32();
-  if (length < 0) throw Nonsense("a negative length");
+  if (length < 0) throw net::ProtocolError("a negative length");
   return bytes(static_cast<std::size_t>(length));
 }
 
 Fields Reader::fields() {
   const Type key{byte()}, value{byte()};
   const auto count = i32();
-  if (count < 0) throw Nonsense("a negative count");
-  if (count > 0 && (key != Type::text || value != Type::text)) throw Nonsense("a map of other than texts");
+  if (count < 0) throw net::ProtocolError("a negative count");
+  if (count > 0 && (key != Type::text || value != Type::text))
+    throw net::ProtocolError("a map of other than texts");
   Fields out;
   for (std::int32_t i = 0; i < count; ++i) {
     const auto name = text();
@@ -50,7 +51,7 @@
 }
 
 void Reader::skip(Type type, int depth) {
-  if (depth > deepest) throw Nonsense("nested too deeply");
+  if (depth > deepest) throw net::ProtocolError("nested too deeply");
   switch (type) {
     case Type::boolean:
     case Type::byte:
@@ -89,7 +90,7 @@
     case Type::stop:
       break;
   }
-  throw Nonsense("an unknown type");
+  throw net::ProtocolError("an unknown type");
 }
 
 void Reader::structure(const std::function<bool(std::int16_t, Type, Reader&)>& take) {
@@ -103,7 +104,7 @@
   if (bytes.size() < 4) return std::nullopt;
   const auto length = Reader(bytes.substr(0, 4)).i32();
   if (length < 0 || static_cast<std::size_t>(length) > longest)
-    throw Nonsense("a frame's length is impossible");
+    throw net::ProtocolError("a frame's length is impossible");
   const auto size = static_cast<std::size_t>(length);
   if (bytes.size() - 4 < size) return std::nullopt;
   return Frame{bytes.substr(4, size), size + 4};
@@ -112,10 +113,11 @@
 Message readMessage(std::string_view content) {
   Reader in(content);
   const auto head = static_cast<std::uint32_t>(in.i32());
-  if ((head & 0xffff0000) != strictVersion) throw Nonsense("not the strict binary protocol");
+  if ((head & 0xffff0000) != strictVersion) throw net::ProtocolError("not the strict binary protocol");
   Message message;
   message.kind = Kind{static_cast<std::uint8_t>(head & 0xff)};
-  if (message.kind < Kind::call || message.kind > Kind::oneway) throw Nonsense("an unknown kind of message");
+  if (message.kind < Kind::call || message.kind > Kind::oneway)
+    throw net::ProtocolError("an unknown kind of message");
   const auto name = in.text();
   message.name = name;
   message.sequence = in.i32();
@@ -170,4 +172,4 @@
   return std::move(out_);
 }
 
-}  // namespace rainhook::net::thrift
+}  // namespace rainhook::codec::thrift
--- a/src/codec/thrift.h
+++ b/src/codec/thrift.h
@@ -10,7 +10,7 @@
 
 #include "net/connection.h"
 
-namespace rainhook::net::thrift {
+namespace rainhook::codec::thrift {
 
 enum class Kind : std::uint8_t { call = 1, reply = 2, exception = 3, oneway = 4 };
 enum class Type : std::uint8_t {
@@ -83,4 +83,4 @@
   std::string out_;
 };
 
-}  // namespace rainhook::net::thrift
+}  // namespace rainhook::codec::thrift
--- a/src/commands/failover_command.cpp
+++ b/src/commands/failover_command.cpp
@@ -1,12 +1,11 @@
 // failover: the plan that the zones follow. So far only computed from a file of figures, without a fleet.
-#include "options/failover_options.h"
-
 #include <fmt/format.h>
 
 #include <iostream>
 #include <nlohmann/json.hpp>
 
 #include "commands/commands.h"
+#include "options/failover_options.h"
 
 namespace rainhook::commands {
 namespace {
--- a/src/commands/members_command.cpp
+++ b/src/commands/members_command.cpp
@@ -1,6 +1,4 @@
 // witness and members: a member without a server, and what a running instance sees of the others.
-#include "membership_transport/membership_transport.h"
-
 #include <Poco/Exception.h>
 #include <Poco/Net/StreamSocket.h>
 #include <fmt/format.h>
@@ -13,6 +11,7 @@
 #include <thread>
 
 #include "commands/commands.h"
+#include "membership_transport/membership_transport.h"
 #include "options/options.h"
 #include "server/incarnation_store.h"
 #include "server/membership_service.h"
@@ -55,7 +54,7 @@
 class Asking {
  public:
   Asking(const membership::MembersPlace& place, const std::string& at) : seal_(place.keys, drawn()) {
-    const auto where = net::literal(at);
+    const auto where = membershipTransport::literal(at);
     if (!where) throw Misuse(fmt::format("members: '{}' is no address of the form 127.0.0.1:7101", at));
     where_ = *where;
   }
@@ -63,7 +62,7 @@
     Poco::Net::StreamSocket socket;
     socket.connect(where_, patience);
     socket.setReceiveTimeout(patience);
-    const auto out = net::framed(seal_.sealed(net::question + question.dump()));
+    const auto out = membershipTransport::framed(seal_.sealed(membershipTransport::question + question.dump()));
     for (std::size_t sent = 0; sent < out.size();)
       sent +=
           static_cast<std::size_t>(socket.sendBytes(out.data() + sent, static_cast<int>(out.size() - sent)));
@@ -73,7 +72,7 @@
     if (length > most) throw Poco::DataFormatException("an answer that is too long");
     const std::string sealed = take(socket, length);
     const auto opened = seal_.opened(sealed);
-    if (!opened || opened->empty() || opened->front() != net::answerTo)
+    if (!opened || opened->empty() || opened->front() != membershipTransport::answerTo)
       throw Poco::DataFormatException("an answer under another key");
     return json::parse(opened->substr(1));
   }
@@ -90,7 +89,7 @@
   }
   static constexpr std::size_t most = 16 << 20;
   const Poco::Timespan patience{3, 0};
-  net::Seal seal_;
+  membershipTransport::MessageAuthenticator seal_;
   Poco::Net::SocketAddress where_;
 };
 
@@ -166,18 +165,19 @@
   const auto place = placeIn(given);
   const auto own = options::readOptionsFile(given["options"].as<std::string>());
   signal(SIGPIPE, SIG_IGN);
-  net::Log log(own.log && own.log->json ? net::Log::Form::json : net::Log::Form::text, place.name.text);
+  logging::Log log(own.log && own.log->json ? logging::Log::Form::json : logging::Log::Form::text,
+                   place.name.text);
   net::Reactor reactor;
   net::BufferPool pool;
   int status = fine;
   net::Reactor::Timer ending;
-  std::optional<net::Members> members;
+  std::optional<membershipTransport::MembershipTransport> members;
   reactor.onSignals({SIGTERM, SIGINT}, [&](int) {
     if (!members) return reactor.stop();
     members->leave();
     ending = reactor.after(members->core().leaveTakes(), [&] { reactor.stop(); });
   });
-  server::Kept kept(reactor, log, place);
+  server::IncarnationStore kept(reactor, log, place);
   members.emplace(reactor, pool, log, place, kept.open(), drawn(), [&](const membership::Change& change) {
     if (change.what == membership::Change::What::astray) {
       fmt::print(stderr, "rainhook: {}\n", server::astray(place, change.who));
@@ -201,7 +201,7 @@
   members->say(observer);
   reactor.run();
   members.reset();
-  reactor.letGo();
+  reactor.releaseRetired();
   return status;
 }
 
--- a/src/commands/serve_command.cpp
+++ b/src/commands/serve_command.cpp
@@ -46,8 +46,8 @@
   const auto file = given["config"].as<std::string>();
   signal(SIGPIPE, SIG_IGN);
   net::Reactor reactor;
-  std::optional<server::Server> server;  // a signal that comes before it is there waits in the reactor
-  std::optional<server::Presence> presence;
+  std::optional<server::RequestServer> server;  // a signal that comes before it is there waits in the reactor
+  std::optional<server::MembershipService> presence;
   reactor.onSignals({SIGTERM, SIGINT, SIGHUP}, [&](int signal) {
     if (signal == SIGHUP) return server->reloadFrom(file);
     server->leave();
@@ -55,13 +55,14 @@
   });
   const auto own = options::readOptionsFile(given["options"].as<std::string>());
   const auto configured = readConfigurationFile(file);
-  net::Log log(own.log && own.log->json ? net::Log::Form::json : net::Log::Form::text, configured.place.name);
-  for (const auto& line : options::switchedOn(own)) log.line(net::Matter::start, "{}", line);
+  logging::Log log(own.log && own.log->json ? logging::Log::Form::json : logging::Log::Form::text,
+                   configured.endpoints.name);
+  for (const auto& line : options::switchedOn(own)) log.message(logging::LogCategory::start, "{}", line);
   server.emplace(reactor, log, configured);
   if (own.membership)
-    presence.emplace(reactor, log, *own.membership, *server, configured.facts.fleet.servers,
+    presence.emplace(reactor, log, *own.membership, *server, configured.deployment.fleet.servers,
                      (std::uint64_t{std::random_device{}()} << 32) | std::random_device{}());
-  std::string at = configured.place.listen;
+  std::string at = configured.endpoints.listen;
   try {
     server->open();
     if (presence) at = own.membership->listen.text, presence->open();
@@ -82,28 +83,29 @@
   const auto own = options::readOptionsFile(given["options"].as<std::string>());
   const auto configured = readConfigurationFile(given["config"].as<std::string>());
   const auto& [place, facts, fixed] = configured;
-  const auto millis = [](Span span) {
+  const auto millis = [](Duration span) {
     return std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
   };
   const auto orNone = [](const std::string& address) { return address.empty() ? "none" : address; };
   fmt::print("{} listens at {}; engine {}, list {}, next tier {}\n", place.name, place.listen, place.engine,
-             orNone(place.list), orNone(place.next));
-  fmt::print("limits: {} descriptors, {} MB; {} ms from the notice to leave to the stop\n", place.descriptors,
-             place.memoryMb, millis(place.stopAfter));
+             orNone(place.registry), orNone(place.downstream));
+  fmt::print("limits: {} descriptors, {} MB; {} ms from the notice to leave to the stop\n",
+             place.maxDescriptors, place.memoryMb, millis(place.shutdownTimeout));
   fmt::print("{} cores, {:.0f} kB for reqs, {} customers\n", facts.machine.cores, facts.machine.memoryKb,
-             facts.customerNames.size());
+             facts.tenantNames.size());
   constexpr const char* effects[] = {"replayable", "uniqued", "non-replayable"};
-  for (std::size_t i = 0; i < facts.handlers.size(); ++i) {
-    const HandlerTerms& terms = facts.handlers[i];
+  for (std::size_t i = 0; i < facts.handlerPolicies.size(); ++i) {
+    const HandlerPolicy& terms = facts.handlerPolicies[i];
     fmt::print("handler {}: {}, response target {} ms, client timeout {} ms, value {}\n",
-               facts.handlerNames[i], effects[static_cast<std::size_t>(terms.effect)],
-               millis(terms.responseTarget), millis(terms.clientTimeout), terms.value);
+               facts.handlerNames[i], effects[static_cast<std::size_t>(terms.idempotency)],
+               millis(terms.latencyObjective), millis(terms.clientTimeout), terms.priorityWeight);
   }
   const auto on = options::switchedOn(own);
   fmt::print("switched on by our own settings: {}\n",
              on.empty() ? "nothing" : fmt::to_string(fmt::join(on, "; ")));
   if (given.count("running")) {
-    const auto left = leftByReload(readConfigurationFile(given["running"].as<std::string>()), configured);
+    const auto left =
+        restartRequiredChanges(readConfigurationFile(given["running"].as<std::string>()), configured);
     fmt::print("a reload (SIGHUP) of a server with {} would take {}\n", given["running"].as<std::string>(),
                left.empty() ? "all of it" : fmt::format("all but {}", fmt::join(left, ", ")));
   }
--- a/src/commands/store_command.cpp
+++ b/src/commands/store_command.cpp
@@ -1,7 +1,5 @@
 // store: look into a store, check it, change it. Each takes the folder's lock, so none works beside a process
 // that has it open.
-#include "store/store.h"
-
 #include <Poco/Base64Decoder.h>
 #include <Poco/Base64Encoder.h>
 #include <Poco/Exception.h>
@@ -19,6 +17,7 @@
 #include "commands/commands.h"
 #include "options/options.h"
 #include "store/posix_disk.h"
+#include "store/store.h"
 #include "store/verify.h"
 
 namespace rainhook::commands {
--- a/src/configuration/deployment_settings.h
+++ b/src/configuration/deployment_settings.h
@@ -5,32 +5,32 @@
 #include <string>
 #include <vector>
 
-#include "decision/decision.h"
 #include "configuration/settings_reader.h"
+#include "decision/decision.h"
 
 namespace rainhook {
 
-enum class Gauge { cpu, wantingCore, memory, connections, other };
-
-struct Facts {
-  Machine machine;
-  std::vector<HandlerTerms> handlers;
-  std::vector<std::string> handlerNames, customerNames;
-  Below below;
-  Duties duties;
-  Voice voice;
-  Trade trade;
-  Fleet fleet;
-  bool tellsPatience = false;
-  std::vector<Gauge> gauges;
+enum class LoadGauge { cpuUtilization, runnableTasks, memoryUtilization, openConnections, other };
+
+struct DeploymentSettings {
+  MachineProfile machine;
+  std::vector<HandlerPolicy> handlerPolicies;
+  std::vector<std::string> handlerNames, tenantNames;
+  DownstreamProfile downstream;
+  ProtocolLimits protocolLimits;
+  SignalingProfile signaling;
+  ResultSharing resultSharing;
+  FleetProfile fleet;
+  bool clientsSendTimeRemaining = false;
+  std::vector<LoadGauge> gauges;
 };
 
 // Unknown paths are passed over, absent ones keep their stated meaning. Throws FactsError on a value that is
 // not what its path holds.
-Facts readFacts(const FactPairs& pairs);
+DeploymentSettings readDeploymentSettings(const SettingsMap& pairs);
 
 // The ring of a timer with its gauges, given in the order of the facts; fewer or none where they are not
 // known.
-TimerRang timerRang(TimerId timer, std::span<const double> values, const std::vector<Gauge>& order);
+TimerFired timerFired(TimerId timer, std::span<const double> values, const std::vector<LoadGauge>& order);
 
 }  // namespace rainhook
--- a/src/configuration/server_configuration.h
+++ b/src/configuration/server_configuration.h
@@ -10,31 +10,32 @@
 
 namespace rainhook {
 
-struct Place {
+struct ServerEndpoints {
   std::string name;
   std::string listen;  // host:port, as the next three
   std::string engine;
-  std::string list;  // empty where there is none
-  std::string next;  // empty in the last tier
+  std::string registry;    // empty where there is none
+  std::string downstream;  // empty in the last tier
   Seed seed{};
-  Span stopAfter{};  // from the notice to leave to the end
-  std::size_t descriptors = 0;
+  Duration shutdownTimeout{};  // from the notice to leave to the end
+  std::size_t maxDescriptors = 0;
   int memoryMb = 0;
 };
 
-struct Configured {
-  Place place;
-  Facts facts;
+struct ServerConfiguration {
+  ServerEndpoints endpoints;
+  DeploymentSettings deployment;
   // What holds until a restart, as text by its name: the name, the address, the limits and the settings.
-  std::map<std::string, std::string> fixed;
+  std::map<std::string, std::string> restartOnlyValues;
 };
 
 // The names of what a running server would leave as it is if it were offered this. The rest can be taken:
 // the addresses of the engine, the next tier and the list, and the time from the notice to leave to the end.
-std::vector<std::string> leftByReload(const Configured& running, const Configured& offered);
+std::vector<std::string> restartRequiredChanges(const ServerConfiguration& running,
+                                                const ServerConfiguration& offered);
 
 // Throws FactsError, which names the path and the fault.
-Configured readConfiguration(const std::string& text);
-Configured readConfigurationFile(const std::string& file);
+ServerConfiguration readConfiguration(const std::string& text);
+ServerConfiguration readConfigurationFile(const std::string& file);
 
 }  // namespace rainhook
--- a/src/configuration/settings_reader.cpp
+++ b/src/configuration/settings_reader.cpp
@@ -7,8 +7,8 @@
 
 namespace rainhook {
 
-FactPairs pairsOfText(std::string_view text) {
-  FactPairs pairs;
+SettingsMap parseSettingsText(std::string_view text) {
+  SettingsMap pairs;
   for (std::size_t line = 1; !text.empty(); ++line) {
     const auto end = text.find('\n');
     const auto pair = text.substr(0, end);
@@ -16,14 +16,14 @@
     if (pair.empty()) continue;
     const auto sign = pair.find('=');
     if (sign == std::string_view::npos)
-      throw FactsError("settings: line " + std::to_string(line) + " has no '='");
+      throw ConfigurationError("settings: line " + std::to_string(line) + " has no '='");
     pairs.insert_or_assign(std::string(pair.substr(0, sign)), std::string(pair.substr(sign + 1)));
   }
   return pairs;
 }
 
-FactPairs pairsOfJson(const nlohmann::json& nested) {
-  FactPairs pairs;
+SettingsMap flattenSettingsJson(const nlohmann::json& nested) {
+  SettingsMap pairs;
   const auto plain = [](const nlohmann::json& value) {
     return value.is_string() ? value.get<std::string>() : value.is_null() ? std::string() : value.dump();
   };
@@ -46,12 +46,12 @@
   return pairs;
 }
 
-void Pairs::wrong(const std::string& path, std::string_view value, const char* wanted) const {
-  throw FactsError(source_ + ": " + path + " is '" + std::string(value) + "', not " + wanted);
+void SettingsReader::reject(const std::string& path, std::string_view value, const char* wanted) const {
+  throw ConfigurationError(source_ + ": " + path + " is '" + std::string(value) + "', not " + wanted);
 }
 
 template <typename T>
-T Pairs::parsed(const std::string& path, std::string_view value) const {
+T SettingsReader::parsed(const std::string& path, std::string_view value) const {
   T result{};
   // JSON has one kind of number: 6.0 and 6e0 are the whole number 6.
   if constexpr (std::is_integral_v<T>)
@@ -60,59 +60,59 @@
       constexpr double most = 9e18;
       if (real != std::floor(real) || std::abs(real) > most ||
           std::abs(real) > static_cast<double>(std::numeric_limits<T>::max()))
-        wrong(path, value, "a whole number");
+        reject(path, value, "a whole number");
       return static_cast<T>(real);
     }
   const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), result);
-  if (error != std::errc{} || end != value.data() + value.size()) wrong(path, value, "a number");
+  if (error != std::errc{} || end != value.data() + value.size()) reject(path, value, "a number");
   if constexpr (std::is_same_v<T, double>)
-    if (!std::isfinite(result)) wrong(path, value, "a number");
+    if (!std::isfinite(result)) reject(path, value, "a number");
   return result;
 }
 
-bool Pairs::truth(const std::string& path, std::string_view value) const {
+bool SettingsReader::parseBoolean(const std::string& path, std::string_view value) const {
   if (value.empty() || value == "false" || value == "0") return false;
   if (value == "true" || value == "1") return true;
-  wrong(path, value, "true or false");
+  reject(path, value, "true or false");
 }
 
-std::string_view Pairs::text(const std::string& path) const {
+std::string_view SettingsReader::text(const std::string& path) const {
   const auto it = values_.find(path);
   return it == values_.end() ? std::string_view{} : it->second;
 }
 
-std::string_view Pairs::present(const std::string& path) const {
+std::string_view SettingsReader::requiredText(const std::string& path) const {
   if (const auto value = text(path); !value.empty()) return value;
-  throw FactsError(source_ + ": " + path + " is missing");
+  throw ConfigurationError(source_ + ": " + path + " is missing");
 }
 
-double Pairs::number(const std::string& path, double absent) const {
+double SettingsReader::number(const std::string& path, double absent) const {
   const auto value = text(path);
   if (value.empty()) return absent;
   const auto out = parsed<double>(path, value);
-  if (out < 0) wrong(path, value, "a number of 0 or more");
+  if (out < 0) reject(path, value, "a number of 0 or more");
   return out;
 }
 
-bool Pairs::yes(const std::string& path) const { return truth(path, text(path)); }
+bool SettingsReader::boolean(const std::string& path) const { return parseBoolean(path, text(path)); }
 
-Span Pairs::span(const std::string& path, Span absent) const {
+Duration SettingsReader::duration(const std::string& path, Duration absent) const {
   const auto value = text(path);
   if (value.empty()) return absent;
   const auto whole = parsed<std::int64_t>(path, value);
-  if (whole < 0) wrong(path, value, "a span");
-  return Span(whole);
+  if (whole < 0) reject(path, value, "a span");
+  return Duration(whole);
 }
 
-int Pairs::count(const std::string& path, int absent, int most) const {
+int SettingsReader::count(const std::string& path, int absent, int most) const {
   const auto value = text(path);
   if (value.empty()) return absent;
   const int whole = parsed<int>(path, value);
-  if (whole < 0 || whole > most) wrong(path, value, "a count");
+  if (whole < 0 || whole > most) reject(path, value, "a count");
   return whole;
 }
 
-std::vector<std::string_view> Pairs::list(const std::string& path) const {
+std::vector<std::string_view> SettingsReader::list(const std::string& path) const {
   std::vector<std::string_view> items;
   for (auto rest = text(path); !rest.empty();) {
     const auto comma = rest.find(',');
@@ -122,17 +122,18 @@
   return items;
 }
 
-double Pairs::numberAt(const std::string& path, std::size_t at) const {
+double SettingsReader::numberInList(const std::string& path, std::size_t at) const {
   const auto items = list(path);
   return at < items.size() ? parsed<double>(path, items[at]) : 0;
 }
 
-bool Pairs::yesAt(const std::string& path, std::size_t at) const {
+bool SettingsReader::booleanInList(const std::string& path, std::size_t at) const {
   const auto items = list(path);
-  return at < items.size() && truth(path, items[at]);
+  return at < items.size() && parseBoolean(path, items[at]);
 }
 
-std::size_t Pairs::choice(const std::string& path, std::initializer_list<std::string_view> words) const {
+std::size_t SettingsReader::choice(const std::string& path,
+                                   std::initializer_list<std::string_view> words) const {
   const auto value = text(path);
   if (value.empty()) return 0;
   std::size_t at = 0;
@@ -140,7 +141,7 @@
     if (word == value) return at;
     ++at;
   }
-  wrong(path, value, "a known word");
+  reject(path, value, "a known word");
 }
 
 }  // namespace rainhook
--- a/src/configuration/settings_reader.h
+++ b/src/configuration/settings_reader.h
@@ -14,43 +14,44 @@
 namespace rainhook {
 
 // Names the path and what is wrong with its value.
-struct FactsError : std::runtime_error {
+struct ConfigurationError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-using FactPairs = std::map<std::string, std::string>;  // by path
+using SettingsMap = std::map<std::string, std::string>;  // by path
 
 // One path=value pair a line.
-FactPairs pairsOfText(std::string_view text);
+SettingsMap parseSettingsText(std::string_view text);
 // The same paths from nested JSON: a list of plain values is joined with commas, a list of objects has its
 // length under .count.
-FactPairs pairsOfJson(const nlohmann::json& nested);
+SettingsMap flattenSettingsJson(const nlohmann::json& nested);
 
 // An absent value keeps the meaning given with the question.
-class Pairs {
+class SettingsReader {
  public:
-  Pairs(const FactPairs& values, std::string source) : values_(values), source_(std::move(source)) {}
+  SettingsReader(const SettingsMap& values, std::string source)
+      : values_(values), source_(std::move(source)) {}
 
   std::string_view text(const std::string& path) const;
-  std::string_view present(const std::string& path) const;  // throws where it is absent
+  std::string_view requiredText(const std::string& path) const;  // throws where it is absent
   double number(const std::string& path, double absent) const;
-  bool yes(const std::string& path) const;
-  Span span(const std::string& path, Span absent = {}) const;
+  bool boolean(const std::string& path) const;
+  Duration duration(const std::string& path, Duration absent = {}) const;
   static constexpr int many = 65536;  // of what has a row each
   int count(const std::string& path, int absent, int most = many) const;
   std::vector<std::string_view> list(const std::string& path) const;
-  double numberAt(const std::string& path, std::size_t at) const;
-  bool yesAt(const std::string& path, std::size_t at) const;
+  double numberInList(const std::string& path, std::size_t at) const;
+  bool booleanInList(const std::string& path, std::size_t at) const;
   // The value's place among the words; an absent value is the first one.
   std::size_t choice(const std::string& path, std::initializer_list<std::string_view> words) const;
-  [[noreturn]] void wrong(const std::string& path, std::string_view value, const char* wanted) const;
+  [[noreturn]] void reject(const std::string& path, std::string_view value, const char* wanted) const;
 
  private:
   template <typename T>
   T parsed(const std::string& path, std::string_view value) const;
-  bool truth(const std::string& path, std::string_view value) const;
+  bool parseBoolean(const std::string& path, std::string_view value) const;
 
-  const FactPairs& values_;
+  const SettingsMap& values_;
   const std::string source_;
 };
 
--- a/src/decision/decision.cpp
+++ b/src/decision/decision.cpp
@@ -17,8 +17,10 @@
 
 using namespace std::chrono_literals;
 
-double seconds(Span span) { return std::chrono::duration<double>(span).count(); }
-Span spanOf(double secs) { return Span(static_cast<Span::rep>(std::clamp(secs, 0.0, 1e6) * 1e9)); }
+double seconds(Duration span) { return std::chrono::duration<double>(span).count(); }
+Duration spanOf(double secs) {
+  return Duration(static_cast<Duration::rep>(std::clamp(secs, 0.0, 1e6) * 1e9));
+}
 template <typename Id>
 std::size_t index(Id id) {
   return static_cast<std::size_t>(id);
@@ -36,7 +38,7 @@
   void climbQuickly(double ceiling) { limit_ = std::min(ceiling, limit_ + 1); }
   void cap(double ceiling) { limit_ = std::clamp(limit_, floor_, std::max(floor_, ceiling)); }
 
-  void step(Span now) {
+  void step(Duration now) {
     // An interval lasts until enough answers tell of it; it teaches only if the limit held something back.
     if (now < next_ || answers_ < answersPerCore * floor_) return;
     next_ = now + interval;
@@ -56,7 +58,7 @@
   }
 
  private:
-  static constexpr Span interval = 1s;
+  static constexpr Duration interval = 1s;
   static constexpr double stepGain = 1.0 / 2;     // a step of two reqs counts fully
   static constexpr double latencyGain = 1.0 / 2;  // so does a change by twice the least latency
   static constexpr double leastStep = 0.25, answersPerCore = 10;
@@ -64,7 +66,7 @@
   double limit_, asked_ = 0, mean_ = 0, sum_ = 0;
   int answers_ = 0;
   bool binding_ = false;
-  Span next_ = interval;
+  Duration next_ = interval;
 };
 
 // A rate from time spent and things ended, both fading: it sees a stall while nothing has ended yet.
@@ -86,23 +88,23 @@
 // What runs and calls take here now. One row a handler; nothing grows with reqs.
 class Pace {
  public:
-  explicit Pace(const std::vector<HandlerTerms>& handlers) {
-    for (const auto& terms : handlers) rows_.push_back({seconds(terms.responseTarget) * firstGuess});
+  explicit Pace(const std::vector<HandlerPolicy>& handlers) {
+    for (const auto& terms : handlers) rows_.push_back({seconds(terms.latencyObjective) * firstGuess});
   }
   void pass(double secs, int onCore, int calling) {
     cores_.fade(secs, halfLife, onCore);
     calls_.fade(secs, halfLife, calling);
     for (auto& row : rows_) row.least *= 1 + secs * leastAges;
   }
-  void ran(const ReqRead& read, Span onCore, int calls) {
+  void ran(const RequestArrived& read, Duration onCore, int calls) {
     Row& row = rows_[index(read.handler)];
     cores_.end(row.core * size(read));
     row.seen = std::min(row.seen + 1, 50.0);
     row.core += (seconds(onCore) - row.core) / (row.seen + 1);
     row.calls += (calls - row.calls) / row.seen;
-    if (read.workHint) row.hint += (seconds(*read.workHint) - row.hint) / row.seen;
+    if (read.estimatedWork) row.hint += (seconds(*read.estimatedWork) - row.hint) / row.seen;
   }
-  void called(Span took) {
+  void called(Duration took) {
     calls_.end(1);
     callsSeen_ = std::min(callsSeen_ + 1, 200.0);
     usualCall_ += (seconds(took) - usualCall_) / callsSeen_;
@@ -110,13 +112,13 @@
   double slowness() const { return cores_.each(1, 0.5); }
   double core(HandlerId id) const { return rows_[index(id)].core * slowness(); }
   // A req's own work over its handler's mean, where it came with a hint.
-  double size(const ReqRead& read) const {
+  double size(const RequestArrived& read) const {
     const double usual = rows_[index(read.handler)].hint;
-    return read.workHint && usual > 0 ? seconds(*read.workHint) / usual : 1;
+    return read.estimatedWork && usual > 0 ? seconds(*read.estimatedWork) / usual : 1;
   }
-  double core(const ReqRead& read) const { return core(read.handler) * size(read); }
+  double core(const RequestArrived& read) const { return core(read.handler) * size(read); }
   double callSlowness() const { return usualCall_ > 0 ? call() / usualCall_ : 1; }
-  Span longestCall() const { return callsSeen_ < 10 ? Span::max() : spanOf(farOut * call()); }
+  Duration longestCall() const { return callsSeen_ < 10 ? Duration::max() : spanOf(farOut * call()); }
   double call() const { return calls_.each(usualCall_, 1); }
   double calls(HandlerId id) const { return rows_[index(id)].calls; }
   bool callsOut(HandlerId id) const { return calls(id) >= 0.1; }
@@ -141,27 +143,27 @@
 // Memory and the crowd on the cores, with the cold line. Guards only cap.
 class Guard {
  public:
-  explicit Guard(const Machine& machine) : m_(machine) {}
-  void started(bool cold, Span at) { m_.cold = cold, startedAt_ = at; }
+  explicit Guard(const MachineProfile& machine) : m_(machine) {}
+  void started(bool cold, Duration at) { m_.coldStart = cold, startedAt_ = at; }
 
   bool fits(double moreKb) const { return kb_ + moreKb <= m_.memoryKb * memoryMargin; }
   bool over() const { return !fits(0); }
   void take(double kb) { kb_ += kb; }
-  double runKb(double heldKb) const { return heldKb * m_.runFactor; }
-  double keyKb() const { return m_.keyKb; }
+  double runKb(double heldKb) const { return heldKb * m_.executionMemoryFactor; }
+  double keyKb() const { return m_.cachedEntryKb; }
   // Reqs started and not ended, at calls too, since these come back to the cores unasked.
-  double crowd(Span now) const {
+  double crowd(Duration now) const {
     const double warmth =
-        m_.warmWithin > 0s ? std::min(1.0, seconds(now - startedAt_) / seconds(m_.warmWithin)) : 1.0;
-    const double speed = m_.cold ? m_.coldSpeed + (1 - m_.coldSpeed) * warmth : 1.0;
-    return std::max(1.0, m_.cores * (1 + (m_.crowdPerCore - 1) * speed) * crowdMargin - 1);
+        m_.warmUpDuration > 0s ? std::min(1.0, seconds(now - startedAt_) / seconds(m_.warmUpDuration)) : 1.0;
+    const double speed = m_.coldStart ? m_.initialSpeed + (1 - m_.initialSpeed) * warmth : 1.0;
+    return std::max(1.0, m_.cores * (1 + (m_.maxExecutionsPerCore - 1) * speed) * crowdMargin - 1);
   }
-  bool mayStop() const { return m_.halting == Halting::drop; }
+  bool mayStop() const { return m_.cancellation == CancellationMode::discardWork; }
 
  private:
   static constexpr double memoryMargin = 0.94, crowdMargin = 0.9;
-  Machine m_;
-  Span startedAt_{};
+  MachineProfile m_;
+  Duration startedAt_{};
   double kb_ = 0;
 };
 
@@ -170,56 +172,57 @@
 // short before the bucket holds more than the margin left under the stated share.
 class Calls {
  public:
-  explicit Calls(const Below& below) : b_(below), stated_(below.callShare) {}
+  explicit Calls(const DownstreamProfile& below) : b_(below), stated_(below.concurrentCallQuota) {}
 
   // A share that shrinks leaves the calls in hand to end; none is made before there is room again.
-  void allow(double part) { b_.callShare = stated_ * std::clamp(part, 0.0, 1.0); }
+  void allow(double part) { b_.concurrentCallQuota = stated_ * std::clamp(part, 0.0, 1.0); }
 
   void pass(double secs, double slowdown) {
     used_ = std::clamp(mostUsed * crowdedAt / slowdown, leastUsed, mostUsed);
     spent_ = std::max(0.0, spent_ + secs * (inHand() - width()));
   }
-  bool room(Span now) {
+  bool room(Duration now) {
     while (!given_.empty() && given_.front() <= now) given_.pop_front();
     return inHand() + 1 <= std::max(1.0, width()) && (width() >= 1 || spent_ < bucket() / 2);
   }
-  double width() const { return shared() ? b_.callShare * used_ : 1e6; }
-  Span longest() const {
-    return width() >= 1 ? Span::max() : spanOf((bucket() - spent_) / (1 - width())) - b_.linger;
+  double width() const { return shared() ? b_.concurrentCallQuota * used_ : 1e6; }
+  Duration longest() const {
+    return width() >= 1 ? Duration::max()
+                        : spanOf((bucket() - spent_) / (1 - width())) - b_.abandonedCallLinger;
   }
   int inHand() const { return made_ + static_cast<int>(given_.size()); }
   int made() const { return made_; }
   void make() { ++made_; }
-  void ended(Span now, bool mayLinger) {
+  void ended(Duration now, bool mayLinger) {
     --made_;
-    if (mayLinger && b_.linger > 0s) given_.push_back(now + b_.linger);
+    if (mayLinger && b_.abandonedCallLinger > 0s) given_.push_back(now + b_.abandonedCallLinger);
   }
   bool shared() const { return stated_ > 0; }
   static bool provesNotRun(Outcome o) {
-    return o == Outcome::refused || o == Outcome::unreachable || o == Outcome::moot;
+    return o == Outcome::rejected || o == Outcome::unreachable || o == Outcome::superseded;
   }
 
  private:
   static constexpr double mostUsed = 0.8, leastUsed = 0.3, crowdedAt = 2;
-  double bucket() const { return b_.callShare * (1 - mostUsed) * seconds(b_.callShareSpan); }
-  Below b_;
+  double bucket() const { return b_.concurrentCallQuota * (1 - mostUsed) * seconds(b_.quotaWindow); }
+  DownstreamProfile b_;
   const double stated_;
   int made_ = 0;
   double used_ = mostUsed;
-  double spent_ = 0;        // seconds of calls in hand beyond what the width has leaked
-  std::deque<Span> given_;  // calls given up that may linger below; each leaves after the stated linger
+  double spent_ = 0;            // seconds of calls in hand beyond what the width has leaked
+  std::deque<Duration> given_;  // calls given up that may linger below; each leaves after the stated linger
 };
 
 // Uniqued reqs, and reads whose answer may serve others, by the id that a repeat will name.
 class Repeats {
  public:
-  bool knows(ReqId id) const { return entries_.contains(id); }
-  void keep(ReqId id, Span until) {
+  bool knows(RequestId id) const { return entries_.contains(id); }
+  void keep(RequestId id, Duration until) {
     drop(id);
     entries_.emplace(id, until);
     ends_.emplace(until, id);
   }
-  bool drop(ReqId id) {
+  bool drop(RequestId id) {
     const auto it = entries_.find(id);
     if (it == entries_.end()) return false;
     ends_.erase({it->second, id});
@@ -227,15 +230,15 @@
     return true;
   }
   // Emptied by time: an entry goes when its window has passed. Returns how many went.
-  int expire(Span now) {
+  int expire(Duration now) {
     int went = 0;
     for (; !ends_.empty() && ends_.begin()->first <= now; ++went) drop(ends_.begin()->second);
     return went;
   }
 
  private:
-  std::map<ReqId, Span> entries_;
-  std::set<std::pair<Span, ReqId>> ends_;  // the same by time: a turn goes through none that stays
+  std::map<RequestId, Duration> entries_;
+  std::set<std::pair<Duration, RequestId>> ends_;  // the same by time: a turn goes through none that stays
 };
 
 // Reqs read and not started. Starts are oldest first, newest first once the hold has stood full a while.
@@ -245,33 +248,33 @@
   std::size_t size() const { return ids_.size(); }
   auto begin() const { return ids_.begin(); }
   auto end() const { return ids_.end(); }
-  ReqId newest() const { return ids_.back(); }
-  void add(ReqId id) { ids_.push_back(id); }
-  void putBack(ReqId id) { ids_.push_front(id); }
-  ReqId takeOldest() {
-    const ReqId id = ids_.front();
+  RequestId newest() const { return ids_.back(); }
+  void add(RequestId id) { ids_.push_back(id); }
+  void putBack(RequestId id) { ids_.push_front(id); }
+  RequestId takeOldest() {
+    const RequestId id = ids_.front();
     ids_.pop_front();
     return id;
   }
   template <typename Stays>
   void keepOnly(Stays stays) {
-    std::erase_if(ids_, [&](ReqId id) { return !stays(id); });
+    std::erase_if(ids_, [&](RequestId id) { return !stays(id); });
   }
-  std::vector<ReqId> oldestFirst() const { return {ids_.begin(), ids_.end()}; }
-  std::vector<ReqId> inOrderOfStart(Span now) const {
-    std::vector<ReqId> order = oldestFirst();
+  std::vector<RequestId> oldestFirst() const { return {ids_.begin(), ids_.end()}; }
+  std::vector<RequestId> inOrderOfStart(Duration now) const {
+    std::vector<RequestId> order = oldestFirst();
     if (now - fullSince_ > fullAWhile) std::reverse(order.begin(), order.end());
     return order;
   }
-  void stood(Span now, bool full) {
+  void stood(Duration now, bool full) {
     if (full) lastFull_ = now;
     if (now - lastFull_ > fullFades) fullSince_ = now;
   }
 
  private:
-  static constexpr Span fullAWhile = 1s, fullFades = 500ms;
-  std::deque<ReqId> ids_;  // a req leaves when it starts or is answered
-  Span lastFull_ = -1s, fullSince_{};
+  static constexpr Duration fullAWhile = 1s, fullFades = 500ms;
+  std::deque<RequestId> ids_;  // a req leaves when it starts or is answered
+  Duration lastFull_ = -1s, fullSince_{};
 };
 
 // How hard the server is pressed: from the wait that a req read now would have, 0 at rest, 1 when all is too
@@ -297,22 +300,22 @@
 // The notice to leave, and what may still run after it.
 class Drain {
  public:
-  explicit Drain(Span grace) : grace_(grace) {}
-  void notice(Span now, Span left) { told_ = now, stop_ = now + left; }
-  bool leaving() const { return stop_ < Span::max(); }
-  bool mayRun(Span arrived) const { return !leaving() || arrived <= told_ + grace_; }
-  Span stop() const { return stop_; }
+  explicit Drain(Duration grace) : grace_(grace) {}
+  void notice(Duration now, Duration left) { told_ = now, stop_ = now + left; }
+  bool leaving() const { return stop_ < Duration::max(); }
+  bool mayRun(Duration arrived) const { return !leaving() || arrived <= told_ + grace_; }
+  Duration stop() const { return stop_; }
 
  private:
-  const Span grace_;
-  Span told_{}, stop_ = Span::max();
+  const Duration grace_;
+  Duration told_{}, stop_ = Duration::max();
 };
 
 // How long callers wait for a try, as shares of the client timeout: habits show as values that come again and
 // again. Another value is what is left of the timeout, and tells the age of a further try.
 class Waits {
  public:
-  Span age(Span patience, Span timeout) {
+  Duration age(Duration patience, Duration timeout) {
     const double share = seconds(patience) / seconds(timeout);
     Habit *rarest = &habits_.front(), *known = nullptr;
     for (auto& h : habits_) {
@@ -337,19 +340,20 @@
 enum class Stage { fresh, held, echoing, onCore, wanting, calling };
 
 struct Req {
-  ReqRead read;
-  Span arrived{}, due{}, target{};
+  RequestArrived read;
+  Duration arrived{}, due{}, target{};
   Stage stage = Stage::fresh;
-  Span started{}, offCore{}, off{};  // off: when it left the cores for a call
-  int calls = 0, callFails = 0;      // the call's failures, in a row
+  Duration started{}, offCore{}, off{};  // off: when it left the cores for a call
+  int calls = 0, callFails = 0;          // the call's failures, in a row
   bool owed = true, ran = false, reuses = false;
-  Outcome lastCall = Outcome::done;
+  Outcome lastCall = Outcome::completed;
 };
 
-class Server final : public Decision {
+class Server final : public AdmissionPolicy {
  public:
-  Server(const Machine& machine, const std::vector<HandlerTerms>& handlers, const Below& below,
-         const Duties& duties, const Voice& voice, const Trade& trade, const Fleet& fleet)
+  Server(const MachineProfile& machine, const std::vector<HandlerPolicy>& handlers,
+         const DownstreamProfile& below, const ProtocolLimits& duties, const SignalingProfile& voice,
+         const ResultSharing& trade, const FleetProfile& fleet)
       : handlers_(handlers),
         voice_(voice),
         trade_(trade),
@@ -361,7 +365,7 @@
         calls_(below),
         drain_(duties.drainGrace) {}
 
-  std::vector<Action> decide(Span now, std::span<const Event> happened) override {
+  std::vector<Action> onEvents(Duration now, std::span<const Event> happened) override {
     out_.clear();
     const double secs = seconds(now - now_);
     now_ = now;
@@ -372,67 +376,68 @@
     looks_ += static_cast<std::size_t>(forgotten) + happened.size();
     if (!opened_) {
       opened_ = true;
-      say(SayHealth{true, true});
+      say(PublishHealth{true, true});
       say(SetTimer{tick, tickEvery});
     }
     for (const auto& event : happened) std::visit([this](const auto& e) { take(e); }, event);
     path(secs);
     return std::move(out_);
   }
-  std::uint64_t looks() const override { return looks_; }
-  double limit() const override { return climber_.limit(); }
+  std::uint64_t entriesScanned() const override { return looks_; }
+  double concurrencyLimit() const override { return climber_.limit(); }
 
  private:
   // What happened, taken into the books.
-  void take(const ReqRead& e) {
-    const HandlerTerms& terms = handlers_[index(e.handler)];
+  void take(const RequestArrived& e) {
+    const HandlerPolicy& terms = handlers_[index(e.handler)];
     Req req{.read = e};
-    req.arrived = now_ - e.unread;
-    req.due = std::max(now_, e.patience ? now_ + *e.patience : req.arrived + terms.clientTimeout);
-    const Span stretch = spanOf(terms.targetStretch * pace_.core(e));
-    const Span age = e.patience ? waits_.age(*e.patience + e.unread, terms.clientTimeout) : 0s;
-    req.target = std::min(req.arrived + terms.responseTarget + stretch - age, req.due);
+    req.arrived = now_ - e.readDelay;
+    req.due = std::max(now_, e.timeRemaining ? now_ + *e.timeRemaining : req.arrived + terms.clientTimeout);
+    const Duration stretch = spanOf(terms.objectiveWorkFactor * pace_.core(e));
+    const Duration age =
+        e.timeRemaining ? waits_.age(*e.timeRemaining + e.readDelay, terms.clientTimeout) : 0s;
+    req.target = std::min(req.arrived + terms.latencyObjective + stretch - age, req.due);
     pressure_.read();
-    guard_.take(e.heldKb);
+    guard_.take(e.queuedMemoryKb);
     reqs_.insert_or_assign(e.id, req);
     dues_.emplace(req.due, e.id);
     fresh_.push_back(e.id);
-    unread_ += (seconds(std::min(e.unread, terms.clientTimeout)) - unread_) * 0.1;
-    leastUnread_ = std::min(leastUnread_, seconds(e.unread));
+    unread_ += (seconds(std::min(e.readDelay, terms.clientTimeout)) - unread_) * 0.1;
+    leastUnread_ = std::min(leastUnread_, seconds(e.readDelay));
   }
-  void take(const RunEnded& e) {
+  void take(const ExecutionEnded& e) {
     Req* req = find(e.id);
     if (!req) return;
-    if (req->stage == Stage::echoing || e.outcome == Outcome::moot) return gone(e.id);
+    if (req->stage == Stage::echoing || e.outcome == Outcome::superseded) return gone(e.id);
     if (req->stage == Stage::calling) calls_.ended(now_, true);
-    if (req->stage == Stage::onCore && e.outcome == Outcome::done) {
+    if (req->stage == Stage::onCore && e.outcome == Outcome::completed) {
       pace_.ran(req->read, now_ - req->started - req->offCore, req->calls);
       // Shed and errored reqs must not pass for low latency; time in calls is not the limit's doing.
       if (req->owed)
         climber_.answered(pace_.scaled(req->read.handler, seconds(now_ - req->arrived - req->offCore)));
     }
-    if (e.outcome == Outcome::stopped && req->owed) {  // back in the hold, its work lost
+    if (e.outcome == Outcome::cancelled && req->owed) {  // back in the hold, its work lost
       move(*req, Stage::held);
       --started_;
-      guard_.take(req->read.heldKb - guard_.runKb(req->read.heldKb));
+      guard_.take(req->read.queuedMemoryKb - guard_.runKb(req->read.queuedMemoryKb));
       replayable(*req) ? hold_.putBack(e.id) : giveUp(*req);
       return;
     }
     gone(e.id);
   }
-  void take(const CallWanted& e) {
+  void take(const DownstreamCallRequested& e) {
     Req* req = find(e.id);
     if (!req || req->stage != Stage::onCore) return;
     move(*req, Stage::wanting);
     wants_.push_back(e.id);
   }
-  void take(const CallEnded& e) {
+  void take(const DownstreamCallEnded& e) {
     Req* req = find(e.id);
     if (!req || req->stage != Stage::calling) return;
-    calls_.ended(now_, e.outcome == Outcome::timedOut || e.outcome == Outcome::cutShort);
-    pace_.called(e.took);
+    calls_.ended(now_, e.outcome == Outcome::timedOut || e.outcome == Outcome::connectionLost);
+    pace_.called(e.duration);
     req->lastCall = e.outcome;
-    if (e.outcome == Outcome::done) {
+    if (e.outcome == Outcome::completed) {
       ++req->calls, req->callFails = 0;
       move(*req, Stage::onCore);
     } else {
@@ -441,26 +446,26 @@
       wants_.push_back(e.id);
     }
   }
-  void take(const CallerGone& e) {
+  void take(const ClientDisconnected& e) {
     Req* req = find(e.id);
     if (!req) return;
     letGo(*req);
   }
-  void take(const LeaveNotice& e) {
-    drain_.notice(now_, e.left);
-    say(SayHealth{false, true});
-    say(Note{"leaving: health withdrawn, held " + std::to_string(hold_.size())});
+  void take(const ShutdownNotice& e) {
+    drain_.notice(now_, e.timeRemaining);
+    say(PublishHealth{false, true});
+    say(DiagnosticMessage{"leaving: health withdrawn, held " + std::to_string(hold_.size())});
   }
-  void take(const CallShare& e) { calls_.allow(e.part); }
-  void take(const MachineStarted& e) { guard_.started(e.cold, now_ - e.ago); }
-  void take(const TimerRang& e) {
+  void take(const DownstreamQuotaChanged& e) { calls_.allow(e.share); }
+  void take(const ExecutionEngineStarted& e) { guard_.started(e.coldStart, now_ - e.elapsed); }
+  void take(const TimerFired& e) {
     if (e.timer != tick) return;
     say(SetTimer{tick, tickEvery});
-    if (e.wantingCore) notRuns_ += (*e.wantingCore - onCores() - notRuns_) * 0.02;
-    if (e.connections) trimConnections(*e.connections);
+    if (e.runnableTasks) notRuns_ += (*e.runnableTasks - onCores() - notRuns_) * 0.02;
+    if (e.openConnections) trimConnections(*e.openConnections);
     // Idle cores with work held: told at this moment by the gauge, against what this server has on its cores.
-    idle_ = e.cpu && e.wantingCore && *e.cpu < idleBelow && *e.wantingCore < cores_ && !hold_.empty() &&
-            onCores() >= climber_.limit();
+    idle_ = e.cpuUtilization && e.runnableTasks && *e.cpuUtilization < idleBelow &&
+            *e.runnableTasks < cores_ && !hold_.empty() && onCores() >= climber_.limit();
   }
 
   // Open connections take from the cores, a full table turns callers away and a new one costs work, none of
@@ -472,9 +477,9 @@
     nextTrim_ = now_ + 1s;
     const bool storm = notRuns_ > stormPerCore * cores_;
     const double factor = storm ? 2 : open > connectionsPerCore * cores_ ? 0.5 : 1.25;
-    const Span idle = std::clamp(spanOf(seconds(idleFor_) * factor), shortestIdle,
-                                 std::max(shortestIdle, fleet_.longestIdle));
-    if (idle != idleFor_) say(CloseIdleAfter{idleFor_ = idle});
+    const Duration idle = std::clamp(spanOf(seconds(idleFor_) * factor), shortestIdle,
+                                     std::max(shortestIdle, fleet_.maxIdleTime));
+    if (idle != idleFor_) say(SetIdleConnectionTimeout{idleFor_ = idle});
   }
 
   // The path of a req.
@@ -484,7 +489,7 @@
     climber_.cap(ceiling);
 
     // Read: a repeat joins its first, one that can't be served is shed at once, the others are held.
-    for (const ReqId id : std::exchange(fresh_, {})) {
+    for (const RequestId id : std::exchange(fresh_, {})) {
       Req* req = find(id);
       if (!req || joinsFirst(*req)) continue;
       if (!drain_.mayRun(req->arrived) || tooLate(*req) || !keepMark(*req)) {
@@ -498,8 +503,8 @@
     // Held: what can't be done in time is shed, and so is what would wait too long for room at a call.
     dropGone();
     double callsAhead = static_cast<double>(wants_.size());
-    for (const ReqId id : hold_) callsAhead += pace_.calls(find(id)->read.handler);
-    for (const ReqId id : hold_.oldestFirst()) {
+    for (const RequestId id : hold_) callsAhead += pace_.calls(find(id)->read.handler);
+    for (const RequestId id : hold_.oldestFirst()) {
       Req& req = *find(id);
       const bool forBelow =
           pace_.callsOut(req.read.handler) && callsAhead * pace_.call() / calls_.width() > mayWait;
@@ -516,7 +521,7 @@
     // Covers slow cores and popular subjects; harms where reading is cheap but late for other reasons.
     const double unread = std::max(0.0, unread_ - 2 * leastUnread_);
     const double limit = std::max(1.0, climber_.limit() - (unread > unreadLong ? 1 : 0));
-    for (const ReqId id : hold_.inOrderOfStart(now_)) {
+    for (const RequestId id : hold_.inOrderOfStart(now_)) {
       Req& req = *find(id);
       if (callsWait && pace_.callsOut(req.read.handler)) continue;
       if (onCores() + 1 > limit) {
@@ -525,20 +530,20 @@
         nextQuick_ = now_ + quickEvery;
         climber_.climbQuickly(ceiling);
       }
-      const double moreKb = guard_.runKb(req.read.heldKb) - req.read.heldKb;
+      const double moreKb = guard_.runKb(req.read.queuedMemoryKb) - req.read.queuedMemoryKb;
       if (started_ + 1 > ceiling || !guard_.fits(moreKb)) break;
       guard_.take(moreKb);
       move(req, Stage::onCore);
       req.ran = true;
       req.started = now_;
       ++started_;
-      say(Start{id});
+      say(StartExecution{id});
     }
     dropGone();
 
     // Cut from the oldest end: the newest held req is not to wait longer than is bearable for those ahead.
     double ahead = 0;
-    for (const ReqId id : hold_)
+    for (const RequestId id : hold_)
       if (!callsWait || !pace_.callsOut(find(id)->read.handler)) ahead += pace_.core(find(id)->read);
     if (!hold_.empty()) ahead -= pace_.core(find(hold_.newest())->read);
     const double width = std::max(1.0, climber_.limit());
@@ -552,18 +557,19 @@
     hold_.stood(now_, full);
 
     // At a call: made within the cap, skipped where that earns something, given up where it comes too late.
-    for (const ReqId id : std::exchange(wants_, {})) {
+    for (const RequestId id : std::exchange(wants_, {})) {
       Req* req = find(id);
       if (!req || req->stage != Stage::wanting || !req->owed) continue;
-      const HandlerTerms& terms = handlers_[index(req->read.handler)];
-      const bool repeatable = terms.effect == Effect::replayable || Calls::provesNotRun(req->lastCall);
+      const HandlerPolicy& terms = handlers_[index(req->read.handler)];
+      const bool repeatable =
+          terms.idempotency == Idempotency::idempotent || Calls::provesNotRun(req->lastCall);
       const bool late = now_ + spanOf(pace_.call() * 1.5) > req->target;
       // While calls are quick and take no share, one that breaks or stays out is worth another try.
       const bool calm = !calls_.shared() && pace_.callSlowness() < slowCalls && repeatable;
-      const bool again = calm && req->callFails < 2 && req->lastCall != Outcome::refused;
-      if (terms.skipValue > 0 && (late || (req->callFails > 0 && !again))) {
+      const bool again = calm && req->callFails < 2 && req->lastCall != Outcome::rejected;
+      if (terms.degradedWeight > 0 && (late || (req->callFails > 0 && !again))) {
         move(*req, Stage::onCore);
-        say(SkipCall{id});
+        say(SkipDownstreamCall{id});
       } else if ((req->callFails > 0 && !repeatable) || req->callFails > 1 || (late && callsWait)) {
         giveUp(*req, true);
       } else if (!calls_.room(now_)) {
@@ -571,26 +577,26 @@
       } else {
         req->stage = Stage::calling;
         calls_.make();
-        Span rest = std::min((now_ < req->target ? req->target : req->due) - now_, calls_.longest());
+        Duration rest = std::min((now_ < req->target ? req->target : req->due) - now_, calls_.longest());
         if (calm && req->callFails == 0) rest = std::min(rest, pace_.longestCall());
-        say(Call{id, std::max<Span>(rest, 1ms)});
+        say(CallDownstream{id, std::max<Duration>(rest, 1ms)});
       }
     }
 
     // Due: whatever is still owed is answered before its time, running or not.
-    std::set<ReqId> over;
+    std::set<RequestId> over;
     for (const auto& [due, id] : dues_) {
       if (std::min(due, drain_.stop() - tickEvery) - now_ > dueMargin) break;
       over.insert(id);
     }
     // A run past its target that can earn nothing more and can be stopped only keeps others from the cores.
     if (guard_.mayStop())
-      for (const ReqId id : onCore_)
+      for (const RequestId id : onCore_)
         if (const Req& req = *find(id); req.owed && now_ > req.target && mayStop(req) &&
-                                        handlers_[index(req.read.handler)].lateValue <= 0)
+                                        handlers_[index(req.read.handler)].lateWeight <= 0)
           over.insert(id);
     looks_ += over.size() + (guard_.mayStop() ? onCore_.size() : 0);
-    for (const ReqId id : over) giveUp(*find(id), now_ > find(id)->target);
+    for (const RequestId id : over) giveUp(*find(id), now_ > find(id)->target);
 
     pressure_.feel(secs, std::max(0.0, ahead) / width + unread, mayWait);
     leastUnread_ *= 1 + 0.02 * secs;
@@ -600,71 +606,72 @@
   // Not in time even if it ran at once: judged by what runs and calls take here now. Where little is turned
   // away a doubtful one is tried, and one that still earns when late.
   bool tooLate(const Req& req) const {
-    const HandlerTerms& terms = handlers_[index(req.read.handler)];
+    const HandlerPolicy& terms = handlers_[index(req.read.handler)];
     const bool pressed = pressure_.some();
-    const Span takes = spanOf((pressed ? 1 : doubt) * pace_.core(req.read) + pace_.below(req.read.handler));
+    const Duration takes =
+        spanOf((pressed ? 1 : doubt) * pace_.core(req.read) + pace_.below(req.read.handler));
     if (now_ + takes <= req.target) return false;
-    return pressed || terms.lateValue <= 0 || now_ + takes > req.due;
+    return pressed || terms.lateWeight <= 0 || now_ + takes > req.due;
   }
 
   // A repeat of a uniqued req that may have run, or of a read under way, waits for its first.
   bool joinsFirst(Req& req) {
-    if (!req.read.repeats) return false;
-    const Effect effect = handlers_[index(req.read.handler)].effect;
-    if (effect != Effect::uniqued && !repeats_.knows(*req.read.repeats)) return false;
+    if (!req.read.duplicateOf) return false;
+    const Idempotency effect = handlers_[index(req.read.handler)].idempotency;
+    if (effect != Idempotency::keyed && !repeats_.knows(*req.read.duplicateOf)) return false;
     req.reuses = true;
     req.stage = Stage::echoing;
-    say(AnswerFromFirst{req.read.id});
+    say(AnswerFromOriginal{req.read.id});
     return true;
   }
 
   // Keeps the req's mark so that a repeat is known; false where memory has no room for it.
   bool keepMark(const Req& req) {
-    const HandlerTerms& terms = handlers_[index(req.read.handler)];
-    const bool uniqued = terms.effect == Effect::uniqued;
-    const bool shares = terms.effect == Effect::replayable && trade_.shareFor > 0s && !req.read.write &&
-                        req.read.subject != SubjectId{};
+    const HandlerPolicy& terms = handlers_[index(req.read.handler)];
+    const bool uniqued = terms.idempotency == Idempotency::keyed;
+    const bool shares = terms.idempotency == Idempotency::idempotent && trade_.sharingDuration > 0s &&
+                        !req.read.isWrite && req.read.resourceKey != ResourceKey{};
     if (!uniqued && !shares) return true;
     if (!guard_.fits(guard_.keyKb())) return !uniqued;
-    const Span keepFor =
-        uniqued ? req.arrived + terms.window + keepMargin - now_ : trade_.shareFor + terms.responseTarget;
+    const Duration keepFor = uniqued ? req.arrived + terms.deduplicationWindow + keepMargin - now_
+                                     : trade_.sharingDuration + terms.latencyObjective;
     guard_.take(guard_.keyKb());
     repeats_.keep(req.read.id, now_ + keepFor);
-    say(Keep{req.read.id, keepFor});
+    say(RetainResult{req.read.id, keepFor});
     return true;
   }
   void unkeep(const Req& req) {
     if (req.ran || !repeats_.drop(req.read.id)) return;
     guard_.take(-guard_.keyKb());
-    say(Forget{req.read.id});
+    say(DropResult{req.read.id});
   }
 
   // Answers a req for good. What has run, or repeats one that has, is never said to have not run.
   void giveUp(Req& req, bool forBelow = false) {
-    const ReqId id = req.read.id;
+    const RequestId id = req.read.id;
     if (!forBelow) pressure_.shed();
     if (replayable(req) || (!req.ran && !req.reuses))
-      say(Shed{id, forBelow ? Span{} : stayAway(), forBelow || lastTry()});
+      say(ShedRequest{id, forBelow ? Duration{} : stayAway(), forBelow || lastTry()});
     else
-      say(Fail{id});
+      say(FailRequest{id});
     letGo(req);
   }
   // No answer is owed any more: what has not run is gone, a run ends by itself unless it can be stopped.
   void letGo(Req& req) {
     req.owed = false;
     dues_.erase({req.due, req.read.id});
-    if (req.stage == Stage::onCore && mayStop(req)) say(Stop{req.read.id});
+    if (req.stage == Stage::onCore && mayStop(req)) say(CancelExecution{req.read.id});
     if (req.stage >= Stage::onCore) return;
     unkeep(req);
     gone(req.read.id);
   }
   bool replayable(const Req& req) const {
-    return handlers_[index(req.read.handler)].effect == Effect::replayable;
+    return handlers_[index(req.read.handler)].idempotency == Idempotency::idempotent;
   }
   bool mayStop(const Req& req) const { return guard_.mayStop() && replayable(req); }
-  Span stayAway() const {
-    if (drain_.leaving()) return voice_.longestAdvice;
-    return spanOf(seconds(voice_.longestAdvice) * pressure_.strain());
+  Duration stayAway() const {
+    if (drain_.leaving()) return voice_.maxRetryAfter;
+    return spanOf(seconds(voice_.maxRetryAfter) * pressure_.strain());
   }
   // Other tries are as bad where all are full; a slow server can't tell its own trouble from a storm of
   // reading and connections that its sheds feed, so only one that leaves lets them go on.
@@ -672,15 +679,15 @@
 
   // Signals, said only when they change enough to matter.
   void speak() {
-    if (voice_.signal == SignalKind::none) return;
+    if (voice_.signalKind == LoadSignalKind::none) return;
     const double open = drain_.leaving() ? 0 : 1 - 0.95 * pressure_.strain();
     double value = open;
-    if (voice_.signal == SignalKind::level) value = 1 - open;
-    if (voice_.signal == SignalKind::credit)
-      value = open * std::max(0.2, 2 * climber_.limit() / fleet_.callers);
+    if (voice_.signalKind == LoadSignalKind::level) value = 1 - open;
+    if (voice_.signalKind == LoadSignalKind::credit)
+      value = open * std::max(0.2, 2 * climber_.limit() / fleet_.clients);
     if (std::abs(value - said_) < 0.03 && (value == said_ || !drain_.leaving())) return;
     said_ = value;
-    say(SaySignal{value});
+    say(PublishLoadSignal{value});
   }
 
   // The wait that the hold may stand for: a part of the time to spare of the handler with least.
@@ -688,19 +695,19 @@
     double least = 1e9;
     for (std::size_t i = 0; i < handlers_.size(); ++i) {
       const HandlerId id{static_cast<std::uint8_t>(i)};
-      least = std::min(least, seconds(handlers_[i].responseTarget) - pace_.core(id) - pace_.below(id));
+      least = std::min(least, seconds(handlers_[i].latencyObjective) - pace_.core(id) - pace_.below(id));
     }
     return std::max(holdPart * least, 0.05);
   }
 
-  Req* find(ReqId id) {
+  Req* find(RequestId id) {
     const auto it = reqs_.find(id);
     return it == reqs_.end() ? nullptr : &it->second;
   }
   int onCores() const { return static_cast<int>(onCore_.size()); }
   void dropGone() {
     looks_ += hold_.size();
-    hold_.keepOnly([this](ReqId id) { return find(id) && find(id)->stage == Stage::held; });
+    hold_.keepOnly([this](RequestId id) { return find(id) && find(id)->stage == Stage::held; });
   }
   // Counts who is on the cores, and how long each was off them at calls.
   void move(Req& req, Stage to) {
@@ -709,30 +716,30 @@
     if (to == Stage::onCore && req.stage > Stage::onCore) req.offCore += now_ - req.off;
     req.stage = to;
   }
-  void gone(ReqId id) {
+  void gone(RequestId id) {
     const Req& req = *find(id);
     onCore_.erase(id);
     dues_.erase({req.due, id});
     const bool running = req.stage >= Stage::onCore;
     if (running) --started_;
-    guard_.take(-(running ? guard_.runKb(req.read.heldKb) : req.read.heldKb));
+    guard_.take(-(running ? guard_.runKb(req.read.queuedMemoryKb) : req.read.queuedMemoryKb));
     reqs_.erase(id);
   }
   void say(Action action) { out_.push_back(std::move(action)); }
 
   static constexpr TimerId tick{1};
-  static constexpr Span tickEvery = 25ms, dueMargin = 30ms;
+  static constexpr Duration tickEvery = 25ms, dueMargin = 30ms;
   // The protocol's slack, and what times of arrival in whole milliseconds may be off, at either end.
-  static constexpr Span keepMargin = 52ms;
-  static constexpr Span quickEvery = 100ms, shortestIdle = 100ms;
+  static constexpr Duration keepMargin = 52ms;
+  static constexpr Duration quickEvery = 100ms, shortestIdle = 100ms;
   static constexpr double connectionsPerCore = 6, stormPerCore = 1;
   static constexpr double idleBelow = 0.85, holdPart = 0.3, doubt = 0.5, unreadLong = 0.3;
   static constexpr double slowCalls = 2;
 
-  const std::vector<HandlerTerms> handlers_;
-  const Voice voice_;
-  const Trade trade_;
-  const Fleet fleet_;
+  const std::vector<HandlerPolicy> handlers_;
+  const SignalingProfile voice_;
+  const ResultSharing trade_;
+  const FleetProfile fleet_;
   const int cores_;
   Climber climber_;
   Pace pace_;
@@ -741,14 +748,14 @@
   Repeats repeats_;
   Pressure pressure_;
   Drain drain_;
-  std::map<ReqId, Req> reqs_;              // a req leaves when its answer and its run have both ended
-  std::set<std::pair<Span, ReqId>> dues_;  // those of them that are owed an answer, by due time
-  std::set<ReqId> onCore_;
+  std::map<RequestId, Req> reqs_;                  // a req leaves when its answer and its run have both ended
+  std::set<std::pair<Duration, RequestId>> dues_;  // those of them that are owed an answer, by due time
+  std::set<RequestId> onCore_;
   Hold hold_;
   Waits waits_;
-  std::vector<ReqId> fresh_, wants_;
+  std::vector<RequestId> fresh_, wants_;
   std::vector<Action> out_;
-  Span now_{}, nextQuick_{}, nextTrim_{}, idleFor_ = 2s;
+  Duration now_{}, nextQuick_{}, nextTrim_{}, idleFor_ = 2s;
   int started_ = 0;
   double notRuns_ = 0;  // what wants a core of late and is no run: reading, connecting
   double unread_ = 0, leastUnread_ = 1, said_ = -1;
@@ -766,10 +773,12 @@
   return (more - fewer) / (more + fewer);
 }
 
-std::unique_ptr<Decision> openDecision(Seed, const Machine& machine,
-                                       const std::vector<HandlerTerms>& handlers, const Below& below,
-                                       const Duties& duties, const Voice& voice, const Trade& trade,
-                                       const Fleet& fleet) {
+std::unique_ptr<AdmissionPolicy> makeAdmissionPolicy(Seed, const MachineProfile& machine,
+                                                     const std::vector<HandlerPolicy>& handlers,
+                                                     const DownstreamProfile& below,
+                                                     const ProtocolLimits& duties,
+                                                     const SignalingProfile& voice,
+                                                     const ResultSharing& trade, const FleetProfile& fleet) {
   return std::make_unique<Server>(machine, handlers, below, duties, voice, trade, fleet);
 }
 
--- a/src/logging/log.cpp
+++ b/src/logging/log.cpp
@@ -8,7 +8,7 @@
 
 #include <nlohmann/json.hpp>
 
-namespace rainhook::net {
+namespace rainhook::logging {
 namespace {
 
 constexpr const char* matters[] = {"start", "drain", "engine", "servers", "list", "clients", "membership"};
@@ -41,7 +41,7 @@
 
 Log::~Log() = default;
 
-bool Log::mayWrite(Matter matter) {
+bool Log::mayWrite(LogCategory matter) {
   const auto of = static_cast<std::size_t>(matter);
   Allowance& allowance = allowances_[of];
   const auto now = Clock::now();
@@ -55,7 +55,7 @@
   return false;
 }
 
-void Log::write(Matter matter, std::string_view event, const std::string& text,
+void Log::write(LogCategory matter, std::string_view event, const std::string& text,
                 std::initializer_list<Field> fields) {
   if (form_ == Form::json) {
     const auto wall = std::chrono::system_clock::now().time_since_epoch();
@@ -77,4 +77,4 @@
   logger_->info("{}", out);
 }
 
-}  // namespace rainhook::net
+}  // namespace rainhook::logging
--- a/src/logging/log.h
+++ b/src/logging/log.h
@@ -17,9 +17,9 @@
 class logger;
 }
 
-namespace rainhook::net {
+namespace rainhook::logging {
 
-enum class Matter { start, drain, engine, servers, list, clients, membership, count };
+enum class LogCategory { start, drain, engine, servers, list, clients, membership, count };
 
 class Log {
  public:
@@ -35,11 +35,11 @@
   ~Log();
 
   template <typename... Args>
-  void line(Matter matter, fmt::format_string<Args...> text, Args&&... args) {
+  void message(LogCategory matter, fmt::format_string<Args...> text, Args&&... args) {
     if (mayWrite(matter)) write(matter, "line", fmt::format(text, std::forward<Args>(args)...), {});
   }
   // What a reader may look for by its name and its fields; in text they follow the name.
-  void event(Matter matter, std::string_view name, std::initializer_list<Field> fields) {
+  void event(LogCategory matter, std::string_view name, std::initializer_list<Field> fields) {
     if (mayWrite(matter)) write(matter, name, {}, fields);
   }
 
@@ -50,14 +50,14 @@
     int lines = 0, left = 0;
   };
 
-  bool mayWrite(Matter matter);
-  void write(Matter matter, std::string_view event, const std::string& text,
+  bool mayWrite(LogCategory matter);
+  void write(LogCategory matter, std::string_view event, const std::string& text,
              std::initializer_list<Field> fields);
 
   const Form form_;
   const std::string who_;
   std::unique_ptr<spdlog::logger> logger_;
-  std::array<Allowance, static_cast<std::size_t>(Matter::count)> allowances_;
+  std::array<Allowance, static_cast<std::size_t>(LogCategory::count)> allowances_;
 };
 
-}  // namespace rainhook::net
+}  // namespace rainhook::logging
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -78,7 +78,7 @@
     return commands::run({words + 1, words + count});
   } catch (const commands::Misuse& error) {
     fmt::print(stderr, "rainhook: {}; try 'rainhook help'\n", error.what());
-  } catch (const FactsError& error) {
+  } catch (const ConfigurationError& error) {
     fmt::print(stderr, "rainhook: {}\n", error.what());
   } catch (const options::OptionsError& error) {
     fmt::print(stderr, "rainhook: {}\n", error.what());
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -22,8 +22,8 @@
 #include <string>
 #include <vector>
 
-#include "membership/rumours.h"
 #include "membership/messages.h"
+#include "membership/rumours.h"
 
 namespace rainhook::membership {
 
--- a/src/membership_transport/membership_transport.cpp
+++ b/src/membership_transport/membership_transport.cpp
@@ -4,10 +4,10 @@
 
 #include <nlohmann/json.hpp>
 
-#include "membership/sums.h"
 #include "membership/message_codec.h"
+#include "membership/sums.h"
 
-namespace rainhook::net {
+namespace rainhook::membershipTransport {
 
 using membership::Membership;
 using nlohmann::json;
@@ -15,7 +15,8 @@
 
 namespace {
 
-constexpr std::size_t lengthBytes = 4, mostFrame = membership::mostState + Seal::overhead + 16;
+constexpr std::size_t lengthBytes = 4,
+                      mostFrame = membership::mostState + MessageAuthenticator::overhead + 16;
 constexpr int figuresEach = 10;  // periods
 
 json row(const membership::Card& card, const char* state, bool reachable, const membership::Digest& digest) {
@@ -79,8 +80,9 @@
   return out.append(sealed);
 }
 
-Members::Members(Reactor& reactor, BufferPool& pool, Log& log, membership::MembersPlace place,
-                 const membership::Earlier& earlier, std::uint64_t chance, Changed changed)
+MembershipTransport::MembershipTransport(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log,
+                                         membership::MembersPlace place, const membership::Earlier& earlier,
+                                         std::uint64_t chance, Changed changed)
     : reactor_(reactor),
       pool_(pool),
       log_(log),
@@ -91,15 +93,15 @@
       seal_(place_.keys, chance),
       changed_(std::move(changed)) {}
 
-Members::~Members() {
+MembershipTransport::~MembershipTransport() {
   if (!open_) return;
   reactor_.removeEventHandler(datagrams_, onRead_);
   reactor_.removeEventHandler(listener_, onAccept_);
 }
 
-membership::Span Members::now() { return Reactor::Clock::now().time_since_epoch(); }
+membership::Span MembershipTransport::now() { return net::Reactor::Clock::now().time_since_epoch(); }
 
-void Members::open() {
+void MembershipTransport::open() {
   const auto at = *literal(place_.listen.text);
   datagrams_.bind(at, false);
   datagrams_.setBlocking(false);
@@ -109,20 +111,21 @@
   reactor_.addEventHandler(datagrams_, onRead_);
   reactor_.addEventHandler(listener_, onAccept_);
   open_ = true;
-  log_.line(Matter::membership, "{} is a member at {}, zone {}, region {}, {} seeds", place_.name.text,
-            place_.listen.text, place_.zone.text, place_.region.text, place_.seeds.size());
+  log_.message(logging::LogCategory::membership, "{} is a member at {}, zone {}, region {}, {} seeds",
+               place_.name.text, place_.listen.text, place_.zone.text, place_.region.text,
+               place_.seeds.size());
   Membership::Out out;
   core_.open(now(), out);
   carry(out, 0);
 }
 
-void Members::leave() {
+void MembershipTransport::leave() {
   Membership::Out out;
   core_.leave(now(), out);
   carry(out, 0);
 }
 
-void Members::turn() {
+void MembershipTransport::turn() {
   Membership::Out out;
   core_.turn(now(), out);
   carry(out, 0);
@@ -130,12 +133,12 @@
 }
 
 // What this member holds and sends, against which its bounds can be held.
-void Members::figures() {
+void MembershipTransport::figures() {
   const auto at = now();
   if (figuresAt_ != membership::Span{}) {
     const auto whole = [](std::uint64_t number) { return static_cast<std::int64_t>(number); };
     const auto over = std::chrono::duration_cast<std::chrono::milliseconds>(at - figuresAt_).count();
-    log_.event(Matter::membership, "figures",
+    log_.event(logging::LogCategory::membership, "figures",
                {{"over_ms", static_cast<std::int64_t>(over)},
                 {"members", whole(core_.members().size())},
                 {"rumours", whole(core_.waitingRumours())},
@@ -150,12 +153,12 @@
   figuresAt_ = at, before_ = counts_;
 }
 
-void Members::set() {
+void MembershipTransport::set() {
   if (core_.refused()) return;
   next_ = reactor_.after(core_.wake() - now(), [this] { turn(); });
 }
 
-void Members::readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
+void MembershipTransport::readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
   char bytes[2048];
   for (std::size_t i = 0; i < readsATurn; ++i) {
     int got = -1;
@@ -172,7 +175,7 @@
 }
 
 // A sealed message, from a datagram (talk 0) or a connection.
-void Members::heard(std::string_view bytes, std::uint64_t talk) {
+void MembershipTransport::heard(std::string_view bytes, std::uint64_t talk) {
   const auto message = seal_.opened(bytes);
   if (!message || message->empty()) {
     ++counts_.spoilt;
@@ -191,13 +194,13 @@
   carry(out, talk);
 }
 
-std::optional<Connection::Address> Members::whereIs(const membership::MemberName& to,
-                                                    const membership::Address& address) const {
+std::optional<net::Connection::Address> MembershipTransport::whereIs(
+    const membership::MemberName& to, const membership::Address& address) const {
   const auto it = place_.reach.find(to);
   return literal(it == place_.reach.end() ? address.text : it->second.text);
 }
 
-void Members::carry(const Membership::Out& out, std::uint64_t talk) {
+void MembershipTransport::carry(const Membership::Out& out, std::uint64_t talk) {
   for (const auto& send : out.sends) {
     const auto sealed = seal_.sealed(std::string(1, forMembers) + send.bytes);
     if (send.way == Membership::Send::Way::back) {
@@ -222,14 +225,14 @@
       continue;
     }
     const auto number = ++numbered_;
-    auto connection = Connection::to(*where, reactor_, pool_, talking(number));
+    auto connection = net::Connection::connectTo(*where, reactor_, pool_, talking(number));
     connection->write(framed(sealed));
     counts_.stateBytes += sealed.size();
     enter(number).connection = std::move(connection);
   }
   for (const auto& change : out.changes) {
     const auto& card = change.who;
-    log_.event(Matter::membership, membership::nameOf(change.what),
+    log_.event(logging::LogCategory::membership, membership::nameOf(change.what),
                {{"about", card.name.text},
                 {"zone", card.zone.text},
                 {"address", card.address.text},
@@ -241,20 +244,20 @@
   set();
 }
 
-Members::Talk& Members::enter(std::uint64_t number) {
+MembershipTransport::Talk& MembershipTransport::enter(std::uint64_t number) {
   Talk& talk = talks_[number];
   talk.late = reactor_.after(connectionLasts, [this, number] { end(number); });
   return talk;
 }
 
-Callbacks Members::talking(std::uint64_t number) {
-  Callbacks out;
-  out.came = [this, number](std::string_view bytes) { return came(number, bytes); };
-  out.ended = [this, number](Ending, const std::string&) { end(number); };
+net::Callbacks MembershipTransport::talking(std::uint64_t number) {
+  net::Callbacks out;
+  out.onData = [this, number](std::string_view bytes) { return came(number, bytes); };
+  out.onClosed = [this, number](net::CloseReason, const std::string&) { end(number); };
   return out;
 }
 
-void Members::acceptable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
+void MembershipTransport::acceptable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
   try {
     for (int i = 0; i < 16 && listener_.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ); ++i) {
       auto socket = listener_.acceptConnection();
@@ -263,15 +266,15 @@
         continue;
       }
       const auto number = ++numbered_;
-      auto connection = Connection::accepted(reactor_, pool_, socket, talking(number));
+      auto connection = net::Connection::fromAccepted(reactor_, pool_, socket, talking(number));
       enter(number).connection = std::move(connection);
     }
   } catch (const Poco::Exception& error) {
-    log_.line(Matter::membership, "can't accept: {}", error.displayText());
+    log_.message(logging::LogCategory::membership, "can't accept: {}", error.displayText());
   }
 }
 
-std::size_t Members::came(std::uint64_t number, std::string_view bytes) {
+std::size_t MembershipTransport::came(std::uint64_t number, std::string_view bytes) {
   const auto it = talks_.find(number);
   if (it == talks_.end()) return bytes.size();
   std::string& whole = it->second.bytes;
@@ -279,7 +282,7 @@
   if (whole.size() < lengthBytes) return bytes.size();
   std::size_t length = 0;
   for (std::size_t i = 0; i < lengthBytes; ++i) length = length << 8 | static_cast<unsigned char>(whole[i]);
-  if (length > mostFrame) throw Nonsense("a message longer than a full state");
+  if (length > mostFrame) throw net::ProtocolError("a message longer than a full state");
   if (whole.size() < lengthBytes + length) return bytes.size();
   const std::string message = whole.substr(lengthBytes, length);
   whole.clear();
@@ -287,7 +290,7 @@
   return bytes.size();
 }
 
-void Members::end(std::uint64_t number) {
+void MembershipTransport::end(std::uint64_t number) {
   const auto it = talks_.find(number);
   if (it == talks_.end()) return;
   const auto connection = std::move(it->second.connection);
@@ -296,7 +299,7 @@
 }
 
 // Those who ask what we see: the members command, under the key as all.
-void Members::asked(std::string_view bytes, std::uint64_t talk) {
+void MembershipTransport::asked(std::string_view bytes, std::uint64_t talk) {
   const auto it = talks_.find(talk);
   if (it == talks_.end()) return;
   const auto given = json::parse(bytes, nullptr, false);
@@ -305,7 +308,7 @@
   it->second.connection->write(framed(seal_.sealed(std::string(1, answerTo) + answer)));
 }
 
-std::string Members::told(const std::string& what, const std::string& name) const {
+std::string MembershipTransport::told(const std::string& what, const std::string& name) const {
   json out{{"asked", place_.name.text}, {"doubtful", core_.doubtful(now())}, {"joined", core_.joined()}};
   if (what == "explain") {
     out["lines"] = core_.explain({name}, now());
@@ -329,4 +332,4 @@
   return out.dump(-1, ' ', false, json::error_handler_t::replace);
 }
 
-}  // namespace rainhook::net
+}  // namespace rainhook::membershipTransport
--- a/src/membership_transport/membership_transport.h
+++ b/src/membership_transport/membership_transport.h
@@ -14,22 +14,23 @@
 #include <memory>
 #include <string>
 
+#include "logging/log.h"
 #include "membership/membership.h"
 #include "membership/place.h"
+#include "membership_transport/message_authenticator.h"
 #include "net/connection.h"
-#include "logging/log.h"
 #include "net/reactor.h"
-#include "membership_transport/message_authenticator.h"
 
-namespace rainhook::net {
+namespace rainhook::membershipTransport {
 
-class Members {
+class MembershipTransport {
  public:
   using Changed = std::function<void(const membership::Change&)>;
   // `chance` is a number drawn at the start of this process.
-  Members(Reactor& reactor, BufferPool& pool, Log& log, membership::MembersPlace place,
-          const membership::Earlier& earlier, std::uint64_t chance, Changed changed);
-  ~Members();
+  MembershipTransport(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log,
+                      membership::MembersPlace place, const membership::Earlier& earlier,
+                      std::uint64_t chance, Changed changed);
+  ~MembershipTransport();
 
   // Binds its address and joins; throws Poco::Exception where that can't be had.
   void open();
@@ -41,9 +42,9 @@
 
  private:
   struct Talk {
-    std::shared_ptr<Connection> connection;
+    std::shared_ptr<net::Connection> connection;
     std::string bytes;  // of a message that is not whole yet
-    Reactor::Timer late;
+    net::Reactor::Timer late;
   };
   using Talks =
       std::map<std::uint64_t, Talk>;  // a talk leaves when it is answered, breaks or is over its time
@@ -57,31 +58,32 @@
   void turn();
   void figures();
   void set();
-  Callbacks talking(std::uint64_t number);
+  net::Callbacks talking(std::uint64_t number);
   Talk& enter(std::uint64_t number);
   std::size_t came(std::uint64_t number, std::string_view bytes);
   void end(std::uint64_t number);
-  std::optional<Connection::Address> whereIs(const membership::MemberName& to,
-                                             const membership::Address& address) const;
+  std::optional<net::Connection::Address> whereIs(const membership::MemberName& to,
+                                                  const membership::Address& address) const;
   std::string told(const std::string& what, const std::string& name) const;
 
   static constexpr std::size_t mostTalks = 24, readsATurn = 256;
-  static constexpr Reactor::Wait connectionLasts = std::chrono::seconds(5);
+  static constexpr net::Reactor::Wait connectionLasts = std::chrono::seconds(5);
 
-  Reactor& reactor_;
-  BufferPool& pool_;
-  Log& log_;
+  net::Reactor& reactor_;
+  net::BufferPool& pool_;
+  logging::Log& log_;
   const membership::MembersPlace place_;
   membership::Membership core_;
-  Seal seal_;
+  MessageAuthenticator seal_;
   const Changed changed_;
   Poco::Net::DatagramSocket datagrams_;
   Poco::Net::ServerSocket listener_;
-  Poco::NObserver<Members, Poco::Net::ReadableNotification> onRead_{*this, &Members::readable},
-      onAccept_{*this, &Members::acceptable};
+  Poco::NObserver<MembershipTransport, Poco::Net::ReadableNotification> onRead_{
+      *this, &MembershipTransport::readable},
+      onAccept_{*this, &MembershipTransport::acceptable};
   Talks talks_;
   std::uint64_t numbered_ = 0;
-  Reactor::Timer next_;
+  net::Reactor::Timer next_;
   bool open_ = false;
   struct Counts {
     std::uint64_t datagrams = 0, spoilt = 0, sent = 0, sentBytes = 0, stateBytes = 0, unsent = 0,
@@ -99,4 +101,4 @@
 // The bytes of a message on a connection: its length, then itself.
 std::string framed(std::string_view sealed);
 
-}  // namespace rainhook::net
+}  // namespace rainhook::membershipTransport
--- a/src/membership_transport/message_authenticator.cpp
+++ b/src/membership_transport/message_authenticator.cpp
@@ -6,7 +6,7 @@
 #include <cstring>
 #include <stdexcept>
 
-namespace rainhook::net {
+namespace rainhook::membershipTransport {
 namespace {
 
 constexpr std::string_view mark = "RHM1";
@@ -34,11 +34,12 @@
 
 }  // namespace
 
-Seal::Seal(std::vector<SealKey> keys, std::uint64_t sender) : keys_(std::move(keys)), sender_(sender) {
+MessageAuthenticator::MessageAuthenticator(std::vector<SealKey> keys, std::uint64_t sender)
+    : keys_(std::move(keys)), sender_(sender) {
   if (sodium_init() < 0 || keys_.empty()) throw std::runtime_error("no key to seal messages with");
 }
 
-std::string Seal::sealed(std::string_view message) {
+std::string MessageAuthenticator::sealed(std::string_view message) {
   std::string out(mark);
   append(out, sender_), append(out, ++numbered_);
   const auto tag = tagOf(out, message, keys_.front());
@@ -46,7 +47,7 @@
   return out.append(message);
 }
 
-std::optional<std::string_view> Seal::opened(std::string_view bytes) {
+std::optional<std::string_view> MessageAuthenticator::opened(std::string_view bytes) {
   if (bytes.size() < overhead || !bytes.starts_with(mark)) return ++counts_.untagged, std::nullopt;
   const auto head = bytes.substr(0, overhead - tagBytes), message = bytes.substr(overhead);
   const bool tagged = std::any_of(keys_.begin(), keys_.end(), [&](const SealKey& key) {
@@ -59,7 +60,7 @@
   return message;
 }
 
-bool Seal::fresh(std::uint64_t from, std::uint64_t number) {
+bool MessageAuthenticator::fresh(std::uint64_t from, std::uint64_t number) {
   const auto [it, isNew] = senders_.try_emplace(from);
   Sender& sender = it->second;
   if (isNew)
@@ -79,4 +80,4 @@
   return true;
 }
 
-}  // namespace rainhook::net
+}  // namespace rainhook::membershipTransport
--- a/src/membership_transport/message_authenticator.h
+++ b/src/membership_transport/message_authenticator.h
@@ -14,15 +14,15 @@
 #include <string_view>
 #include <vector>
 
-namespace rainhook::net {
+namespace rainhook::membershipTransport {
 
 using SealKey = std::array<unsigned char, 32>;
 
-class Seal {
+class MessageAuthenticator {
  public:
   static constexpr std::size_t overhead = 4 + 8 + 8 + 16;
   // `sender` is a number drawn at the start of this process. At least one key.
-  Seal(std::vector<SealKey> keys, std::uint64_t sender);
+  MessageAuthenticator(std::vector<SealKey> keys, std::uint64_t sender);
 
   std::string sealed(std::string_view message);
   // Nothing where the tag is not by one of our keys, or the message has been opened already.
@@ -49,4 +49,4 @@
   Counts counts_;
 };
 
-}  // namespace rainhook::net
+}  // namespace rainhook::membershipTransport
--- a/src/net/buffer_pool.cpp
+++ b/src/net/buffer_pool.cpp
@@ -5,24 +5,24 @@
 
 namespace rainhook::net {
 
-BufferPool::Lease BufferPool::lend() {
+BufferPool::Lease BufferPool::acquire() {
   ++lent_;
-  if (free_.empty()) return Lease(new Buffer, GiveBack{this});
-  Lease lease(free_.back().release(), GiveBack{this});
+  if (free_.empty()) return Lease(new Buffer, Releaser{this});
+  Lease lease(free_.back().release(), Releaser{this});
   free_.pop_back();
   return lease;
 }
 
-void BufferPool::giveBack(Buffer* buffer) {
+void BufferPool::release(Buffer* buffer) {
   --lent_;
   std::unique_ptr<Buffer> back(buffer);
   if (free_.size() < keptAtMost) free_.push_back(std::move(back));
 }
 
-void Outgoing::append(std::string_view bytes) {
+void SendBuffer::append(std::string_view bytes) {
   size_ += bytes.size();
   while (!bytes.empty()) {
-    if (pieces_.empty() || pieces_.back().to == BufferPool::bufferSize) pieces_.push_back({pool_.lend()});
+    if (pieces_.empty() || pieces_.back().to == BufferPool::bufferSize) pieces_.push_back({pool_.acquire()});
     Piece& last = pieces_.back();
     const std::size_t count = std::min(bytes.size(), BufferPool::bufferSize - last.to);
     std::memcpy(last.buffer->data() + last.to, bytes.data(), count);
@@ -31,13 +31,13 @@
   }
 }
 
-std::string_view Outgoing::front() const {
+std::string_view SendBuffer::front() const {
   if (pieces_.empty()) return {};
   const Piece& first = pieces_.front();
   return {first.buffer->data() + first.from, first.to - first.from};
 }
 
-void Outgoing::consume(std::size_t count) {
+void SendBuffer::consume(std::size_t count) {
   size_ -= count;
   Piece& first = pieces_.front();
   first.from += count;
--- a/src/net/buffer_pool.h
+++ b/src/net/buffer_pool.h
@@ -15,27 +15,27 @@
   static constexpr std::size_t bufferSize = 16 * 1024;
   using Buffer = std::array<char, bufferSize>;
 
-  struct GiveBack {
+  struct Releaser {
     BufferPool* pool;
-    void operator()(Buffer* buffer) const { pool->giveBack(buffer); }
+    void operator()(Buffer* buffer) const { pool->release(buffer); }
   };
-  using Lease = std::unique_ptr<Buffer, GiveBack>;
+  using Lease = std::unique_ptr<Buffer, Releaser>;
 
-  Lease lend();
-  std::size_t lent() const { return lent_; }
+  Lease acquire();
+  std::size_t acquiredCount() const { return lent_; }
 
  private:
   static constexpr std::size_t keptAtMost = 256;  // what stands free beyond this goes back to the system
-  void giveBack(Buffer* buffer);
+  void release(Buffer* buffer);
 
   std::vector<std::unique_ptr<Buffer>> free_;
   std::size_t lent_ = 0;
 };
 
 // Bytes that wait to be sent, in buffers of the pool; emptied by consume().
-class Outgoing {
+class SendBuffer {
  public:
-  explicit Outgoing(BufferPool& pool) : pool_(pool) {}
+  explicit SendBuffer(BufferPool& pool) : pool_(pool) {}
 
   void append(std::string_view bytes);
   bool empty() const { return size_ == 0; }
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -13,18 +13,19 @@
       pool_(pool),
       socket_(socket),
       callbacks_(std::move(callbacks)),
-      in_(nullptr, BufferPool::GiveBack{&pool}),
+      in_(nullptr, BufferPool::Releaser{&pool}),
       out_(pool) {}
 
-std::shared_ptr<Connection> Connection::accepted(Reactor& reactor, BufferPool& pool,
-                                                 const Poco::Net::StreamSocket& socket, Callbacks callbacks) {
+std::shared_ptr<Connection> Connection::fromAccepted(Reactor& reactor, BufferPool& pool,
+                                                     const Poco::Net::StreamSocket& socket,
+                                                     Callbacks callbacks) {
   std::shared_ptr<Connection> made(new Connection(reactor, pool, socket, std::move(callbacks)));
   made->start(State::open);
   return made;
 }
 
-std::shared_ptr<Connection> Connection::to(const Address& address, Reactor& reactor, BufferPool& pool,
-                                           Callbacks callbacks) {
+std::shared_ptr<Connection> Connection::connectTo(const Address& address, Reactor& reactor, BufferPool& pool,
+                                                  Callbacks callbacks) {
   std::shared_ptr<Connection> made(
       new Connection(reactor, pool, Poco::Net::StreamSocket(), std::move(callbacks)));
   try {
@@ -32,7 +33,7 @@
     made->start(State::connecting);
   } catch (const Poco::Exception& error) {
     made->late_ = reactor.after(Reactor::Wait::zero(), [self = made.get(), why = error.displayText()] {
-      self->end(Ending::unreachable, why);
+      self->end(CloseReason::unreachable, why);
     });
   }
   return made;
@@ -67,12 +68,12 @@
   reactor_.addEventHandler(socket_, onError_);
 }
 
-void Connection::pause() {
+void Connection::pauseReading() {
   paused_ = true;
   if (state_ == State::open) wantReading(false);
 }
 
-void Connection::resume() {
+void Connection::resumeReading() {
   if (!std::exchange(paused_, false) || state_ != State::open || ended_) return;
   const auto self = shared_from_this();
   wantReading(true);
@@ -91,13 +92,13 @@
   if (state_ == State::open && !ended_) wantReading(true);
 }
 
-void Connection::shutDown() {
+void Connection::shutdownSend() {
   const auto self = shared_from_this();
   discardInput();
   try {
     socket_.shutdownSend();
   } catch (const Poco::Exception& error) {
-    end(Ending::broken, error.displayText());
+    end(CloseReason::connectionLost, error.displayText());
   }
 }
 
@@ -110,29 +111,29 @@
   try {
     reading();
   } catch (const Poco::Exception& error) {
-    return end(Ending::broken, error.displayText());
+    return end(CloseReason::connectionLost, error.displayText());
   } catch (const std::exception& nonsense) {  // whatever a peer's bytes may lead to ends its connection alone
-    return end(Ending::nonsense, nonsense.what());
+    return end(CloseReason::protocolError, nonsense.what());
   }
   if (in_ && from_ == to_) in_.reset();
 }
 
 void Connection::read() {
   for (int i = 0; i < readsATurn && state_ == State::open && reading_; ++i) {
-    if (!in_) in_ = pool_.lend(), from_ = to_ = 0;
+    if (!in_) in_ = pool_.acquire(), from_ = to_ = 0;
     if (to_ == BufferPool::bufferSize && from_ > 0) {
       std::memmove(in_->data(), in_->data() + from_, to_ - from_);
       to_ -= from_, from_ = 0;
     }
     const auto space = BufferPool::bufferSize - to_;
-    if (space == 0) throw Nonsense("a message longer than a buffer");
+    if (space == 0) throw ProtocolError("a message longer than a buffer");
     const int got = socket_.receiveBytes(in_->data() + to_, static_cast<int>(space));
     if (got < 0) return;
     if (got == 0) {
       ended_ = true;
       wantReading(false);
-      if (callbacks_.halfClosed) return callbacks_.halfClosed();
-      return end(Ending::closedByPeer, "closed by the peer");
+      if (callbacks_.onHalfClosed) return callbacks_.onHalfClosed();
+      return end(CloseReason::closedByPeer, "closed by the peer");
     }
     if (discarding_) {
       if (static_cast<std::size_t>(got) < space) return;
@@ -146,7 +147,7 @@
 
 void Connection::feed() {
   while (state_ == State::open && !paused_ && !discarding_ && from_ < to_) {
-    const std::size_t used = callbacks_.came({in_->data() + from_, to_ - from_});
+    const std::size_t used = callbacks_.onData({in_->data() + from_, to_ - from_});
     if (used == 0 || discarding_) return;
     from_ += used;
   }
@@ -160,7 +161,7 @@
 
 void Connection::flushLater() {
   flushing_ = true;
-  reactor_.flushLater([weak = weak_from_this()] {
+  reactor_.flushAtIterationEnd([weak = weak_from_this()] {
     const auto self = weak.lock();
     if (!self) return;
     self->flushing_ = false;
@@ -182,7 +183,7 @@
   } catch (const Poco::Exception& error) {
     // POCO 1.11 throws where a socket takes no more for now; that breaks nothing.
     if (error.code() == EAGAIN || error.code() == EWOULDBLOCK) return wantWriting(true);
-    end(Ending::broken, error.displayText());
+    end(CloseReason::connectionLost, error.displayText());
   }
 }
 
@@ -190,12 +191,12 @@
   const auto self = shared_from_this();
   if (state_ == State::connecting) {
     if (const int error = socket_.impl()->socketError(); error != 0)
-      return end(Ending::unreachable, std::strerror(error));
+      return end(CloseReason::unreachable, std::strerror(error));
     state_ = State::open;
     wantReading(!paused_);
   }
   if (state_ == State::open) send();
-  if (state_ == State::open && out_.empty() && callbacks_.sent) callbacks_.sent();
+  if (state_ == State::open && out_.empty() && callbacks_.onSent) callbacks_.onSent();
 }
 
 void Connection::failed(const Poco::AutoPtr<Poco::Net::ErrorNotification>&) {
@@ -204,14 +205,15 @@
   // What came before the break is still read.
   if (state_ == State::open && reading_) return take([this] { read(); });
   const int error = socket_.impl()->socketError();
-  end(state_ == State::connecting ? Ending::unreachable : Ending::broken, std::strerror(error));
+  end(state_ == State::connecting ? CloseReason::unreachable : CloseReason::connectionLost,
+      std::strerror(error));
 }
 
-void Connection::end(Ending how, const std::string& why) {
+void Connection::end(CloseReason how, const std::string& why) {
   if (state_ == State::closed) return;
   const auto self = weak_from_this().lock();
   close();
-  if (callbacks_.ended) callbacks_.ended(how, why);
+  if (callbacks_.onClosed) callbacks_.onClosed(how, why);
 }
 
 void Connection::close() {
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -18,48 +18,48 @@
 namespace rainhook::net {
 
 // What a peer sent that no rule of its protocol allows.
-struct Nonsense : std::runtime_error {
+struct ProtocolError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-enum class Ending { closedByPeer, broken, unreachable, nonsense };
+enum class CloseReason { closedByPeer, connectionLost, unreachable, protocolError };
 
 struct Callbacks {
   // The bytes so far; returns how many of them are done with. Throws Nonsense.
-  std::function<std::size_t(std::string_view)> came;
+  std::function<std::size_t(std::string_view)> onData;
   // Once, and never after close(): the connection is closed already.
-  std::function<void(Ending, const std::string&)> ended;
+  std::function<void(CloseReason, const std::string&)> onClosed;
   // All that had to wait has been sent.
-  std::function<void()> sent;
+  std::function<void()> onSent;
   // The peer sends no more; where absent the connection ends as closed by the peer.
-  std::function<void()> halfClosed;
+  std::function<void()> onHalfClosed;
 };
 
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
   using Address = Poco::Net::SocketAddress;
 
-  static std::shared_ptr<Connection> accepted(Reactor& reactor, BufferPool& pool,
-                                              const Poco::Net::StreamSocket& socket, Callbacks callbacks);
+  static std::shared_ptr<Connection> fromAccepted(Reactor& reactor, BufferPool& pool,
+                                                  const Poco::Net::StreamSocket& socket, Callbacks callbacks);
   // Begins to connect; how that ends comes by the callbacks, not from within this call.
-  static std::shared_ptr<Connection> to(const Address& address, Reactor& reactor, BufferPool& pool,
-                                        Callbacks callbacks);
+  static std::shared_ptr<Connection> connectTo(const Address& address, Reactor& reactor, BufferPool& pool,
+                                               Callbacks callbacks);
   ~Connection() { close(); }
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
   void write(std::string_view bytes);
-  std::size_t waiting() const { return out_.size(); }
+  std::size_t pendingBytes() const { return out_.size(); }
   // Whether anything was sent.
-  bool sentAny() const { return sentAny_; }
-  void pause();
-  void resume();
+  bool hasSentData() const { return sentAny_; }
+  void pauseReading();
+  void resumeReading();
   // Takes what the system holds of the peer's bytes now, as far as one turn reads.
   void readNow();
   // What comes from now on is read and thrown away; only its end, or a break, is told.
   void discardInput();
   // Half-close: ends our side, after all that was sent; what comes is discarded. Nothing may wait to be sent.
-  void shutDown();
+  void shutdownSend();
   void close();
 
  private:
@@ -73,7 +73,7 @@
   void feed();
   void take(const std::function<void()>& reading);
   void send();
-  void end(Ending how, const std::string& why);
+  void end(CloseReason how, const std::string& why);
   void wantReading(bool wanted);
   void wantWriting(bool wanted);
   void renewInterest();
@@ -88,7 +88,7 @@
   State state_ = State::connecting;
   BufferPool::Lease in_;  // held only while a message is not whole
   std::size_t from_ = 0, to_ = 0;
-  Outgoing out_;
+  SendBuffer out_;
   bool reading_ = false, writing_ = false, paused_ = false, ended_ = false, sentAny_ = false;
   bool flushing_ = false, watched_ = false, discarding_ = false;
   Reactor::Timer late_;
--- a/src/net/reactor.cpp
+++ b/src/net/reactor.cpp
@@ -54,18 +54,18 @@
 // After a turn with events the next round does not wait, so that the turn's end comes before any more is
 // read.
 void Reactor::onBusy() {
-  endTurn();
+  endIteration();
   setTimeout(0);
 }
 void Reactor::onTimeout() {
-  endTurn();
+  endIteration();
   Wait wait = timers_.empty() ? Wait(1s) : timers_.begin()->first.first - Clock::now();
   if (!flushes_.empty()) wait = 0s;  // given to send while others sent
   const auto millis = std::chrono::ceil<std::chrono::milliseconds>(std::clamp<Wait>(wait, 0s, 1s));
   setTimeout(Poco::Timespan(static_cast<Poco::Timespan::TimeDiff>(millis.count()) * 1000));
 }
 
-void Reactor::endTurn() {
+void Reactor::endIteration() {
   ring();
   if (hear_) hear_();
   for (const auto& flush : std::exchange(flushes_, {})) flush();
--- a/src/net/reactor.h
+++ b/src/net/reactor.h
@@ -46,11 +46,11 @@
   [[nodiscard]] Timer after(Wait wait, std::function<void()> ring);
   void atTurnEnd(std::function<void()> hear) { hear_ = std::move(hear); }
   // Calls once at the end of this turn, after the hearer: for connections with something to send.
-  void flushLater(std::function<void()> flush) { flushes_.push_back(std::move(flush)); }
+  void flushAtIterationEnd(std::function<void()> flush) { flushes_.push_back(std::move(flush)); }
   // Keeps a handler alive until nothing of this turn can call it any more.
   void retire(std::shared_ptr<void> handler) { retired_.push_back(std::move(handler)); }
   // Lets go of what was retired, once no turn is under way.
-  void letGo() { retired_.clear(); }
+  void releaseRetired() { retired_.clear(); }
   // The file descriptor of the given signals, which are blocked from now on, becomes a socket of the reactor.
   void onSignals(std::initializer_list<int> signals, std::function<void(int)> hear);
 
@@ -59,7 +59,7 @@
   void onBusy() override;
   void onTimeout() override;
   void onIdle() override { onTimeout(); }
-  void endTurn();
+  void endIteration();
   void ring();
 
   std::map<Timer::Key, std::function<void()>> timers_;  // a timer leaves when it rings or is taken back
--- a/src/options/options.cpp
+++ b/src/options/options.cpp
@@ -73,7 +73,7 @@
     return text;
   };
   const auto address = [&](const std::string& key, const std::string& text) {
-    if (!net::literal(text))
+    if (!membershipTransport::literal(text))
       given.fault(key, fmt::format("'{}' is no address of the form 127.0.0.1:7101", text));
     return membership::Address{text};
   };
--- a/src/peers/downstream_client.h
+++ b/src/peers/downstream_client.h
@@ -10,49 +10,49 @@
 #include <string>
 
 #include "decision/decision.h"
-#include "net/connection.h"
 #include "logging/log.h"
+#include "net/connection.h"
 #include "net/reactor.h"
 
-namespace rainhook::net {
+namespace rainhook::peers {
 
-class Servers {
+class DownstreamClient {
  public:
-  struct Hearer {
-    virtual ~Hearer() = default;
-    virtual void callEnded(ReqId id, Outcome outcome, Span took, std::string&& reply) = 0;
+  struct Listener {
+    virtual ~Listener() = default;
+    virtual void onDownstreamCallEnded(RequestId id, Outcome outcome, Duration took, std::string&& reply) = 0;
   };
 
   // Without an address, as in the last tier, every call is unreachable.
-  Servers(Reactor& reactor, BufferPool& pool, Log& log, Hearer& hearer,
-          std::optional<Connection::Address> address, std::size_t mostOpen);
+  DownstreamClient(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log, Listener& hearer,
+                   std::optional<net::Connection::Address> address, std::size_t mostOpen);
 
   // How it ends comes to the hearer, not from within this call; a call for a req gives up the one before it.
-  void call(ReqId id, const std::string& name, Span limit, std::string_view body);
-  void giveUp(ReqId id);
+  void call(RequestId id, const std::string& name, Duration limit, std::string_view body);
+  void cancel(RequestId id);
   // Calls from now on go there; those under way end where they are.
-  void moveTo(std::optional<Connection::Address> address) { address_ = std::move(address); }
-  std::size_t open() const { return calls_.size(); }
+  void moveTo(std::optional<net::Connection::Address> address) { address_ = std::move(address); }
+  std::size_t openCalls() const { return calls_.size(); }
 
  private:
   struct Call {
-    std::shared_ptr<Connection> connection;
-    Reactor::Clock::time_point made;
-    Reactor::Timer limit;
+    std::shared_ptr<net::Connection> connection;
+    net::Reactor::Clock::time_point made;
+    net::Reactor::Timer limit;
   };
 
-  std::size_t came(ReqId id, std::string_view bytes);
-  void broke(ReqId id, Ending how, const std::string& why);
-  void limitReached(ReqId id);
-  void end(ReqId id, Outcome outcome, std::string&& reply);
-
-  Reactor& reactor_;
-  BufferPool& pool_;
-  Log& log_;
-  Hearer& hearer_;
-  std::optional<Connection::Address> address_;
-  const std::size_t mostOpen_;
-  std::map<ReqId, Call> calls_;  // a call leaves when it ends or is given up
+  std::size_t came(RequestId id, std::string_view bytes);
+  void broke(RequestId id, net::CloseReason how, const std::string& why);
+  void limitReached(RequestId id);
+  void end(RequestId id, Outcome outcome, std::string&& reply);
+
+  net::Reactor& reactor_;
+  net::BufferPool& pool_;
+  logging::Log& log_;
+  Listener& hearer_;
+  std::optional<net::Connection::Address> address_;
+  const std::size_t maxOpenCalls_;
+  std::map<RequestId, Call> calls_;  // a call leaves when it ends or is given up
 };
 
-}  // namespace rainhook::net
+}  // namespace rainhook::peers
--- a/src/peers/request_listener.cpp
+++ b/src/peers/request_listener.cpp
@@ -8,13 +8,13 @@
 #include <cmath>
 #include <stdexcept>
 
-namespace rainhook::net {
+namespace rainhook::peers {
 namespace {
 
 using namespace std::chrono_literals;
-using thrift::Kind;
-using thrift::Type;
-using thrift::Writer;
+using codec::thrift::Kind;
+using codec::thrift::Type;
+using codec::thrift::Writer;
 
 constexpr std::int16_t success = 0, overloaded = 1, internal = 2;
 
@@ -36,7 +36,7 @@
 // The fields of one call, each read once and checked; the first fault is kept.
 class Given {
  public:
-  Given(const thrift::Fields& fields, std::string& fault) : fields_(fields), fault_(fault) {}
+  Given(const codec::thrift::Fields& fields, std::string& fault) : fields_(fields), fault_(fault) {}
 
   std::string_view text(const char* name) const {
     const auto it = fields_.find(name);
@@ -60,11 +60,11 @@
   }
 
  private:
-  const thrift::Fields& fields_;
+  const codec::thrift::Fields& fields_;
   std::string& fault_;
 };
 
-std::string exception(const thrift::Message& message, std::string_view why, std::int32_t type) {
+std::string exception(const codec::thrift::Message& message, std::string_view why, std::int32_t type) {
   return Writer(Kind::exception, message.name, message.sequence)
       .field(1, Type::text)
       .text(why)
@@ -76,18 +76,19 @@
 
 }  // namespace
 
-Clients::Clients(Reactor& reactor, BufferPool& pool, Log& log, Hearer& hearer, Terms terms, Most most)
+RequestListener::RequestListener(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log,
+                                 Listener& hearer, RequestRules terms, Limits most)
     : reactor_(reactor),
       pool_(pool),
       log_(log),
       hearer_(hearer),
       terms_(std::move(terms)),
       mostOpen_(most.connections),
-      mostOutput_(most.output),
+      mostOutput_(most.outputBytes),
       longestWait_(terms_.clientTimeouts.empty() ? wholeWithin
                                                  : *std::ranges::max_element(terms_.clientTimeouts)) {}
 
-void Clients::listen(const Poco::Net::SocketAddress& address) {
+void RequestListener::listen(const Poco::Net::SocketAddress& address) {
   listener_.bind(address, true);
   listener_.listen(512);
   listener_.setBlocking(false);
@@ -96,7 +97,7 @@
   sweeping_ = reactor_.after(sweepEvery, [this] { sweep(); });
 }
 
-void Clients::wantAccepting(bool wanted) {
+void RequestListener::wantAccepting(bool wanted) {
   if (wanted == accepting_) return;
   accepting_ = wanted;
   wanted ? reactor_.addEventHandler(listener_, onAccept_) : reactor_.removeEventHandler(listener_, onAccept_);
@@ -104,50 +105,51 @@
 
 // Takes what waits to be accepted. Where descriptors run out an idle connection gives way, or accepting rests
 // until the next sweep.
-void Clients::acceptable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
+void RequestListener::acceptable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
   try {
     for (int i = 0; i < 64; ++i) {
       if (!listener_.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ)) return;
       if (clients_.size() >= mostOpen_ && !closeOneIdle(silent_) && !closeOneIdle(spoken_)) {
-        log_.line(Matter::clients, "{} connections open, none idle: accepting rests", clients_.size());
+        log_.message(logging::LogCategory::clients, "{} connections open, none idle: accepting rests",
+                     clients_.size());
         return wantAccepting(false);
       }
       take(listener_.acceptConnection());
     }
   } catch (const Poco::Exception& error) {
-    log_.line(Matter::clients, "can't accept: {}", error.displayText());
+    log_.message(logging::LogCategory::clients, "can't accept: {}", error.displayText());
     if (!closeOneIdle(silent_) && !closeOneIdle(spoken_)) wantAccepting(false);
   }
 }
 
 // Set up first, entered then: where the system refuses the set-up, nothing of it stays.
-void Clients::take(Poco::Net::StreamSocket socket) {
-  const ClientId id{++numbered_};
-  Callbacks callbacks;
-  callbacks.came = [this, id](std::string_view bytes) { return came(id, bytes); };
-  callbacks.ended = [this, id](Ending how, const std::string& why) { left(id, how, why); };
-  callbacks.sent = [this, id] { readOn(id); };
+void RequestListener::take(Poco::Net::StreamSocket socket) {
+  const ConnectionId id{++numbered_};
+  net::Callbacks callbacks;
+  callbacks.onData = [this, id](std::string_view bytes) { return came(id, bytes); };
+  callbacks.onClosed = [this, id](net::CloseReason how, const std::string& why) { left(id, how, why); };
+  callbacks.onSent = [this, id] { readOn(id); };
   // Answers may still be read by a caller that sends no more: only a break says that it has gone.
-  callbacks.halfClosed = [this, id] {
+  callbacks.onHalfClosed = [this, id] {
     Client& client = clients_.at(id);
     client.sendsNoMore = true;
-    if (quiet(client)) left(id, Ending::closedByPeer, "closed");
+    if (quiet(client)) left(id, net::CloseReason::closedByPeer, "closed");
   };
   socket.setSendBufferSize(kernelHolds);
   socket.setReceiveBufferSize(kernelHolds);
-  auto connection = Connection::accepted(reactor_, pool_, socket, std::move(callbacks));
+  auto connection = net::Connection::fromAccepted(reactor_, pool_, socket, std::move(callbacks));
   Client& client = clients_[id];
   client.connection = std::move(connection);
-  client.usedAt = Reactor::Clock::now();
+  client.usedAt = net::Reactor::Clock::now();
   client.place = silent_.insert(silent_.end(), id);
 }
 
-std::size_t Clients::came(ClientId id, std::string_view bytes) {
+std::size_t RequestListener::came(ConnectionId id, std::string_view bytes) {
   try {
     return takeFrame(id, bytes);
-  } catch (const Nonsense& nonsense) {
+  } catch (const net::ProtocolError& nonsense) {
     // Reqs that came whole before it are answered still; the rest of what it sends is not looked at.
-    log_.line(Matter::clients, "a connection is closed: {}", nonsense.what());
+    log_.message(logging::LogCategory::clients, "a connection is closed: {}", nonsense.what());
     Client& client = clients_.at(id);
     client.condemned = true;
     client.begunAt.reset();
@@ -156,15 +158,15 @@
   }
 }
 
-std::size_t Clients::takeFrame(ClientId id, std::string_view bytes) {
+std::size_t RequestListener::takeFrame(ConnectionId id, std::string_view bytes) {
   Client& client = clients_.at(id);
   // A caller that does not read its answers is not read until it does.
   if (full(client)) {
-    client.connection->pause();
+    client.connection->pauseReading();
     return 0;
   }
-  const auto frame = thrift::readFrame(bytes, longestFrame);
-  const auto now = Reactor::Clock::now();
+  const auto frame = codec::thrift::readFrame(bytes, longestFrame);
+  const auto now = net::Reactor::Clock::now();
   if (!frame) {
     if (!client.begunAt) client.begunAt = now;
     client.heardAt = now;
@@ -172,131 +174,140 @@
   }
   client.begunAt.reset();
   used(client);
-  message(id, thrift::readMessage(frame->content));
+  message(id, codec::thrift::readMessage(frame->content));
   return frame->size;
 }
 
-void Clients::readOn(ClientId id) {
+void RequestListener::readOn(ConnectionId id) {
   const auto it = clients_.find(id);
-  if (it != clients_.end() && !full(it->second) && !it->second.condemned) it->second.connection->resume();
+  if (it != clients_.end() && !full(it->second) && !it->second.condemned)
+    it->second.connection->resumeReading();
 }
 
-void Clients::message(ClientId id, const thrift::Message& message) {
+void RequestListener::message(ConnectionId id, const codec::thrift::Message& message) {
   Client& client = clients_.at(id);
   if (message.kind == Kind::call && message.name == "call") return call(id, message);
   if (message.kind == Kind::call && message.name == "health") {
     // `full` asks for real work in the check, for which the engine's protocol has no word: the word said last
     // answers both kinds.
-    thrift::Reader(message.body).structure([](auto, auto, auto&) { return false; });
+    codec::thrift::Reader(message.body).structure([](auto, auto, auto&) { return false; });
     return client.connection->write(good(message.name, message.sequence, {}));
   }
   if (message.kind == Kind::oneway && message.name == "cancel") {
     std::int32_t number = 0;
-    thrift::Reader(message.body).structure([&](std::int16_t field, Type type, thrift::Reader& in) {
-      if (field != 1 || type != Type::i32) return false;
-      number = in.i32();
-      return true;
-    });
+    codec::thrift::Reader(message.body)
+        .structure([&](std::int16_t field, Type type, codec::thrift::Reader& in) {
+          if (field != 1 || type != Type::i32) return false;
+          number = in.i32();
+          return true;
+        });
     const auto owed = client.owed.find(number);
     if (owed == client.owed.end()) return;  // answered meanwhile, or never asked
-    const ReqId req = owed->second;
+    const RequestId req = owed->second;
     client.owed.erase(owed);
-    return hearer_.callerLeft(req);
+    return hearer_.onClientDisconnected(req);
   }
-  if (message.kind != Kind::call) throw Nonsense("an unexpected message: " + message.name.substr(0, 40));
+  if (message.kind != Kind::call)
+    throw net::ProtocolError("an unexpected message: " + message.name.substr(0, 40));
   constexpr std::int32_t unknownMethod = 1;
   client.connection->write(exception(message, "unknown method", unknownMethod));
 }
 
-bool Clients::readReq(const thrift::Message& message, ArrivedReq& req, std::string& fault) const {
-  thrift::Fields fields;
-  thrift::Reader(message.body).structure([&](std::int16_t field, Type type, thrift::Reader& in) {
-    if (field == 1 && type == Type::map) return fields = in.fields(), true;
-    if (field == 2 && type == Type::text) return req.body = in.text(), true;
-    return false;
-  });
+bool RequestListener::readReq(const codec::thrift::Message& message, IncomingRequest& req,
+                              std::string& fault) const {
+  codec::thrift::Fields fields;
+  codec::thrift::Reader(message.body)
+      .structure([&](std::int16_t field, Type type, codec::thrift::Reader& in) {
+        if (field == 1 && type == Type::map) return fields = in.fields(), true;
+        if (field == 2 && type == Type::text) return req.body = in.text(), true;
+        return false;
+      });
   Given given(fields, fault);
   req.name = given.text("rid");
   if (req.name.size() != 16 || !parsed<std::uint64_t>(req.name, 16)) given.wrong("rid");
   req.handler = HandlerId{static_cast<std::uint8_t>(given.place("method", terms_.handlers))};
-  if (!terms_.customers.empty())
-    req.customer = CustomerId{static_cast<std::uint16_t>(given.place("acct", terms_.customers))};
-  req.caller = CallerId{given.number<std::uint64_t>("peer", 0, ~0ULL)};
+  if (!terms_.tenants.empty())
+    req.tenant = TenantId{static_cast<std::uint16_t>(given.place("acct", terms_.tenants))};
+  req.client = ClientId{given.number<std::uint64_t>("peer", 0, ~0ULL)};
   constexpr std::int64_t longTime = 4'000'000'000'000;  // counts in nanoseconds, too
   const std::chrono::milliseconds came(given.number<std::int64_t>("t0", 0, longTime));
-  if (terms_.tellsPatience)
-    req.patience = std::chrono::milliseconds(given.number<std::int64_t>("budget", 0, 86'400'000));
-  req.heldKb = given.number<double>("mem", 0, 2000);
-  if (req.heldKb <= 0 || req.heldKb >= 2000) given.wrong("mem");
+  if (terms_.clientsSendTimeRemaining)
+    req.timeRemaining = std::chrono::milliseconds(given.number<std::int64_t>("budget", 0, 86'400'000));
+  req.queuedMemoryKb = given.number<double>("mem", 0, 2000);
+  if (req.queuedMemoryKb <= 0 || req.queuedMemoryKb >= 2000) given.wrong("mem");
   req.rank = given.number<double>("prio", 0, 1);
   if (req.rank >= 1) given.wrong("prio");
-  if (!given.text("obj").empty()) req.subject = SubjectId{given.number<std::uint64_t>("obj", 0, ~0ULL, 16)};
+  if (!given.text("obj").empty())
+    req.resourceKey = ResourceKey{given.number<std::uint64_t>("obj", 0, ~0ULL, 16)};
   // Sites with uniqued handlers and hints name them so; PROTOCOL leaves both out of its table.
-  req.mark = given.text("token");
+  req.idempotencyKey = given.text("token");
   if (!given.text("est").empty())
-    req.workHint = Span(std::chrono::microseconds(
+    req.estimatedWork = Duration(std::chrono::microseconds(
         static_cast<std::int64_t>(given.number<double>("est", 0, 86'400'000) * 1000)));
   if (req.body.size() > 2048) fault = "a body over 2 KiB";
   if (!fault.empty()) return false;
   // One that nobody has waited for this long, or that is yet to come, would only mislead about the load.
-  const Span waits = req.patience.value_or(terms_.clientTimeouts[static_cast<std::size_t>(req.handler)]);
+  const Duration waits =
+      req.timeRemaining.value_or(terms_.clientTimeouts[static_cast<std::size_t>(req.handler)]);
   req.readAt = std::chrono::system_clock::now();
-  const Span now = req.readAt.time_since_epoch();
+  const Duration now = req.readAt.time_since_epoch();
   if (came + waits + longPast < now || came > now + clocksDiffer) given.wrong("t0");
   if (!fault.empty()) return false;
-  req.unread = std::max<Span>(now - came, 0s);
-  if (req.patience) req.patience = std::clamp<Span>(came + waits - now, 0s, waits);
+  req.readDelay = std::max<Duration>(now - came, 0s);
+  if (req.timeRemaining) req.timeRemaining = std::clamp<Duration>(came + waits - now, 0s, waits);
   return true;
 }
 
-void Clients::call(ClientId id, const thrift::Message& message) {
+void RequestListener::call(ConnectionId id, const codec::thrift::Message& message) {
   Client& client = clients_.at(id);
   // An answer under this number would be taken for the open one's, so not even that is given any more.
   if (client.owed.contains(message.sequence)) throw std::invalid_argument("a number that is open already");
-  ArrivedReq req;
-  req.ticket = {id, message.sequence};
+  IncomingRequest req;
+  req.response = {id, message.sequence};
   std::string fault;
   if (client.owed.size() >= mostOwed) fault = "more open than the protocol allows";
   if (!fault.empty() || !readReq(message, req, fault)) {
     constexpr std::int32_t internalError = 6;
-    log_.line(Matter::clients, "a req that can't be served: {}", fault);
+    log_.message(logging::LogCategory::clients, "a req that can't be served: {}", fault);
     return client.connection->write(exception(message, fault, internalError));
   }
   // Entered first, so that an answer given at once finds it.
-  client.owed.emplace(message.sequence, ReqId{});
-  const Ticket ticket = req.ticket;
-  const auto taken = hearer_.reqCame(std::move(req));
-  if (const auto* entered = std::get_if<ReqId>(&taken))
+  client.owed.emplace(message.sequence, RequestId{});
+  const ResponseHandle ticket = req.response;
+  const auto taken = hearer_.onRequest(std::move(req));
+  if (const auto* entered = std::get_if<RequestId>(&taken))
     client.owed[message.sequence] = *entered;
   else
-    errored(ticket, std::get<std::string_view>(taken));
+    sendFailure(ticket, std::get<std::string_view>(taken));
 }
 
-void Clients::left(ClientId id, Ending how, const std::string& why) {
+void RequestListener::left(ConnectionId id, net::CloseReason how, const std::string& why) {
   const auto it = clients_.find(id);
   if (it == clients_.end()) return;
-  if (how == Ending::nonsense) log_.line(Matter::clients, "a connection is closed: {}", why);
+  if (how == net::CloseReason::protocolError)
+    log_.message(logging::LogCategory::clients, "a connection is closed: {}", why);
   Client client = std::move(it->second);
   clients_.erase(it);
   (client.spoke ? spoken_ : silent_).erase(client.place);
   client.connection->close();
-  for (const auto& [number, req] : client.owed) hearer_.callerLeft(req);
+  for (const auto& [number, req] : client.owed) hearer_.onClientDisconnected(req);
   if (listening_) wantAccepting(true);
 }
 
-thrift::Fields Clients::spoken() const {
+codec::thrift::Fields RequestListener::spoken() const {
   if (!signal_) return {};
   return {{"hint", fmt::format("{:.4f}", *signal_)}};
 }
 
-void Clients::answer(Ticket ticket, std::string_view message) {
-  const auto it = clients_.find(ticket.client);
-  if (it == clients_.end() || it->second.owed.erase(ticket.number) == 0) return;
+void RequestListener::answer(ResponseHandle ticket, std::string_view message) {
+  const auto it = clients_.find(ticket.connection);
+  if (it == clients_.end() || it->second.owed.erase(ticket.sequenceNumber) == 0) return;
   used(it->second);
   it->second.connection->write(message);
 }
 
-std::string Clients::good(std::string_view method, std::int32_t number, std::string_view result) const {
+std::string RequestListener::good(std::string_view method, std::int32_t number,
+                                  std::string_view result) const {
   return Writer(Kind::reply, method, number)
       .field(success, Type::structure)
       .field(1, Type::text)
@@ -310,12 +321,13 @@
       .whole();
 }
 
-void Clients::done(Ticket ticket, std::string_view result) {
-  answer(ticket, good("call", ticket.number, result));
+void RequestListener::sendResult(ResponseHandle ticket, std::string_view result) {
+  answer(ticket, good("call", ticket.sequenceNumber, result));
 }
 
-void Clients::declared(Ticket ticket, std::int16_t exception, const thrift::Fields& fields) {
-  answer(ticket, Writer(Kind::reply, "call", ticket.number)
+void RequestListener::declared(ResponseHandle ticket, std::int16_t exception,
+                               const codec::thrift::Fields& fields) {
+  answer(ticket, Writer(Kind::reply, "call", ticket.sequenceNumber)
                      .field(exception, Type::structure)
                      .field(1, Type::map)
                      .fields(fields)
@@ -324,7 +336,7 @@
                      .whole());
 }
 
-void Clients::shed(Ticket ticket, Span stayAway, bool lastTry) {
+void RequestListener::sendShed(ResponseHandle ticket, Duration stayAway, bool lastTry) {
   auto fields = spoken();
   if (const auto millis = std::chrono::round<std::chrono::milliseconds>(stayAway); millis > 0ms)
     fields.emplace("backoff", std::to_string(millis.count()));
@@ -332,24 +344,24 @@
   declared(ticket, overloaded, fields);
 }
 
-void Clients::errored(Ticket ticket, std::string_view why) {
+void RequestListener::sendFailure(ResponseHandle ticket, std::string_view why) {
   auto fields = spoken();
   fields.emplace("why", why);
   declared(ticket, internal, fields);
 }
 
-void Clients::askToLeave(Client& client) {
+void RequestListener::askToLeave(Client& client) {
   if (client.askedAt) return;
-  client.askedAt = Reactor::Clock::now();
+  client.askedAt = net::Reactor::Clock::now();
   client.connection->write(Writer(Kind::oneway, "closing", 0).stop().whole());
 }
 
-void Clients::drain() {
+void RequestListener::startDraining() {
   draining_ = true;
   for (auto& [id, client] : clients_) askToLeave(client);
 }
 
-bool Clients::endListening() {
+bool RequestListener::stopListening() {
   if (!listening_) return true;
   const auto before = numbered_;
   acceptable(nullptr);
@@ -360,17 +372,17 @@
   return true;
 }
 
-void Clients::endResting() {
-  std::vector<ClientId> all;
+void RequestListener::closeIdleConnections() {
+  std::vector<ConnectionId> all;
   for (const auto& [id, client] : clients_) all.push_back(id);
-  for (const ClientId id : all) endOrderly(id);
+  for (const ConnectionId id : all) endOrderly(id);
 }
 
 // The one way in which a connection is ended that the peer has not ended and that is not broken. All that the
 // peer has sent is read first, since a close over unread bytes is a reset that takes answers under way with
 // it; a req among it is served and the connection stays. Then our side ends, what still comes is not served,
 // and the socket goes when the peer has ended its side, or has not for a while.
-bool Clients::endOrderly(ClientId id) {
+bool RequestListener::endOrderly(ConnectionId id) {
   auto it = clients_.find(id);
   if (it == clients_.end() || it->second.shutDownAt) return it == clients_.end();
   const auto heardAt = it->second.heardAt;
@@ -379,18 +391,20 @@
   if (it == clients_.end()) return true;
   Client& client = it->second;
   if (!quiet(client) || client.heardAt != heardAt) return false;
-  if (client.sendsNoMore) return left(id, Ending::closedByPeer, "closed"), true;
-  client.shutDownAt = Reactor::Clock::now();
-  client.connection->shutDown();
+  if (client.sendsNoMore) return left(id, net::CloseReason::closedByPeer, "closed"), true;
+  client.shutDownAt = net::Reactor::Clock::now();
+  client.connection->shutdownSend();
   return true;
 }
 
-bool Clients::quiet(const Client& client) { return client.owed.empty() && client.connection->waiting() == 0; }
+bool RequestListener::quiet(const Client& client) {
+  return client.owed.empty() && client.connection->pendingBytes() == 0;
+}
 
-bool Clients::full(const Client& client) { return client.connection->waiting() > mostWaiting; }
+bool RequestListener::full(const Client& client) { return client.connection->pendingBytes() > mostWaiting; }
 
-void Clients::used(Client& client) {
-  client.usedAt = Reactor::Clock::now();
+void RequestListener::used(Client& client) {
+  client.usedAt = net::Reactor::Clock::now();
   spoken_.splice(spoken_.end(), client.spoke ? spoken_ : silent_, client.place);
   client.spoke = true;
 }
@@ -398,41 +412,41 @@
 // A connection on which nothing is open may be closed at any time; first those that have never said anything,
 // the one used longest ago. Those passed over are in use and go behind the others, so that a herd of new
 // connections does not go through all that are open for each.
-bool Clients::closeOneIdle(Order& order) {
+bool RequestListener::closeOneIdle(Order& order) {
   for (std::size_t left = order.size(); left > 0 && !order.empty(); --left) {
-    const ClientId id = order.front();
+    const ConnectionId id = order.front();
     ++looks_;
     // Its place is wanted now: what it has sent is read first, but its end is not waited for.
     if (quiet(clients_.at(id))) clients_.at(id).connection->readNow();
     const auto it = clients_.find(id);
     if (it == clients_.end()) return true;
-    if (quiet(it->second)) return this->left(id, Ending::closedByPeer, "idle"), true;
+    if (quiet(it->second)) return this->left(id, net::CloseReason::closedByPeer, "idle"), true;
     if (!order.empty() && order.front() == id) order.splice(order.end(), order, order.begin());
   }
   return false;
 }
 
 // Callers that do not read what they are sent give way, the furthest behind first.
-void Clients::boundOutput() {
+void RequestListener::boundOutput() {
   std::size_t all = 0;
-  for (const auto& [id, client] : clients_) all += client.connection->waiting();
+  for (const auto& [id, client] : clients_) all += client.connection->pendingBytes();
   while (all > mostOutput_) {
     const auto most = std::max_element(clients_.begin(), clients_.end(), [](const auto& a, const auto& b) {
-      return a.second.connection->waiting() < b.second.connection->waiting();
+      return a.second.connection->pendingBytes() < b.second.connection->pendingBytes();
     });
-    all -= most->second.connection->waiting();
-    log_.line(Matter::clients, "a caller that does not read is closed, {} bytes behind",
-              most->second.connection->waiting());
-    left(most->first, Ending::closedByPeer, "does not read");
+    all -= most->second.connection->pendingBytes();
+    log_.message(logging::LogCategory::clients, "a caller that does not read is closed, {} bytes behind",
+                 most->second.connection->pendingBytes());
+    left(most->first, net::CloseReason::closedByPeer, "does not read");
   }
 }
 
 // Idle connections are asked to leave; those that were asked and have not are ended, and so are those that
 // say nothing at first, that stop within a message, and that sent nonsense; paused ones are read on.
-void Clients::sweep() {
+void RequestListener::sweep() {
   sweeping_ = reactor_.after(sweepEvery, [this] { sweep(); });
-  const auto now = Reactor::Clock::now();
-  std::vector<ClientId> over, gone, ready;
+  const auto now = net::Reactor::Clock::now();
+  std::vector<ConnectionId> over, gone, ready;
   for (auto& [id, client] : clients_) {
     ready.push_back(id);
     if (client.shutDownAt) {
@@ -453,13 +467,13 @@
     else if (silent || (idleAfter_ && now - client.usedAt > *idleAfter_) || draining_)
       askToLeave(client);
   }
-  for (const ClientId id : over) endOrderly(id);
-  for (const ClientId id : gone) left(id, Ending::closedByPeer, "idle");
+  for (const ConnectionId id : over) endOrderly(id);
+  for (const ConnectionId id : gone) left(id, net::CloseReason::closedByPeer, "idle");
   boundOutput();
-  for (const ClientId id : ready) readOn(id);
+  for (const ConnectionId id : ready) readOn(id);
   // Accepting goes on where there is a place, or one that an idle connection may give way for.
   const auto idle = [](const auto& entry) { return quiet(entry.second); };
   if (listening_ && (clients_.size() < mostOpen_ || std::ranges::any_of(clients_, idle))) wantAccepting(true);
 }
 
-}  // namespace rainhook::net
+}  // namespace rainhook::peers
--- a/src/pools/work_pools.cpp
+++ b/src/pools/work_pools.cpp
@@ -11,7 +11,7 @@
 using namespace std::chrono_literals;
 
 // The interval of the decision module's own climber, with as many answers to tell of it.
-constexpr Span interval = 1s;
+constexpr Duration interval = 1s;
 constexpr int answersWanted = 10;
 // The gains of that climber: a step of two runs counts fully, so does a change by twice the least latency.
 constexpr double stepGain = 0.5, latencyGain = 0.5, leastStep = 0.25;
@@ -22,7 +22,7 @@
 // Runs' worth of prior knowledge in a density.
 constexpr double prior = 4;
 
-double seconds(Span span) { return std::chrono::duration<double>(span).count(); }
+double seconds(Duration span) { return std::chrono::duration<double>(span).count(); }
 
 }  // namespace
 
@@ -110,7 +110,7 @@
   }
 }
 
-std::span<const int> Pools::mayRun(Span now, double total, std::span<const PoolLoad> loads) {
+std::span<const int> Pools::mayRun(Duration now, double total, std::span<const PoolLoad> loads) {
   const double secs = seconds(now - std::exchange(now_, now));
   if (!std::exchange(opened_, true)) {
     for (Row& row : rows_) row.limit = total / static_cast<double>(rows_.size());
--- a/src/pools/work_pools.h
+++ b/src/pools/work_pools.h
@@ -44,7 +44,7 @@
 
   // How many of each pool may be on the cores now, out of `total`; one entry a pool, until the next call. To
   // be asked before starts, with the loads as they are then.
-  std::span<const int> mayRun(Span now, double total, std::span<const PoolLoad> loads);
+  std::span<const int> mayRun(Duration now, double total, std::span<const PoolLoad> loads);
 
   // What a pool would have of the total if all wanted more than they may: its share as it has been moved to.
   double limit(PoolId pool) const { return rows_[static_cast<std::size_t>(pool)].limit; }
@@ -73,7 +73,7 @@
 
   std::vector<Row> rows_;
   std::vector<int> may_;
-  Span now_{}, nextStep_{};
+  Duration now_{}, nextStep_{};
   bool opened_ = false;
 };
 
--- a/src/server/incarnation_store.cpp
+++ b/src/server/incarnation_store.cpp
@@ -39,28 +39,31 @@
 
 }  // namespace
 
-Kept::Kept(net::Reactor& reactor, net::Log& log, const membership::MembersPlace& place)
+IncarnationStore::IncarnationStore(net::Reactor& reactor, logging::Log& log,
+                                   const membership::MembersPlace& place)
     : reactor_(reactor), log_(log), place_(place) {}
 
-Kept::~Kept() {
+IncarnationStore::~IncarnationStore() {
   next_.cancel();
   if (store_) store_->close();
 }
 
-std::string Kept::key(const char* what) const { return std::string(what) + "/" + place_.name.text; }
+std::string IncarnationStore::key(const char* what) const {
+  return std::string(what) + "/" + place_.name.text;
+}
 
-void Kept::say(const char* what, const std::string& why) {
-  log_.event(net::Matter::membership, what, {{"about", place_.name.text}, {"why", why}});
+void IncarnationStore::say(const char* what, const std::string& why) {
+  log_.event(logging::LogCategory::membership, what, {{"about", place_.name.text}, {"why", why}});
 }
 
-membership::Earlier Kept::open() {
+membership::Earlier IncarnationStore::open() {
   membership::Earlier out;
   if (place_.state.empty()) return out;
   store_ = std::make_unique<store::Store>(
       std::make_unique<store::PosixDisk>(place_.state), small, wall,
-      [this](const std::string& line) { log_.line(net::Matter::start, "state: {}", line); });
+      [this](const std::string& line) { log_.message(logging::LogCategory::start, "state: {}", line); });
   const auto opened = store_->open(std::random_device{}());
-  if (opened.code == store::Outcome::Code::locked) throw KeptElsewhere(place_.state + ": " + opened.what);
+  if (opened.code == store::Outcome::Code::locked) throw StateLockedError(place_.state + ": " + opened.what);
   if (!opened.ok()) {
     say("not-kept", opened.what);
     store_.reset();
@@ -75,7 +78,7 @@
     std::istringstream lines(*known.value);
     for (std::string name, address;
          out.known.size() < membership::Earlier::mostKnown && lines >> name >> address;)
-      if (net::literal(address) && address != place_.advertise.text) out.known.push_back({{name}, {address}});
+      if (membershipTransport::literal(address) && address != place_.advertise.text) out.known.push_back({{name}, {address}});
   }
   keepCeiling(before.value_or(0) + step);
   store_->settle();
@@ -85,7 +88,7 @@
   return out;
 }
 
-void Kept::keepCeiling(std::uint64_t ceiling) {
+void IncarnationStore::keepCeiling(std::uint64_t ceiling) {
   writing_ = true;
   const auto done = [this, ceiling](const store::Outcome& outcome) {
     writing_ = false;
@@ -99,12 +102,12 @@
   if (!taken.ok()) done(taken);
 }
 
-void Kept::follow(net::Members& members) {
+void IncarnationStore::follow(membershipTransport::MembershipTransport& members) {
   members_ = &members;
   if (store_) look();
 }
 
-void Kept::look() {
+void IncarnationStore::look() {
   next_ = reactor_.after(std::max<net::Reactor::Wait>(place_.probeEvery, 1s), [this] { look(); });
   store_->deliver();
   // What others know of us may be far beyond, where the disk has lost what we said earlier.
@@ -114,7 +117,7 @@
 }
 
 // Some that live, of as many zones as there are.
-void Kept::keepKnown() {
+void IncarnationStore::keepKnown() {
   const auto now = net::Reactor::Clock::now().time_since_epoch();
   if (knownAt_ != membership::Span{} && now - knownAt_ < place_.probeEvery * keepEach) return;
   std::map<membership::ZoneName, std::vector<const membership::Card*>> zones;
--- a/src/server/incarnation_store.h
+++ b/src/server/incarnation_store.h
@@ -10,9 +10,9 @@
 #include <stdexcept>
 #include <string>
 
+#include "logging/log.h"
 #include "membership/membership.h"
 #include "membership/place.h"
-#include "logging/log.h"
 #include "membership_transport/membership_transport.h"
 #include "net/reactor.h"
 #include "store/store.h"
@@ -20,23 +20,23 @@
 namespace rainhook::server {
 
 // The folder is another process's.
-struct KeptElsewhere : std::runtime_error {
+struct StateLockedError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-class Kept {
+class IncarnationStore {
  public:
   // Nothing is kept where the place names no folder.
-  Kept(net::Reactor& reactor, net::Log& log, const membership::MembersPlace& place);
-  ~Kept();
-  Kept(const Kept&) = delete;
-  Kept& operator=(const Kept&) = delete;
+  IncarnationStore(net::Reactor& reactor, logging::Log& log, const membership::MembersPlace& place);
+  ~IncarnationStore();
+  IncarnationStore(const IncarnationStore&) = delete;
+  IncarnationStore& operator=(const IncarnationStore&) = delete;
 
   // Reads what the earlier life left and keeps the ceiling of this one. May wait for the disk, so before the
   // reactor runs. Throws KeptElsewhere.
   membership::Earlier open();
   // Keeps up with this member from now on.
-  void follow(net::Members& members);
+  void follow(membershipTransport::MembershipTransport& members);
 
  private:
   void look();
@@ -46,10 +46,10 @@
   void say(const char* what, const std::string& why);
 
   net::Reactor& reactor_;
-  net::Log& log_;
+  logging::Log& log_;
   const membership::MembersPlace place_;
   std::unique_ptr<store::Store> store_;
-  net::Members* members_ = nullptr;
+  membershipTransport::MembershipTransport* members_ = nullptr;
   std::uint64_t ceiling_ = 0;
   std::string known_;
   membership::Span knownAt_{};
--- a/src/server/membership_service.cpp
+++ b/src/server/membership_service.cpp
@@ -21,8 +21,9 @@
                      other.region.text, other.name.text);
 }
 
-Presence::Presence(net::Reactor& reactor, net::Log& log, const membership::MembersPlace& place,
-                   Server& server, int servers, std::uint64_t chance)
+MembershipService::MembershipService(net::Reactor& reactor, logging::Log& log,
+                                     const membership::MembersPlace& place, RequestServer& server,
+                                     int servers, std::uint64_t chance)
     : reactor_(reactor),
       log_(log),
       server_(server),
@@ -33,32 +34,35 @@
       members_(reactor, pool_, log, place, kept_.open(), chance,
                [this](const membership::Change& change) {
                  if (change.what == membership::Change::What::astray) {
-                   log_.line(net::Matter::membership, "{}: this one leaves", astray(place_, change.who));
+                   log_.message(logging::LogCategory::membership, "{}: this one leaves",
+                                astray(place_, change.who));
                    return server_.leave();
                  }
                  // Two under one name would each take a share for one: the second leaves, in good order.
                  if (change.what != membership::Change::What::refused) return;
-                 log_.line(net::Matter::membership,
-                           "the name {} is held by the living instance at {}: this one leaves",
-                           change.who.name.text, change.who.address.text);
+                 log_.message(logging::LogCategory::membership,
+                              "the name {} is held by the living instance at {}: this one leaves",
+                              change.who.name.text, change.who.address.text);
                  server_.leave();
                }),
       share_({servers, lease_, place.probeEvery * calmPeriods}) {}
 
-Presence::~Presence() { reactor_.letGo(); }  // its connections hold buffers of our pool
+MembershipService::~MembershipService() {
+  reactor_.releaseRetired();
+}  // its connections hold buffers of our pool
 
-void Presence::open() {
+void MembershipService::open() {
   members_.open();
   kept_.follow(members_);
   look();
 }
 
-void Presence::leave() {
+void MembershipService::leave() {
   look();
   members_.leave();
 }
 
-void Presence::look() {
+void MembershipService::look() {
   next_ = reactor_.after(every_, [this] { look(); });
   const membership::Span now = net::Reactor::Clock::now().time_since_epoch();
   const auto figures = server_.figures();
@@ -84,7 +88,7 @@
   const double share = members_.core().refused() ? 0 : share_.look(now, seen);
   if (said_ == share) return;
   said_ = share;
-  log_.event(net::Matter::membership, "share",
+  log_.event(logging::LogCategory::membership, "share",
              {{"share", share},
               {"counted", static_cast<std::int64_t>(share_.counted())},
               {"doubtful", seen.doubtful}});
--- a/src/server/membership_service.h
+++ b/src/server/membership_service.h
@@ -12,12 +12,12 @@
 // What to say to whoever stated a zone in a region in which it does not stand: one line with file, line, key.
 std::string astray(const membership::MembersPlace& place, const membership::Card& other);
 
-class Presence {
+class MembershipService {
  public:
   // `chance` is a number drawn at the start of this process. Throws KeptElsewhere; may wait for the disk.
-  Presence(net::Reactor& reactor, net::Log& log, const membership::MembersPlace& place, Server& server,
-           int servers, std::uint64_t chance);
-  ~Presence();
+  MembershipService(net::Reactor& reactor, logging::Log& log, const membership::MembersPlace& place,
+                    RequestServer& server, int servers, std::uint64_t chance);
+  ~MembershipService();
   // Throws Poco::Exception where the address can't be had.
   void open();
   // The notice to leave: it spreads before the server stops reading.
@@ -27,16 +27,16 @@
   void look();
 
   net::Reactor& reactor_;
-  net::Log& log_;
-  Server& server_;
+  logging::Log& log_;
+  RequestServer& server_;
   const membership::Span every_, lease_;
   const membership::MembersPlace place_;
-  Kept kept_;
+  IncarnationStore kept_;
   net::BufferPool pool_;
-  net::Members members_;
+  membershipTransport::MembershipTransport members_;
   membership::DependencyShare share_;
   std::optional<double> said_;
-  Server::Figures before_;
+  RequestServer::Figures before_;
   std::optional<membership::Span> lookedAt_;
   double heldBack_ = 0;
   net::Reactor::Timer next_;
--- a/src/server/request_server.h
+++ b/src/server/request_server.h
@@ -10,28 +10,30 @@
 #include <string>
 #include <vector>
 
-#include "decision/decision.h"
 #include "configuration/server_configuration.h"
-#include "peers/request_listener.h"
-#include "peers/execution_engine_client.h"
-#include "peers/registry_client.h"
+#include "decision/decision.h"
 #include "logging/log.h"
 #include "net/reactor.h"
 #include "peers/downstream_client.h"
+#include "peers/execution_engine_client.h"
+#include "peers/registry_client.h"
+#include "peers/request_listener.h"
 #include "server/request_table.h"
 
 namespace rainhook::server {
 
-class Server final : net::Clients::Hearer, net::Engine::Hearer, net::Servers::Hearer {
+class RequestServer final : peers::RequestListener::Listener,
+                            peers::ExecutionEngineClient::Listener,
+                            peers::DownstreamClient::Listener {
  public:
-  Server(net::Reactor& reactor, net::Log& log, Configured configured);
-  ~Server() override;
+  RequestServer(net::Reactor& reactor, logging::Log& log, ServerConfiguration configured);
+  ~RequestServer() override;
 
   // Binds its address; throws Poco::Exception where that can't be had.
   void open();
   Poco::Net::SocketAddress address() const { return clients_.address(); }
   // A new configuration: peers that moved are reached where they are now, all in hand goes on.
-  void reload(const Configured& offered);
+  void reload(const ServerConfiguration& offered);
   // The same from a file; one that can't be taken changes nothing.
   void reloadFrom(const std::string& file);
   // What is in hand now, by where it stands; said in the log every few seconds, to hold against the engine's
@@ -51,74 +53,75 @@
   Figures figures() const;
   // How much of its stated share of the dependency it may use from now on, 0 to 1.
   void mayCall(double part);
-  std::uint64_t looks() const { return clients_.looks(); }
+  std::uint64_t looks() const { return clients_.entriesScanned(); }
   // The notice to leave; the reactor stops once all is answered.
   void leave();
 
  private:
-  std::variant<ReqId, std::string_view> reqCame(net::ArrivedReq&& req) override;
-  void callerLeft(ReqId id) override;
-  void engineUp(bool cold, Span since) override;
-  void caughtUp() override;
-  void runEnded(const std::string& name, Outcome outcome, Span took, std::string&& result) override;
-  void callWanted(const std::string& name, std::uint64_t notice, std::string&& body) override;
-  void gauges(std::uint64_t question, const std::vector<double>& values) override;
-  void commandRefused(const std::string& name, const std::string& command) override;
-  void callEnded(ReqId id, Outcome outcome, Span took, std::string&& reply) override;
+  std::variant<RequestId, std::string_view> onRequest(peers::IncomingRequest&& req) override;
+  void onClientDisconnected(RequestId id) override;
+  void onEngineConnected(bool cold, Duration since) override;
+  void onNotificationsCaughtUp() override;
+  void onExecutionEnded(const std::string& name, Outcome outcome, Duration took,
+                        std::string&& result) override;
+  void onDownstreamCallRequested(const std::string& name, std::uint64_t notice, std::string&& body) override;
+  void onGauges(std::uint64_t question, const std::vector<double>& values) override;
+  void onCommandRejected(const std::string& name, const std::string& command) override;
+  void onDownstreamCallEnded(RequestId id, Outcome outcome, Duration took, std::string&& reply) override;
 
-  void openModule(bool cold, Span since);
+  void openModule(bool cold, Duration since);
   void endTurn();
-  void perform(const Start& action);
-  void perform(const Shed& action);
-  void perform(const Fail& action);
-  void perform(const Stop& action);
-  void perform(const Call& action);
-  void perform(const SkipCall& action);
-  void perform(const Keep& action);
-  void perform(const Forget& action);
-  void perform(const AnswerFromFirst& action);
-  void perform(const SayHealth& action);
-  void perform(const SaySignal& action);
-  void perform(const CloseIdleAfter& action);
+  void perform(const StartExecution& action);
+  void perform(const ShedRequest& action);
+  void perform(const FailRequest& action);
+  void perform(const CancelExecution& action);
+  void perform(const CallDownstream& action);
+  void perform(const SkipDownstreamCall& action);
+  void perform(const RetainResult& action);
+  void perform(const DropResult& action);
+  void perform(const AnswerFromOriginal& action);
+  void perform(const PublishHealth& action);
+  void perform(const PublishLoadSignal& action);
+  void perform(const SetIdleConnectionTimeout& action);
   void perform(const SetTimer& action);
-  void perform(const Note& action);
+  void perform(const DiagnosticMessage& action);
 
-  void enter(ReqId id, const net::ArrivedReq& req, std::optional<ReqId> repeats);
-  void settled(ReqId id, InHand& req);
-  void neverRan(ReqId first);
-  void readAnew(ReqId id);
-  void firstEnded(ReqId first, Marks::End end, const std::string& result);
-  void answerFrom(ReqId id, InHand& req, Marks::End end, const std::string& result);
-  void say(InHand& req, InHand::Said what);
+  void enter(RequestId id, const peers::IncomingRequest& req, std::optional<RequestId> repeats);
+  void settled(RequestId id, InFlightRequest& req);
+  void neverRan(RequestId first);
+  void readAnew(RequestId id);
+  void firstEnded(RequestId first, DeduplicationCache::End end, const std::string& result);
+  void answerFrom(RequestId id, InFlightRequest& req, DeduplicationCache::End end, const std::string& result);
+  void say(InFlightRequest& req, InFlightRequest::Said what);
   void ring(std::uint64_t question, const std::vector<double>& values);
   void tell(const Event& event);
   void report();
   void leaveStep();
-  Span sinceOpened() const;
+  Duration sinceOpened() const;
   std::uint64_t chance() const;
 
-  static constexpr Span gaugesWait = std::chrono::milliseconds(8), reportEvery = std::chrono::seconds(5),
-                        endMargin = std::chrono::milliseconds(150),
-                        drainBefore = std::chrono::milliseconds(700),
-                        endRestingBefore = std::chrono::milliseconds(200),
-                        leaveStepEvery = std::chrono::milliseconds(10);
+  static constexpr Duration gaugesWait = std::chrono::milliseconds(8), reportEvery = std::chrono::seconds(5),
+                            endMargin = std::chrono::milliseconds(150),
+                            drainBefore = std::chrono::milliseconds(700),
+                            endRestingBefore = std::chrono::milliseconds(200),
+                            leaveStepEvery = std::chrono::milliseconds(10);
 
   net::Reactor& reactor_;
-  net::Log& log_;
-  Configured configured_;  // the place may change by a reload, the facts never do
-  const Place& place_ = configured_.place;
-  const Facts& facts_ = configured_.facts;
+  logging::Log& log_;
+  ServerConfiguration configured_;  // the place may change by a reload, the facts never do
+  const ServerEndpoints& place_ = configured_.endpoints;
+  const DeploymentSettings& facts_ = configured_.deployment;
   net::BufferPool pool_;
-  net::Clients clients_;
-  net::Servers servers_;
-  net::Engine engine_;
-  std::unique_ptr<net::List> list_;
-  std::unique_ptr<Decision> module_;
+  peers::RequestListener clients_;
+  peers::DownstreamClient servers_;
+  peers::ExecutionEngineClient engine_;
+  std::unique_ptr<peers::RegistryClient> list_;
+  std::unique_ptr<AdmissionPolicy> module_;
   Moment origin_{};  // the start that the module counts from
-  Table table_;
-  Marks marks_;
+  RequestTable table_;
+  DeduplicationCache marks_;
   std::vector<Event> happened_;
-  std::set<ReqId> neverRan_;  // of this turn: repeats that name one of them have no first
+  std::set<RequestId> neverRan_;  // of this turn: repeats that name one of them have no first
   std::uint32_t reqs_ = 0;
   std::uint64_t questions_ = 0;
   struct Ringing {
@@ -130,7 +133,7 @@
   std::uint64_t timers_ = 0;
   struct Counts {
     std::uint64_t read = 0, done = 0, shed = 0, errored = 0, left = 0, calls = 0, callsDone = 0;
-    Span unread{};
+    Duration unread{};
   } counts_;
   std::uint64_t readBefore_ = 0, doneBefore_ = 0;  // until the counts began anew
   double part_ = 1;                                // of the stated share of calls
--- a/src/server/request_table.cpp
+++ b/src/server/request_table.cpp
@@ -4,24 +4,24 @@
 
 namespace rainhook::server {
 
-InHand& Table::add(ReqId id, net::ArrivedReq&& req) {
+InFlightRequest& RequestTable::add(RequestId id, peers::IncomingRequest&& req) {
   names_.insert_or_assign(req.name, id);
-  InHand& entry = inHand_[id];
+  InFlightRequest& entry = inHand_[id];
   entry.req = std::move(req);
   return entry;
 }
 
-InHand* Table::find(ReqId id) {
+InFlightRequest* RequestTable::find(RequestId id) {
   const auto it = inHand_.find(id);
   return it == inHand_.end() ? nullptr : &it->second;
 }
 
-std::optional<ReqId> Table::named(const std::string& name) const {
+std::optional<RequestId> RequestTable::named(const std::string& name) const {
   const auto it = names_.find(name);
   return it == names_.end() ? std::nullopt : std::optional(it->second);
 }
 
-void Table::drop(ReqId id) {
+void RequestTable::drop(RequestId id) {
   const auto it = inHand_.find(id);
   if (it == inHand_.end()) return;
   names_.erase(it->second.req.name);
@@ -29,36 +29,38 @@
   inHand_.erase(it);
 }
 
-void Table::waitNoMore(ReqId id, InHand& req) {
-  if (req.course != Course::waitingForFirst) return;
+void RequestTable::waitNoMore(RequestId id, InFlightRequest& req) {
+  if (req.course != RequestState::waitingForFirst) return;
   if (req.repeats) waiting_.erase({*req.repeats, id});
-  req.course = Course::held;
+  req.course = RequestState::held;
 }
 
-std::vector<ReqId> Table::waitingFor(ReqId first) const {
-  std::vector<ReqId> out;
-  for (auto it = waiting_.lower_bound({first, ReqId{}}); it != waiting_.end() && it->first == first; ++it)
+std::vector<RequestId> RequestTable::waitingFor(RequestId first) const {
+  std::vector<RequestId> out;
+  for (auto it = waiting_.lower_bound({first, RequestId{}}); it != waiting_.end() && it->first == first; ++it)
     out.push_back(it->second);
   return out;
 }
 
-std::optional<Marks::Key> Marks::keyOf(const net::ArrivedReq& req,
-                                       const std::vector<HandlerTerms>& handlers) {
-  const auto effect = handlers[static_cast<std::size_t>(req.handler)].effect;
-  if (effect == Effect::uniqued && !req.mark.empty()) return Key{req.handler, req.mark, {}};
-  if (effect == Effect::replayable && req.subject != SubjectId{}) return Key{req.handler, {}, req.subject};
+std::optional<DeduplicationCache::Key> DeduplicationCache::keyOf(const peers::IncomingRequest& req,
+                                                                 const std::vector<HandlerPolicy>& handlers) {
+  const auto effect = handlers[static_cast<std::size_t>(req.handler)].idempotency;
+  if (effect == Idempotency::keyed && !req.idempotencyKey.empty())
+    return Key{req.handler, req.idempotencyKey, {}};
+  if (effect == Idempotency::idempotent && req.resourceKey != ResourceKey{})
+    return Key{req.handler, {}, req.resourceKey};
   return std::nullopt;
 }
 
-Marks::Content Marks::contentOf(const net::ArrivedReq& req) {
-  if (req.mark.empty()) return {};
+DeduplicationCache::Content DeduplicationCache::contentOf(const peers::IncomingRequest& req) {
+  if (req.idempotencyKey.empty()) return {};
   const XXH128_hash_t hash =
-      XXH3_128bits_withSeed(req.body.data(), req.body.size(), static_cast<std::uint64_t>(req.customer));
+      XXH3_128bits_withSeed(req.body.data(), req.body.size(), static_cast<std::uint64_t>(req.tenant));
   return {hash.high64, hash.low64};
 }
 
-Marks::Known Marks::firstOf(const Key& key, const Content& content, ReqId id, Time arrived, Time now,
-                            Span shareFor) {
+DeduplicationCache::Known DeduplicationCache::firstOf(const Key& key, const Content& content, RequestId id,
+                                                      Time arrived, Time now, Duration shareFor) {
   if (const auto it = kept_.find(key); it != kept_.end() && arrived < it->second.until) {
     const Kept& kept = it->second;
     if (kept.content != content) return {{}, true};
@@ -72,7 +74,7 @@
   return {inTurn->second.first, false};
 }
 
-void Marks::keep(const Key& key, const Content& content, ReqId id, Time until) {
+void DeduplicationCache::keep(const Key& key, const Content& content, RequestId id, Time until) {
   Time earlier{};
   if (const auto it = kept_.find(key); it != kept_.end()) {
     if (it->second.holder == id) {
@@ -91,7 +93,7 @@
   ends_.emplace(until, id);
 }
 
-void Marks::forget(ReqId id) {
+void DeduplicationCache::forget(RequestId id) {
   const auto it = keys_.find(id);
   if (it == keys_.end()) return;
   Kept& kept = kept_.at(it->second);
@@ -108,17 +110,17 @@
   keys_.erase(it);
 }
 
-void Marks::unplan(const Kept& kept) {
+void DeduplicationCache::unplan(const Kept& kept) {
   ends_.erase({kept.until, kept.holder});
   ends_.erase({kept.until + readLate_, kept.holder});
 }
 
-void Marks::dropResult(Kept& kept) {
+void DeduplicationCache::dropResult(Kept& kept) {
   results_ -= kept.result.size();
   kept.result.clear();
 }
 
-void Marks::ended(ReqId id, End end, Time at, const std::string& result) {
+void DeduplicationCache::ended(RequestId id, End end, Time at, const std::string& result) {
   const auto it = keys_.find(id);
   if (it == keys_.end()) return;
   Kept& kept = kept_.at(it->second);
@@ -132,9 +134,9 @@
   results_ += result.size();
 }
 
-void Marks::expire(Time now) {
+void DeduplicationCache::expire(Time now) {
   while (!ends_.empty() && ends_.begin()->first <= now) {
-    const ReqId id = ends_.begin()->second;
+    const RequestId id = ends_.begin()->second;
     ends_.erase(ends_.begin());
     ++looks_;
     Kept& kept = kept_.at(keys_.at(id));
@@ -148,7 +150,7 @@
   }
 }
 
-const Marks::Kept* Marks::find(ReqId id) const {
+const DeduplicationCache::Kept* DeduplicationCache::find(RequestId id) const {
   const auto it = keys_.find(id);
   return it == keys_.end() ? nullptr : &kept_.at(it->second);
 }
--- a/src/server/request_table.h
+++ b/src/server/request_table.h
@@ -8,57 +8,57 @@
 #include <vector>
 
 #include "decision/decision.h"
-#include "peers/request_listener.h"
 #include "net/reactor.h"
+#include "peers/request_listener.h"
 
 namespace rainhook::server {
 
 using Moment = net::Reactor::Clock::time_point;
 
-enum class Course { held, waitingForFirst, running, wantsCall, calling };
+enum class RequestState { held, waitingForFirst, running, wantsCall, calling };
 
-struct InHand {
-  net::ArrivedReq req;
+struct InFlightRequest {
+  peers::IncomingRequest req;
   bool owed = true;
   bool started = false;  // the engine may have it: told once, or more often, to run it
-  Course course = Course::held;
+  RequestState course = RequestState::held;
   Moment since{};  // of the start, or of the wait for the first
   // What the engine was told last, when, and whether there was a link to say it on.
   enum class Said { nothing, launch, deliver, forgo } said = Said::nothing;
   Moment saidAt{};
   bool sent = false;
-  std::optional<ReqId> repeats;
+  std::optional<RequestId> repeats;
   std::string reply;  // delivered, or the call's body while it is wanted
   std::uint64_t notice = 0;
 };
 
-class Table {
+class RequestTable {
  public:
-  InHand& add(ReqId id, net::ArrivedReq&& req);
-  InHand* find(ReqId id);
-  std::optional<ReqId> named(const std::string& name) const;
-  void drop(ReqId id);
-  void waitNoMore(ReqId id, InHand& req);
-  void waitFor(ReqId first, ReqId id) { waiting_.emplace(first, id); }
-  std::vector<ReqId> waitingFor(ReqId first) const;
+  InFlightRequest& add(RequestId id, peers::IncomingRequest&& req);
+  InFlightRequest* find(RequestId id);
+  std::optional<RequestId> named(const std::string& name) const;
+  void drop(RequestId id);
+  void waitNoMore(RequestId id, InFlightRequest& req);
+  void waitFor(RequestId first, RequestId id) { waiting_.emplace(first, id); }
+  std::vector<RequestId> waitingFor(RequestId first) const;
   std::size_t size() const { return inHand_.size(); }
-  const std::map<ReqId, InHand>& all() const { return inHand_; }
+  const std::map<RequestId, InFlightRequest>& all() const { return inHand_; }
 
  private:
-  std::map<ReqId, InHand> inHand_;  // a req leaves when its answer and its run have both ended
-  std::map<std::string, ReqId> names_;
-  std::set<std::pair<ReqId, ReqId>> waiting_;  // by their first
+  std::map<RequestId, InFlightRequest> inHand_;  // a req leaves when its answer and its run have both ended
+  std::map<std::string, RequestId> names_;
+  std::set<std::pair<RequestId, RequestId>> waiting_;  // by their first
 };
 
 // What is remembered of kept reqs. An entry is forgotten, or goes by time: its result when its time has
 // passed, its key somewhat later, since a repeat that came in time may be read late.
-class Marks {
+class DeduplicationCache {
  public:
   // Uniqued reqs are known by their mark, reads by their subject.
   struct Key {
     HandlerId handler{};
     std::string mark;
-    SubjectId subject{};
+    ResourceKey subject{};
     auto operator<=>(const Key&) const = default;
   };
   enum class End { none, done, errored };
@@ -74,26 +74,29 @@
 
   // What is kept of results takes no more than this; a repeat of one beyond it is errored. A repeat may be
   // read this long after it came.
-  Marks(std::size_t mostResults, Span readLate) : mostResults_(mostResults), readLate_(readLate) {}
+  DeduplicationCache(std::size_t mostResults, Duration readLate)
+      : mostResults_(mostResults), readLate_(readLate) {}
 
-  static std::optional<Key> keyOf(const net::ArrivedReq& req, const std::vector<HandlerTerms>& handlers);
-  static Content contentOf(const net::ArrivedReq& req);
+  static std::optional<Key> keyOf(const peers::IncomingRequest& req,
+                                  const std::vector<HandlerPolicy>& handlers);
+  static Content contentOf(const peers::IncomingRequest& req);
 
   // The req that one with this key repeats, kept or read earlier in the same turn; its key may also have come
   // with another content. A read repeats only what is under way, or ended well no longer ago than its answer
   // may be shared.
   struct Known {
-    std::optional<ReqId> first;
+    std::optional<RequestId> first;
     bool conflicts = false;
   };
-  Known firstOf(const Key& key, const Content& content, ReqId id, Time arrived, Time now, Span shareFor);
+  Known firstOf(const Key& key, const Content& content, RequestId id, Time arrived, Time now,
+                Duration shareFor);
   void turnEnds() { turn_.clear(); }
-  void keep(const Key& key, const Content& content, ReqId id, Time until);
-  void forget(ReqId id);
-  void ended(ReqId id, End end, Time at, const std::string& result);
+  void keep(const Key& key, const Content& content, RequestId id, Time until);
+  void forget(RequestId id);
+  void ended(RequestId id, End end, Time at, const std::string& result);
   void expire(Time now);
   struct Kept {
-    ReqId holder{};
+    RequestId holder{};
     Content content;
     Time until{}, endedAt{};
     End end = End::none;
@@ -101,7 +104,7 @@
     // Of an earlier one with this key, which may have run: tries that came before this are its repeats still.
     Time earlierUntil{};
   };
-  const Kept* find(ReqId id) const;
+  const Kept* find(RequestId id) const;
   std::size_t size() const { return kept_.size(); }
   // How many entries expire() has gone through so far.
   std::uint64_t looks() const { return looks_; }
@@ -111,12 +114,12 @@
   void unplan(const Kept& kept);
 
   const std::size_t mostResults_;
-  const Span readLate_;
+  const Duration readLate_;
   std::size_t results_ = 0;  // bytes
   std::map<Key, Kept> kept_;
-  std::map<ReqId, Key> keys_;
-  std::map<Key, std::pair<ReqId, Content>> turn_;  // what was read in this turn
-  std::set<std::pair<Time, ReqId>> ends_;  // when each is to be looked at next: its time, then its last
+  std::map<RequestId, Key> keys_;
+  std::map<Key, std::pair<RequestId, Content>> turn_;  // what was read in this turn
+  std::set<std::pair<Time, RequestId>> ends_;  // when each is to be looked at next: its time, then its last
   std::uint64_t looks_ = 0;
 };
 
--- a/src/simulator_adapter/simulator_host.cpp
+++ b/src/simulator_adapter/simulator_host.cpp
@@ -4,15 +4,16 @@
 #include <utility>
 #include <vector>
 
-namespace simhost {
+namespace rainhook::simulator {
 
 void Host::attach(InstanceNumber number, const Attach& attach, std::uint64_t clock) {
   Instance fresh;
-  fresh.facts = rainhook::readFacts(rainhook::pairsOfText(attach.facts));
+  fresh.facts = rainhook::readDeploymentSettings(rainhook::parseSettingsText(attach.facts));
   fresh.startedAt = clock;
-  const rainhook::Facts& f = fresh.facts;
-  fresh.decision = rainhook::openDecision(rainhook::Seed{attach.seed}, f.machine, f.handlers, f.below,
-                                          f.duties, f.voice, f.trade, f.fleet);
+  const rainhook::DeploymentSettings& f = fresh.facts;
+  fresh.decision =
+      rainhook::makeAdmissionPolicy(rainhook::Seed{attach.seed}, f.machine, f.handlerPolicies, f.downstream,
+                                    f.protocolLimits, f.signaling, f.resultSharing, f.fleet);
   fresh.touched = true;
   instances_.insert_or_assign(number, std::move(fresh));
 }
@@ -36,15 +37,15 @@
       Instance& instance = known(number);
       const std::vector<double> values(ring->gauges.begin(), ring->gauges.end());
       instance.pending.emplace_back(
-          rainhook::timerRang(rainhook::TimerId{ring->token}, values, instance.facts.gauges));
+          rainhook::timerFired(rainhook::TimerId{ring->token}, values, instance.facts.gauges));
     } else {
       Instance& instance = known(number);
       auto plain = std::get<rainhook::Event>(event);
-      if (auto* req = std::get_if<rainhook::ReqRead>(&plain)) {
-        if (static_cast<std::size_t>(req->handler) >= instance.facts.handlers.size())
+      if (auto* req = std::get_if<rainhook::RequestArrived>(&plain)) {
+        if (static_cast<std::size_t>(req->handler) >= instance.facts.handlerPolicies.size())
           throw WireError("instance " + std::to_string(number) +
                           ": a request of a class that is not in its settings");
-        if (!instance.facts.tellsPatience) req->patience.reset();
+        if (!instance.facts.clientsSendTimeRemaining) req->timeRemaining.reset();
       }
       instance.pending.push_back(plain);
     }
@@ -54,8 +55,9 @@
     if (!std::exchange(instance.touched, false)) continue;
     const auto events = std::exchange(instance.pending, {});
     try {
-      const auto now = rainhook::Span(static_cast<rainhook::Span::rep>(batch.clock - instance.startedAt));
-      for (const auto& action : instance.decision->decide(now, events)) reply.add(number, action);
+      const auto now =
+          rainhook::Duration(static_cast<rainhook::Duration::rep>(batch.clock - instance.startedAt));
+      for (const auto& action : instance.decision->onEvents(now, events)) reply.add(number, action);
     } catch (const std::exception& error) {
       reply.fault(number, error.what());
     }
@@ -63,4 +65,4 @@
   return reply;
 }
 
-}  // namespace simhost
+}  // namespace rainhook::simulator
--- a/src/simulator_adapter/simulator_host.h
+++ b/src/simulator_adapter/simulator_host.h
@@ -7,11 +7,11 @@
 #include <memory>
 #include <vector>
 
-#include "decision/decision.h"
 #include "configuration/deployment_settings.h"
+#include "decision/decision.h"
 #include "simulator_adapter/simulator_protocol.h"
 
-namespace simhost {
+namespace rainhook::simulator {
 
 class Host {
  public:
@@ -19,9 +19,9 @@
 
  private:
   struct Instance {
-    rainhook::Facts facts;
+    rainhook::DeploymentSettings facts;
     std::uint64_t startedAt = 0;
-    std::unique_ptr<rainhook::Decision> decision;
+    std::unique_ptr<rainhook::AdmissionPolicy> decision;
     std::vector<rainhook::Event> pending;
     bool touched = false;
   };
@@ -31,4 +31,4 @@
   std::map<InstanceNumber, Instance> instances_;  // emptied by Detach
 };
 
-}  // namespace simhost
+}  // namespace rainhook::simulator
--- a/src/simulator_adapter/simulator_protocol.cpp
+++ b/src/simulator_adapter/simulator_protocol.cpp
@@ -4,7 +4,7 @@
 #include <bit>
 #include <cstring>
 
-namespace simhost {
+namespace rainhook::simulator {
 namespace {
 
 using namespace rainhook;
@@ -27,10 +27,11 @@
     at_ += sizeof(T);
     return value;
   }
-  Span span(const char* what) {
+  Duration span(const char* what) {
     const auto value = number<std::uint64_t>(what);
-    if (value > static_cast<std::uint64_t>(Span::max().count())) fail(std::string(what) + " is out of range");
-    return Span(static_cast<Span::rep>(value));
+    if (value > static_cast<std::uint64_t>(Duration::max().count()))
+      fail(std::string(what) + " is out of range");
+    return Duration(static_cast<Duration::rep>(value));
   }
   std::string text(const char* what) {
     const auto length = number<std::uint32_t>(what);
@@ -54,45 +55,45 @@
 Outcome outcomeOf(Reader& in) {
   switch (const auto status = in.number<std::uint16_t>("reason"); status) {
     case 200:
-      return Outcome::done;
+      return Outcome::completed;
     case 502:
-      return Outcome::errored;
+      return Outcome::failed;
     case 429:
-      return Outcome::refused;
+      return Outcome::rejected;
     case 408:
       return Outcome::timedOut;
     case 521:
       return Outcome::unreachable;
     case 520:
-      return Outcome::cutShort;
+      return Outcome::connectionLost;
     case 444:
-      return Outcome::stopped;
+      return Outcome::cancelled;
     case 409:
-      return Outcome::moot;
+      return Outcome::superseded;
     default:
       in.fail("unknown reason " + std::to_string(status));
   }
 }
 
-ReqId reqId(Reader& in) { return ReqId{in.number<std::uint32_t>("msgId")}; }
+RequestId reqId(Reader& in) { return RequestId{in.number<std::uint32_t>("msgId")}; }
 
-ReqRead readReq(Reader& in) {
+RequestArrived readReq(Reader& in) {
   constexpr unsigned hintValid = 1, isWrite = 4;
-  ReqRead req;
+  RequestArrived req;
   req.id = reqId(in);
   req.rank = in.number<float>("prio");
-  req.subject = SubjectId{in.number<std::uint64_t>("entity")};
+  req.resourceKey = ResourceKey{in.number<std::uint64_t>("entity")};
   const auto first = in.number<std::uint32_t>("forerunner");
-  if (first != 0) req.repeats = ReqId{first};
-  req.heldKb = in.number<float>("sizeKb");
-  const Span hint = in.span("workHintNs");
+  if (first != 0) req.duplicateOf = RequestId{first};
+  req.queuedMemoryKb = in.number<float>("sizeKb");
+  const Duration hint = in.span("workHintNs");
   const unsigned marks = in.number<std::uint8_t>("marks");
-  if (marks & hintValid) req.workHint = hint;
-  req.write = (marks & isWrite) != 0;
-  req.unread = in.span("unreadForNs");
-  req.patience = in.span("budgetNs");
-  req.customer = CustomerId{in.number<std::uint16_t>("project")};
-  req.caller = CallerId{in.number<std::uint16_t>("srcPeer")};
+  if (marks & hintValid) req.estimatedWork = hint;
+  req.isWrite = (marks & isWrite) != 0;
+  req.readDelay = in.span("unreadForNs");
+  req.timeRemaining = in.span("budgetNs");
+  req.tenant = TenantId{in.number<std::uint16_t>("project")};
+  req.client = ClientId{in.number<std::uint16_t>("srcPeer")};
   req.handler = HandlerId{in.number<std::uint8_t>("type")};
   return req;
 }
@@ -100,8 +101,8 @@
 WireEvent readEvent(Reader& in, std::uint8_t code) {
   switch (code) {
     case 16: {
-      RunEnded e{reqId(in), outcomeOf(in), {}};
-      e.took = in.span("timeTakenNs");
+      ExecutionEnded e{reqId(in), outcomeOf(in), {}};
+      e.duration = in.span("timeTakenNs");
       return Event{e};
     }
     case 17:
@@ -122,14 +123,14 @@
     case 20:
       return Detach{};
     case 21:
-      return Event{CallWanted{reqId(in)}};
+      return Event{DownstreamCallRequested{reqId(in)}};
     case 22:
-      return Event{CallerGone{reqId(in)}};
+      return Event{ClientDisconnected{reqId(in)}};
     case 23:
-      return Event{LeaveNotice{in.span("budgetNs")}};
+      return Event{ShutdownNotice{in.span("budgetNs")}};
     case 24: {
-      CallEnded e{reqId(in), {}, {}};
-      e.took = in.span("timeTakenNs");
+      DownstreamCallEnded e{reqId(in), {}, {}};
+      e.duration = in.span("timeTakenNs");
       e.outcome = outcomeOf(in);
       return Event{e};
     }
@@ -144,8 +145,8 @@
   out.resize(at + sizeof(T));
   std::memcpy(out.data() + at, &value, sizeof(T));
 }
-void putSpan(std::vector<std::byte>& out, Span span) {
-  put(out, static_cast<std::uint64_t>(std::max<Span::rep>(span.count(), 0)));
+void putSpan(std::vector<std::byte>& out, Duration span) {
+  put(out, static_cast<std::uint64_t>(std::max<Duration::rep>(span.count(), 0)));
 }
 void putText(std::vector<std::byte>& out, std::string_view text) {
   text = text.substr(0, 65535);
@@ -162,48 +163,48 @@
     put(out, code);
     put(out, instance);
   }
-  void head(std::uint8_t code, ReqId id) const {
+  void head(std::uint8_t code, RequestId id) const {
     head(code);
     put(out, static_cast<std::uint32_t>(id));
   }
-  void operator()(const Start& a) const { head(80, a.id); }
-  void operator()(const Shed& a) const {
+  void operator()(const StartExecution& a) const { head(80, a.id); }
+  void operator()(const ShedRequest& a) const {
     head(81, a.id);
-    putSpan(out, a.stayAway);
-    put(out, static_cast<std::uint8_t>(a.lastTry ? 1 : 0));
+    putSpan(out, a.retryAfter);
+    put(out, static_cast<std::uint8_t>(a.discourageRetry ? 1 : 0));
   }
-  void operator()(const Fail& a) const { head(82, a.id); }
-  void operator()(const Stop& a) const { head(83, a.id); }
-  void operator()(const Call& a) const {
+  void operator()(const FailRequest& a) const { head(82, a.id); }
+  void operator()(const CancelExecution& a) const { head(83, a.id); }
+  void operator()(const CallDownstream& a) const {
     head(84, a.id);
-    putSpan(out, a.limit);
+    putSpan(out, a.timeout);
   }
-  void operator()(const SkipCall& a) const { head(85, a.id); }
-  void operator()(const Keep& a) const {
+  void operator()(const SkipDownstreamCall& a) const { head(85, a.id); }
+  void operator()(const RetainResult& a) const {
     head(86, a.id);
-    putSpan(out, a.keepFor);
+    putSpan(out, a.retention);
   }
-  void operator()(const Forget& a) const { head(87, a.id); }
-  void operator()(const AnswerFromFirst& a) const { head(88, a.id); }
-  void operator()(const SayHealth& a) const {
+  void operator()(const DropResult& a) const { head(87, a.id); }
+  void operator()(const AnswerFromOriginal& a) const { head(88, a.id); }
+  void operator()(const PublishHealth& a) const {
     head(89);
-    put(out, static_cast<std::uint8_t>(a.good ? 1 : 0));
-    put(out, static_cast<std::uint8_t>(a.fromStore ? 1 : 0));
+    put(out, static_cast<std::uint8_t>(a.healthy ? 1 : 0));
+    put(out, static_cast<std::uint8_t>(a.isCached ? 1 : 0));
   }
-  void operator()(const SaySignal& a) const {
+  void operator()(const PublishLoadSignal& a) const {
     head(90);
     put(out, static_cast<float>(a.value));
   }
-  void operator()(const CloseIdleAfter& a) const {
+  void operator()(const SetIdleConnectionTimeout& a) const {
     head(91);
-    putSpan(out, a.idle);
+    putSpan(out, a.timeout);
   }
   void operator()(const SetTimer& a) const {
     head(92);
     put(out, static_cast<std::uint32_t>(a.timer));
-    putSpan(out, a.in);
+    putSpan(out, a.delay);
   }
-  void operator()(const rainhook::Note& a) const {
+  void operator()(const rainhook::DiagnosticMessage& a) const {
     head(93);
     putText(out, a.text);
   }
@@ -243,4 +244,4 @@
   return out;
 }
 
-}  // namespace simhost
+}  // namespace rainhook::simulator
--- a/src/simulator_adapter/simulator_protocol.h
+++ b/src/simulator_adapter/simulator_protocol.h
@@ -12,7 +12,7 @@
 
 #include "decision/decision.h"
 
-namespace simhost {
+namespace rainhook::simulator {
 
 // What was wrong with the input, and at which byte of it.
 struct WireError : std::runtime_error {
@@ -58,4 +58,4 @@
   std::uint32_t count_ = 0;
 };
 
-}  // namespace simhost
+}  // namespace rainhook::simulator
--- a/src/test_doubles/fake_downstream.cpp
+++ b/src/test_doubles/fake_downstream.cpp
@@ -3,7 +3,7 @@
 #include <algorithm>
 #include <utility>
 
-namespace rainhook::standins {
+namespace rainhook::testDoubles {
 
 using namespace std::chrono_literals;
 
@@ -62,4 +62,4 @@
   }
 }
 
-}  // namespace rainhook::standins
+}  // namespace rainhook::testDoubles
--- a/src/test_doubles/fake_downstream.h
+++ b/src/test_doubles/fake_downstream.h
@@ -12,7 +12,7 @@
 
 #include "test_doubles/socket_helpers.h"
 
-namespace rainhook::standins {
+namespace rainhook::testDoubles {
 
 class Next {
  public:
@@ -40,4 +40,4 @@
   std::thread thread_;
 };
 
-}  // namespace rainhook::standins
+}  // namespace rainhook::testDoubles
--- a/src/test_doubles/fake_engine.cpp
+++ b/src/test_doubles/fake_engine.cpp
@@ -5,7 +5,7 @@
 
 #include "codec/json_lines.h"
 
-namespace rainhook::standins {
+namespace rainhook::testDoubles {
 
 using namespace std::chrono_literals;
 using nlohmann::json;
@@ -72,27 +72,27 @@
         if (it == running_.end() || it->second != 1) continue;
         running_.erase(it);
         count();
-        say(net::jsonl::writeLine({{"msg", "outcome"},
-                                   {"serial", ++notices_},
-                                   {"call", due.name},
-                                   {"how", "halted"},
-                                   {"duration", work_.count()},
-                                   {"blob", ""}}));
+        say(codec::jsonLines::writeLine({{"msg", "outcome"},
+                                         {"serial", ++notices_},
+                                         {"call", due.name},
+                                         {"how", "halted"},
+                                         {"duration", work_.count()},
+                                         {"blob", ""}}));
       } else if (due.ends) {
         running_.erase(due.name);
         count();
-        say(net::jsonl::writeLine({{"msg", "outcome"},
-                                   {"serial", ++notices_},
-                                   {"call", due.name},
-                                   {"how", "ok"},
-                                   {"duration", work_.count()},
-                                   {"blob", net::jsonl::toBase64("done")}}));
+        say(codec::jsonLines::writeLine({{"msg", "outcome"},
+                                         {"serial", ++notices_},
+                                         {"call", due.name},
+                                         {"how", "ok"},
+                                         {"duration", work_.count()},
+                                         {"blob", codec::jsonLines::toBase64("done")}}));
       } else if (calls_) {
         running_[due.name] = 1;
-        say(net::jsonl::writeLine({{"msg", "request"},
-                                   {"serial", ++notices_},
-                                   {"call", due.name},
-                                   {"blob", net::jsonl::toBase64("call")}}));
+        say(codec::jsonLines::writeLine({{"msg", "request"},
+                                         {"serial", ++notices_},
+                                         {"call", due.name},
+                                         {"blob", codec::jsonLines::toBase64("call")}}));
         due_.push({due.at + callsWait, due.name, false, true});
       } else {
         due_.push({due.at + work_ / 2, due.name, true, false});
@@ -107,12 +107,12 @@
   const auto what = said.value("msg", "");
   const auto name = said.value("call", "");
   if (what == "subscribe")
-    say(net::jsonl::writeLine(
+    say(codec::jsonLines::writeLine(
         {{"msg", "greeting"},
          {"how", cold_ ? "cold" : "warm"},
          {"duration", std::chrono::duration<double, std::milli>(Clock::now() - startedAt_).count()}}));
   if (what == "sample")
-    say(net::jsonl::writeLine(
+    say(codec::jsonLines::writeLine(
         {{"msg", "sampled"},
          {"cookie", said["cookie"]},
          {"stats", {std::min(1.0, static_cast<double>(running_.size()) / 2), running_.size(), 0.1, 1}}}));
@@ -129,4 +129,4 @@
   }
 }
 
-}  // namespace rainhook::standins
+}  // namespace rainhook::testDoubles
--- a/src/test_doubles/fake_engine.h
+++ b/src/test_doubles/fake_engine.h
@@ -13,7 +13,7 @@
 
 #include "test_doubles/socket_helpers.h"
 
-namespace rainhook::standins {
+namespace rainhook::testDoubles {
 
 class Engine {
  public:
@@ -54,4 +54,4 @@
   std::thread thread_;
 };
 
-}  // namespace rainhook::standins
+}  // namespace rainhook::testDoubles
--- a/src/test_doubles/open_loop_client.cpp
+++ b/src/test_doubles/open_loop_client.cpp
@@ -4,10 +4,10 @@
 
 #include "codec/thrift.h"
 
-namespace rainhook::standins {
+namespace rainhook::testDoubles {
 
 using namespace std::chrono_literals;
-using net::thrift::Type;
+using codec::thrift::Type;
 
 Caller::Caller(std::string address, std::string handler, std::chrono::milliseconds each,
                std::chrono::milliseconds budget, int number)
@@ -63,20 +63,20 @@
                       static_cast<unsigned long long>(++count));
         const auto millis = std::chrono::duration_cast<std::chrono::milliseconds>(
             std::chrono::system_clock::now().time_since_epoch());
-        const net::thrift::Fields fields{{"method", handler_},
-                                         {"rid", name},
-                                         {"t0", std::to_string(millis.count())},
-                                         {"peer", std::to_string(caller_)},
-                                         {"acct", "acme"},
-                                         {"mem", "24.5"},
-                                         {"prio", "0.5000"},
-                                         {"budget", std::to_string(budget_.count())}};
+        const codec::thrift::Fields fields{{"method", handler_},
+                                           {"rid", name},
+                                           {"t0", std::to_string(millis.count())},
+                                           {"peer", std::to_string(caller_)},
+                                           {"acct", "acme"},
+                                           {"mem", "24.5"},
+                                           {"prio", "0.5000"},
+                                           {"budget", std::to_string(budget_.count())}};
         {
           const std::lock_guard lock(mutex_);
           history_[name].at = now;
         }
         open_[++number_] = name;
-        if (!send(fd_, net::thrift::Writer(net::thrift::Kind::call, "call", number_)
+        if (!send(fd_, codec::thrift::Writer(codec::thrift::Kind::call, "call", number_)
                            .field(1, Type::map)
                            .fields(fields)
                            .field(2, Type::text)
@@ -95,24 +95,25 @@
 }
 
 void Caller::answered(std::string& in) {
-  for (auto frame = net::thrift::readFrame(in, 1 << 20); frame; frame = net::thrift::readFrame(in, 1 << 20)) {
-    const auto message = net::thrift::readMessage(frame->content);
+  for (auto frame = codec::thrift::readFrame(in, 1 << 20); frame;
+       frame = codec::thrift::readFrame(in, 1 << 20)) {
+    const auto message = codec::thrift::readMessage(frame->content);
     const std::lock_guard lock(mutex_);
     if (const auto it = open_.find(message.sequence);
-        it != open_.end() && message.kind != net::thrift::Kind::oneway) {
+        it != open_.end() && message.kind != codec::thrift::Kind::oneway) {
       Sent& sent = history_[it->second];
       ++sent.answers;
       sent.took = std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - sent.at);
-      net::thrift::Reader(message.body).structure([&](std::int16_t kind, Type, net::thrift::Reader&) {
-        sent.done = message.kind == net::thrift::Kind::reply && kind == 0;
+      codec::thrift::Reader(message.body).structure([&](std::int16_t kind, Type, codec::thrift::Reader&) {
+        sent.done = message.kind == codec::thrift::Kind::reply && kind == 0;
         return false;
       });
       open_.erase(it);
-    } else if (message.kind == net::thrift::Kind::reply) {  // a second answer, or one to nobody
+    } else if (message.kind == codec::thrift::Kind::reply) {  // a second answer, or one to nobody
       ++history_["unasked"].answers;
     }
     in.erase(0, frame->size);
   }
 }
 
-}  // namespace rainhook::standins
+}  // namespace rainhook::testDoubles
--- a/src/test_doubles/open_loop_client.h
+++ b/src/test_doubles/open_loop_client.h
@@ -10,7 +10,7 @@
 
 #include "test_doubles/socket_helpers.h"
 
-namespace rainhook::standins {
+namespace rainhook::testDoubles {
 
 class Caller {
  public:
@@ -44,4 +44,4 @@
   std::thread thread_;
 };
 
-}  // namespace rainhook::standins
+}  // namespace rainhook::testDoubles
--- a/src/test_doubles/socket_helpers.h
+++ b/src/test_doubles/socket_helpers.h
@@ -11,7 +11,7 @@
 #include <stdexcept>
 #include <string>
 
-namespace rainhook::standins {
+namespace rainhook::testDoubles {
 
 using Clock = std::chrono::steady_clock;
 
@@ -66,4 +66,4 @@
   return size > 0 || (size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK));
 }
 
-}  // namespace rainhook::standins
+}  // namespace rainhook::testDoubles
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -1,7 +1,7 @@
 // Where two events cross, on real sockets: each test forces the order that docs/crossings.md names.
 #include <gtest/gtest.h>
 
-#include "world.h"
+#include "fake_peers.h"
 
 namespace rainhook {
 namespace {
@@ -9,7 +9,7 @@
 using What = Answer::What;
 const std::string one = "00000000000000b1", two = "00000000000000b2", three = "00000000000000b3";
 
-net::thrift::Fields paid(const std::string& rid, const std::string& key = "k1") {
+codec::thrift::Fields paid(const std::string& rid, const std::string& key = "k1") {
   auto fields = Balancer::fields(rid, "pay");
   fields["token"] = key;
   return fields;
@@ -44,9 +44,9 @@
   settings["domain"]["cores"] = 6.0;
   settings["classes"][0]["aimNs"] = 1.8e9;
   settings["domain"].erase("memoryKb");
-  const Facts facts = readFacts(pairsOfJson(settings));
+  const DeploymentSettings facts = readDeploymentSettings(flattenSettingsJson(settings));
   EXPECT_EQ(facts.machine.cores, 6);
-  EXPECT_EQ(facts.handlers[0].responseTarget, 1800ms);
+  EXPECT_EQ(facts.handlerPolicies[0].latencyObjective, 1800ms);
   EXPECT_GT(facts.machine.memoryKb, 1e9);  // none stated: none held against
   for (const auto& [key, value] : std::map<std::string, nlohmann::json>{{"/domain/cores", 1.5},
                                                                         {"/domain/memoryKb", -1},
@@ -56,16 +56,16 @@
     bad[nlohmann::json::json_pointer(key)] = value;
     if (key == "/classes/0/aimNs") bad["classes"][0].erase("hardLimitNs");
     try {
-      readFacts(pairsOfJson(bad));
+      readDeploymentSettings(flattenSettingsJson(bad));
       ADD_FAILURE() << key;
-    } catch (const FactsError& fault) {
+    } catch (const ConfigurationError& fault) {
       auto path = key.substr(1);
       std::replace(path.begin(), path.end(), '/', '.');
       EXPECT_NE(std::string(fault.what()).find(path), std::string::npos) << fault.what();
     }
   }
-  EXPECT_EQ(net::http::segment("n3"), "n3");
-  EXPECT_EQ(net::http::segment("a b/\xc3\xa9?"), "a%20b%2F%C3%A9%3F");
+  EXPECT_EQ(codec::http::segment("n3"), "n3");
+  EXPECT_EQ(codec::http::segment("a b/\xc3\xa9?"), "a%20b%2F%C3%A9%3F");
 }
 
 // Limits and spans of other deployments are larger than any that was met so far.
@@ -77,9 +77,9 @@
       {"stop_ms", 300'000},
       {"limits", {{"sockets", 1 << 20}, {"memory_mb", 256 << 10}}},
       {"settings", Peers().settings}}.dump());
-  EXPECT_EQ(read.place.stopAfter, 5min);
-  EXPECT_EQ(read.place.descriptors, 1u << 20);
-  EXPECT_EQ(read.place.memoryMb, 256 << 10);
+  EXPECT_EQ(read.endpoints.shutdownTimeout, 5min);
+  EXPECT_EQ(read.endpoints.maxDescriptors, 1u << 20);
+  EXPECT_EQ(read.endpoints.memoryMb, 256 << 10);
 }
 
 // Pieces and closes.
@@ -124,7 +124,7 @@
   Peers w;
   w.place.memoryMb = 1;  // 128 kB of it for what waits to be sent; with 32 kB a connection is not read on
   w.start();
-  using net::thrift::Kind, net::thrift::Writer;
+  using codec::thrift::Kind, codec::thrift::Writer;
   const auto ask = Writer(Kind::call, "health", 1).stop().whole();  // shorter than its answer
   std::string asks;
   for (int i = 0; i < 200; ++i) asks += ask;
@@ -167,7 +167,7 @@
   Peers w;
   w.start(false);
   auto dead = Line::accept(w.engineAt);
-  EXPECT_TRUE(dead.hear(net::jsonl::readLine));
+  EXPECT_TRUE(dead.hear(codec::jsonLines::readLine));
   w.link();
   auto client = w.balancer();
   client.ask(1, Balancer::fields(one));
@@ -218,13 +218,13 @@
 TEST(CrossingEngine, ALinkWhoseAnswerLiesUnreadIsNotGivenUp) {
   Peers w;
   w.start();
-  const auto answer = [&](const std::optional<net::jsonl::Line>& question) {
+  const auto answer = [&](const std::optional<codec::jsonLines::Line>& question) {
     w.tell({{"msg", "sampled"}, {"cookie", question->object["cookie"]}, {"stats", {0.5, 1, 0.1, 3}}});
   };
-  auto question = w.engine.hear(net::jsonl::readLine);
+  auto question = w.engine.hear(codec::jsonLines::readLine);
   ASSERT_TRUE(question);
   answer(question);  // of the catching up
-  question = w.engine.hear(net::jsonl::readLine);
+  question = w.engine.hear(codec::jsonLines::readLine);
   ASSERT_TRUE(question);
   const auto asked = std::chrono::steady_clock::now();
   std::this_thread::sleep_until(asked +
@@ -332,13 +332,13 @@
 TEST(CrossingList, ThreeHundredReportsAreSpreadOverTheirInterval) {
   net::Reactor reactor;
   net::BufferPool pool;
-  net::Log log;
+  logging::Log log;
   Poco::Net::ServerSocket listAt(Poco::Net::SocketAddress("127.0.0.1", 0), 512);  // all at once
-  std::vector<std::unique_ptr<net::List>> fleet;
+  std::vector<std::unique_ptr<peers::RegistryClient>> fleet;
   constexpr std::size_t size = 300;
   for (std::size_t i = 0; i < size; ++i)
-    fleet.push_back(
-        std::make_unique<net::List>(reactor, pool, log, listAt.address(), "n" + std::to_string(i), i));
+    fleet.push_back(std::make_unique<peers::RegistryClient>(reactor, pool, log, listAt.address(),
+                                                            "n" + std::to_string(i), i));
   std::vector<std::chrono::steady_clock::time_point> cameAt;
   net::Reactor::Timer looking;
   const std::function<void()> look = [&] {
@@ -347,12 +347,12 @@
     cameAt.size() < 4 * size ? void(looking = reactor.after(1ms, look)) : reactor.stop();
   };
   look();
-  for (const auto& list : fleet) list->takesWork(true);
+  for (const auto& list : fleet) list->setInService(true);
   reactor.run();
   // The middle eight in ten of the fourth round; three times 62 ms of spread lie behind them.
   EXPECT_GT(cameAt[3 * size + size * 9 / 10] - cameAt[3 * size + size / 10], 40ms);
   fleet.clear();
-  reactor.letGo();
+  reactor.releaseRetired();
 }
 
 // Repeats.
@@ -365,7 +365,7 @@
   auto client = w.balancer();
   client.ask(1, paid(one), "x");
   EXPECT_EQ(w.launched(), one);
-  const auto conflicts = [&](std::int32_t number, const net::thrift::Fields& fields, const char* body) {
+  const auto conflicts = [&](std::int32_t number, const codec::thrift::Fields& fields, const char* body) {
     client.ask(number, fields, body);
     const auto answer = client.answer();
     EXPECT_EQ(answer.number, number);
@@ -543,19 +543,20 @@
 
 // A newer try after the window that never runs does not make the server forget that an older one did.
 TEST(CrossingRepeats, ANewerTryThatNeverRanLeavesTheOlderOneKnown) {
-  using server::Marks;
-  Marks marks(1 << 20, 10s);
-  const Marks::Time at{1h};
-  const Marks::Key key{HandlerId{1}, "k", {}};
-  marks.keep(key, {}, ReqId{1}, at + 1s);
-  marks.ended(ReqId{1}, Marks::End::done, at, "result");
+  using server::DeduplicationCache;
+  DeduplicationCache marks(1 << 20, 10s);
+  const DeduplicationCache::Time at{1h};
+  const DeduplicationCache::Key key{HandlerId{1}, "k", {}};
+  marks.keep(key, {}, RequestId{1}, at + 1s);
+  marks.ended(RequestId{1}, DeduplicationCache::End::done, at, "result");
   marks.expire(at + 2s);
-  EXPECT_FALSE(marks.firstOf(key, {}, ReqId{2}, at + 2s, at + 2s, 0s).first);
+  EXPECT_FALSE(marks.firstOf(key, {}, RequestId{2}, at + 2s, at + 2s, 0s).first);
   marks.turnEnds();
-  marks.keep(key, {}, ReqId{2}, at + 3s);
-  marks.forget(ReqId{2});
-  EXPECT_TRUE(marks.firstOf(key, {}, ReqId{3}, at + 900ms, at + 2s, 0s).first);  // came in time, read late
-  EXPECT_FALSE(marks.firstOf(key, {}, ReqId{4}, at + 1s, at + 2s, 0s).first);
+  marks.keep(key, {}, RequestId{2}, at + 3s);
+  marks.forget(RequestId{2});
+  EXPECT_TRUE(
+      marks.firstOf(key, {}, RequestId{3}, at + 900ms, at + 2s, 0s).first);  // came in time, read late
+  EXPECT_FALSE(marks.firstOf(key, {}, RequestId{4}, at + 1s, at + 2s, 0s).first);
   marks.expire(at + 1h);
   EXPECT_EQ(marks.size(), 0u);
 }
