--- a/tests/decision_test.cpp
+++ b/tests/decision_test.cpp
@@ -1,7 +1,7 @@
 // Small tests of the module, one for each failure found, without the bench.
 #include <gtest/gtest.h>
 
-#include "world.h"
+#include "protocol_model.h"
 
 namespace rainhook {
 namespace {
@@ -9,8 +9,8 @@
 using Where = World::Where;
 
 // The cores do a req in `each`, however many share them; new reqs keep `held` of them waiting.
-void busyFor(World& w, Span time, Span each, int held) {
-  for (const Span until = w.now + time; w.now < until;) {
+void busyFor(World& w, Duration time, Duration each, int held) {
+  for (const Duration until = w.now + time; w.now < until;) {
     for (int i = w.count(Where::held); i < held; ++i) w.arrive();
     w.pass(0ms);
     const auto running = w.in(Where::running);
@@ -57,9 +57,9 @@
 TEST(Hold, AHintOfMuchWorkTellsWhatComesTooLate) {
   World w;
   w.open();
-  const auto hinted = [&](Span work, Span patience) {
-    const ReqId id = w.arrive(0, patience);
-    std::get<ReqRead>(w.next.back()).workHint = work;
+  const auto hinted = [&](Duration work, Duration patience) {
+    const RequestId id = w.arrive(0, patience);
+    std::get<RequestArrived>(w.next.back()).estimatedWork = work;
     w.pass(0ms);
     return w.reqs.at(id).where;
   };
@@ -77,8 +77,8 @@
 TEST(Hold, WhatIsLeftOfTheTimeoutTellsAFurtherTrysAge) {
   World w;
   w.open();
-  const auto started = [&](Span patience) {
-    const ReqId id = w.arrive(0, patience);
+  const auto started = [&](Duration patience) {
+    const RequestId id = w.arrive(0, patience);
     w.pass(0ms);
     const bool ran = w.reqs.at(id).starts > 0;
     if (ran) w.end(id);
@@ -95,42 +95,53 @@
 // What a turn goes through is what came in it and what waits held, not what is kept or stands at calls.
 TEST(Turns, CostNoMoreForAllThatIsInHand) {
   World w;
-  w.machine = {.cores = 8, .memoryKb = 1e6, .runFactor = 4, .keyKb = 1, .crowdPerCore = 100, .crowdSpan = 2s};
-  w.handlers = {{.responseTarget = 20s, .clientTimeout = 30s, .calls = true},
-                {.responseTarget = 20s, .clientTimeout = 30s, .effect = Effect::uniqued, .window = 40s}};
-  w.below = {BelowKind::tier, 0, 5s, 200ms};
+  w.machine = {.cores = 8,
+               .memoryKb = 1e6,
+               .executionMemoryFactor = 4,
+               .cachedEntryKb = 1,
+               .maxExecutionsPerCore = 100,
+               .crowdingWindow = 2s};
+  w.handlers = {{.latencyObjective = 20s, .clientTimeout = 30s, .callsDownstream = true},
+                {.latencyObjective = 20s,
+                 .clientTimeout = 30s,
+                 .idempotency = Idempotency::keyed,
+                 .deduplicationWindow = 40s}};
+  w.below = {DownstreamKind::nextTier, 0, 5s, 200ms};
   w.open();
   const auto through = [&](int handler, auto then) {
-    const ReqId id = w.arrive(handler, 30s);
+    const RequestId id = w.arrive(handler, 30s);
     w.pass(0ms);
     ASSERT_EQ(w.reqs.at(id).where, Where::running);
     then(id);
     w.pass(0ms);
   };
   const auto looksOfAQuietSecond = [&] {
-    const auto before = w.module->looks();
+    const auto before = w.module->entriesScanned();
     w.pass(1s);
-    return w.module->looks() - before;
+    return w.module->entriesScanned() - before;
   };
   const auto empty = looksOfAQuietSecond();
-  for (int i = 0; i < 500; ++i) through(1, [&](ReqId id) { w.end(id); });
-  for (int i = 0; i < 300; ++i) through(0, [&](ReqId id) { w.want(id); });
+  for (int i = 0; i < 500; ++i) through(1, [&](RequestId id) { w.end(id); });
+  for (int i = 0; i < 300; ++i) through(0, [&](RequestId id) { w.want(id); });
   EXPECT_EQ(w.kept.size(), 500u);
   EXPECT_EQ(w.count(Where::calling), 300);
   EXPECT_LE(looksOfAQuietSecond(), empty);
   w.pass(31s);  // each of them is looked at once more, when it is due
-  for (const ReqId id : w.in(Where::calling)) w.end(id, Outcome::stopped);
+  for (const RequestId id : w.in(Where::calling)) w.end(id, Outcome::cancelled);
   EXPECT_EQ(w.broken, std::vector<std::string>{});
 }
 
 // Marks take memory until their window is over, and then give it back, time after time.
 TEST(Turns, MarksThatAreOverGiveTheirRoomBack) {
   World w;
-  w.handlers = {{.responseTarget = 1s, .clientTimeout = 3s, .effect = Effect::uniqued, .window = 2s}};
+  w.handlers = {{.latencyObjective = 1s,
+                 .clientTimeout = 3s,
+                 .idempotency = Idempotency::keyed,
+                 .deduplicationWindow = 2s}};
   w.open();
   const auto roomFor = [&] {
     for (int n = 0; n < 200; ++n) {
-      const ReqId id = w.arrive();
+      const RequestId id = w.arrive();
       w.pass(0ms);
       if (w.reqs.at(id).starts == 0) return n;
       w.end(id);
@@ -152,7 +163,7 @@
   World w;
   w.open();
   busyFor(w, 2s, 100ms, 1);
-  std::vector<ReqId> ids;
+  std::vector<RequestId> ids;
   for (int i = 0; i < 40; ++i) ids.push_back(w.arrive());
   w.pass(0ms);
   EXPECT_EQ(w.reqs.at(ids[3]).shedAnswers, 1);
@@ -164,7 +175,7 @@
   World w;
   w.open();
   for (int i = 0; i < 10; ++i) {
-    const ReqId id = w.arrive();
+    const RequestId id = w.arrive();
     w.pass(700ms);
     EXPECT_EQ(w.reqs.at(id).where, Where::running);
     w.end(id), w.pass(100ms);
@@ -174,23 +185,23 @@
 // A dependency that is slow for a while: reqs that would only wait for a call stay held, others run on.
 TEST(Calls, WhatWouldOnlyWaitForACallStaysHeldAndOthersRunOn) {
   World w;
-  w.below = {BelowKind::shared, 2, 5s, 200ms};
+  w.below = {DownstreamKind::shared, 2, 5s, 200ms};
   w.handlers.push_back(w.handlers[0]);
-  w.handlers[1].calls = true;
+  w.handlers[1].callsDownstream = true;
   w.open();
   const auto callOnce = [&] {
     w.arrive(1), w.pass(0ms);
-    for (const ReqId id : w.in(Where::running)) w.want(id);
+    for (const RequestId id : w.in(Where::running)) w.want(id);
     w.pass(0ms);
   };
   for (int i = 0; i < 10; ++i) {  // learns that handler 1 calls
     callOnce();
-    for (const ReqId id : w.in(Where::calling)) w.endCall(id, Outcome::done), w.end(id);
+    for (const RequestId id : w.in(Where::calling)) w.endCall(id, Outcome::completed), w.end(id);
     w.pass(20ms);
   }
   callOnce(), callOnce();  // one call in hand, one req waiting for room
   ASSERT_EQ(w.count(Where::wanting), 1);
-  const ReqId calls = w.arrive(1), plain = w.arrive(0);
+  const RequestId calls = w.arrive(1), plain = w.arrive(0);
   w.pass(0ms);
   EXPECT_EQ(w.reqs.at(calls).where, Where::held);
   EXPECT_EQ(w.reqs.at(plain).where, Where::running);
@@ -199,12 +210,12 @@
 // Hundreds of servers with a share under one call each: kept in time, even while no call comes back.
 TEST(Calls, AShareUnderOneCallIsKeptInTime) {
   World w;
-  w.below = {BelowKind::shared, 0.4, 5s, 200ms};
-  w.handlers[0].calls = true;
+  w.below = {DownstreamKind::shared, 0.4, 5s, 200ms};
+  w.handlers[0].callsDownstream = true;
   w.open();
   for (int i = 0; i < 200; ++i) {
     w.arrive(), w.pass(50ms);
-    for (const ReqId id : w.in(Where::running)) w.want(id);
+    for (const RequestId id : w.in(Where::running)) w.want(id);
     w.pass(0ms);
     EXPECT_LE(w.count(Where::calling), 1);
   }
@@ -214,15 +225,15 @@
 
 TEST(Calls, ALongTroubleIsForgottenOnceItIsOver) {
   World w;
-  w.handlers[0].calls = true;
+  w.handlers[0].callsDownstream = true;
   w.open();
-  const auto runWithCall = [&](Span callTakes) {
-    const ReqId id = w.arrive();
+  const auto runWithCall = [&](Duration callTakes) {
+    const RequestId id = w.arrive();
     w.pass(0ms);
     if (w.reqs.at(id).where != Where::running) return false;
     w.want(id), w.pass(callTakes);
     if (w.reqs.at(id).where != Where::calling) return false;
-    w.endCall(id, Outcome::done), w.pass(5ms);
+    w.endCall(id, Outcome::completed), w.pass(5ms);
     w.end(id), w.pass(5ms);
     return true;
   };
@@ -252,9 +263,9 @@
 // A run past its target earns nothing: it is stopped where that is allowed, its req shed without another try.
 TEST(Hold, ARunPastItsTargetIsStoppedWhereLateEarnsNothing) {
   World w;
-  w.machine.halting = Halting::drop;
+  w.machine.cancellation = CancellationMode::discardWork;
   w.open();
-  const ReqId id = w.arrive();
+  const RequestId id = w.arrive();
   w.pass(980ms);
   EXPECT_EQ(w.reqs.at(id).where, Where::running);
   w.pass(60ms);
@@ -266,7 +277,7 @@
 // Hundreds of callers fill a table whose size nobody tells.
 TEST(Pressure, ClosesIdleConnectionsTheSoonerTheMoreStandOpen) {
   World w;
-  w.fleet.longestIdle = 30s;
+  w.fleet.maxIdleTime = 30s;
   w.wanting = 1;
   w.open();
   w.pass(20s);
@@ -296,8 +307,8 @@
   World w;
   w.open();
   for (int i = 0; i < 30; ++i)
-    w.arrive(0, 3s, i < 5 ? 0ms : 400ms), w.pass(0ms), w.leave(ReqId{w.ids}), w.pass(0ms);
-  for (const ReqId id : w.in(Where::running)) w.end(id);
+    w.arrive(0, 3s, i < 5 ? 0ms : 400ms), w.pass(0ms), w.leave(RequestId{w.ids}), w.pass(0ms);
+  for (const RequestId id : w.in(Where::running)) w.end(id);
   for (int i = 0; i < 3; ++i) w.arrive(0, 3s, 400ms);
   w.pass(0ms);
   EXPECT_EQ(w.count(Where::running), w.machine.cores - 1);
@@ -306,10 +317,10 @@
 TEST(Drain, NothingRunsAfterTheGraceAndAllIsAnsweredBeforeTheStop) {
   World w;
   w.open();
-  const ReqId running = w.arrive(0, 9s);
+  const RequestId running = w.arrive(0, 9s);
   w.pass(0ms);
   w.notice(3s), w.pass(1500ms);
-  const ReqId after = w.arrive(0, 9s);
+  const RequestId after = w.arrive(0, 9s);
   w.pass(0ms);
   EXPECT_EQ(w.reqs.at(after).starts, 0);
   EXPECT_EQ(w.reqs.at(after).shedAnswers, 1);
@@ -321,19 +332,20 @@
 // A connection that broke under a call says nothing of the dependency: a replayable req calls once more, then
 // goes on without. One that must not be called twice goes on without at once.
 TEST(Calls, ABrokenConnectionIsTriedOnceMoreWhereThatIsSafe) {
-  for (const auto effect : {Effect::replayable, Effect::nonReplayable}) {
+  for (const auto effect : {Idempotency::idempotent, Idempotency::nonIdempotent}) {
     World w;
-    w.handlers[0].skipValue = 0.3, w.handlers[0].calls = true, w.handlers[0].effect = effect;
+    w.handlers[0].degradedWeight = 0.3, w.handlers[0].callsDownstream = true,
+    w.handlers[0].idempotency = effect;
     w.open();
-    const ReqId id = w.arrive();
+    const RequestId id = w.arrive();
     w.pass(10ms);
     w.want(id);
     w.pass(10ms);
     ASSERT_EQ(w.callsMade, 1);
-    w.endCall(id, Outcome::cutShort);
+    w.endCall(id, Outcome::connectionLost);
     w.pass(10ms);
-    EXPECT_EQ(w.callsMade, effect == Effect::replayable ? 2 : 1);
-    if (effect == Effect::replayable) w.endCall(id, Outcome::cutShort);
+    EXPECT_EQ(w.callsMade, effect == Idempotency::idempotent ? 2 : 1);
+    if (effect == Idempotency::idempotent) w.endCall(id, Outcome::connectionLost);
     w.pass(10ms);
     EXPECT_EQ(w.reqs.at(id).where, Where::running);  // without its call
     EXPECT_TRUE(w.broken.empty());
@@ -344,25 +356,25 @@
 // a replayable req calls again in time. Where all calls are slow it waits, since another would only add to
 // that.
 TEST(Calls, AReplyThatStaysOutIsAskedForAgainWhileOthersAreQuick) {
-  for (const Span usual : {10ms, 400ms}) {
+  for (const Duration usual : {10ms, 400ms}) {
     World w;
-    w.handlers[0].skipValue = 0.3, w.handlers[0].calls = true;
+    w.handlers[0].degradedWeight = 0.3, w.handlers[0].callsDownstream = true;
     w.open();
-    const auto call = [&](Span takes) {
-      const ReqId id = w.arrive();
+    const auto call = [&](Duration takes) {
+      const RequestId id = w.arrive();
       w.pass(5ms);
       w.want(id);
       w.pass(takes);
       return id;
     };
     for (int i = 0; i < 60; ++i) {
-      const ReqId id = call(i < 30 ? 10ms : usual);
-      if (w.reqs.at(id).where == Where::calling) w.endCall(id, Outcome::done);
+      const RequestId id = call(i < 30 ? 10ms : usual);
+      if (w.reqs.at(id).where == Where::calling) w.endCall(id, Outcome::completed);
       w.pass(5ms);
       w.end(id);
     }
     const int before = w.callsMade;
-    const ReqId id = call(300ms);  // no reply comes
+    const RequestId id = call(300ms);  // no reply comes
     EXPECT_EQ(w.callsMade, before + (usual == 10ms ? 2 : 1));
     EXPECT_EQ(w.reqs.at(id).where, Where::calling);
     EXPECT_TRUE(w.broken.empty());
@@ -376,7 +388,7 @@
   int shed = 0;
   for (int i = 0; i < 400; ++i) {
     const bool rare = i > 50 && i % 5 == 4;  // it comes later than the common one
-    const ReqId id = w.arrive(0, rare ? 1550ms : 1500ms);
+    const RequestId id = w.arrive(0, rare ? 1550ms : 1500ms);
     w.pass(5ms);
     if (i > 200 && rare) shed += w.reqs.at(id).where == Where::over;
     if (w.reqs.at(id).where == Where::running) w.end(id);
--- a/tests/fleet/crossing_test.cpp
+++ b/tests/fleet/crossing_test.cpp
@@ -7,10 +7,10 @@
 #include <fstream>
 #include <iostream>
 
-#include "../world.h"
+#include "../fake_peers.h"
 #include "fleet/process.h"
-#include "test_doubles/fake_engine.h"
 #include "test_doubles/fake_downstream.h"
+#include "test_doubles/fake_engine.h"
 
 namespace rainhook::fleet {
 namespace {
@@ -24,13 +24,13 @@
 class Program {
  public:
   Program(int stopMs, int sockets, std::chrono::milliseconds work = 30ms)
-      : engine_(std::make_unique<standins::Engine>(work, false)) {
+      : engine_(std::make_unique<testDoubles::Engine>(work, false)) {
     nlohmann::json settings = Peers().settings;
     settings["domain"]["below"] = "none", settings["domain"]["classCalls"] = {false, false};
     config_["agent"] = engine_->address();
     begin(stopMs, sockets, settings);
   }
-  Program(std::unique_ptr<standins::Engine> engine, const std::string& next, const nlohmann::json& settings)
+  Program(std::unique_ptr<testDoubles::Engine> engine, const std::string& next, const nlohmann::json& settings)
       : engine_(std::move(engine)) {
     config_["agent"] = engine_->address(), config_["backend"] = next;
     begin(3000, 256, settings);
@@ -73,7 +73,7 @@
   }
   Balancer balancer() { return Balancer(Poco::Net::StreamSocket(Poco::Net::SocketAddress(address_))); }
   Process& process() { return *process_; }
-  const standins::Engine& engine() const { return *engine_; }
+  const testDoubles::Engine& engine() const { return *engine_; }
   std::string file() const { return folder_ + "/config.json"; }
   std::string text() const { return config_.dump(); }
 
@@ -92,7 +92,7 @@
   }
   void write() const { std::ofstream(file()) << text(); }
 
-  std::unique_ptr<standins::Engine> engine_;
+  std::unique_ptr<testDoubles::Engine> engine_;
   nlohmann::json config_;
   std::string folder_, address_;
   std::unique_ptr<Process> process_;
@@ -404,11 +404,11 @@
   const auto allowed = [&](std::chrono::duration<double> age) {
     return cores * (1 + (multiple - 1) * (coldFrom + (1 - coldFrom) * std::min(1.0, age / warmWithin)));
   };
-  standins::Next next(10s);
+  testDoubles::Next next(10s);
   std::vector<std::unique_ptr<Program>> fleet;
   std::vector<Balancer> callers;
   for (std::size_t i = 0; i < size; ++i) {
-    fleet.push_back(std::make_unique<Program>(std::make_unique<standins::Engine>(2ms, true, true),
+    fleet.push_back(std::make_unique<Program>(std::make_unique<testDoubles::Engine>(2ms, true, true),
                                               next.address(), settings));
     fleet.back()->ready();
     callers.push_back(fleet.back()->balancer());
--- a/tests/fleet/relays.cpp
+++ b/tests/fleet/relays.cpp
@@ -23,7 +23,7 @@
 using Clock = std::chrono::steady_clock;
 using Pair = std::pair<std::size_t, std::size_t>;
 
-using standins::plain;
+using testDoubles::plain;
 
 struct Relays::Work {
   struct Link {
@@ -180,10 +180,10 @@
   const std::lock_guard lock(work_->mutex);
   Work::Link& link = work_->links[{from, to}];
   link.pair = {from, to};
-  link.target = standins::addressOf(address);
+  link.target = testDoubles::addressOf(address);
   // A port that is free for both; the system names one for the first.
   for (int attempt = 0; attempt < 100; ++attempt) {
-    sockaddr_in at = standins::addressOf("127.0.0.1:0");
+    sockaddr_in at = testDoubles::addressOf("127.0.0.1:0");
     link.datagrams = ::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
     link.listener = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     socklen_t size = sizeof at;
@@ -202,7 +202,7 @@
 void Relays::lead(std::size_t to, const std::string& address) {
   const std::lock_guard lock(work_->mutex);
   for (auto& [pair, link] : work_->links)
-    if (pair.second == to) link.target = standins::addressOf(address);
+    if (pair.second == to) link.target = testDoubles::addressOf(address);
 }
 
 void Relays::set(std::size_t from, std::size_t to, const Fault& fault) {
--- a/tests/fleet/serve_test.cpp
+++ b/tests/fleet/serve_test.cpp
@@ -7,15 +7,15 @@
 #include <numeric>
 
 #include "fleet/fleet.h"
-#include "test_doubles/open_loop_client.h"
-#include "test_doubles/fake_engine.h"
 #include "test_doubles/fake_downstream.h"
+#include "test_doubles/fake_engine.h"
+#include "test_doubles/open_loop_client.h"
 
 namespace rainhook::fleet {
 namespace {
 
 using namespace std::chrono_literals;
-using standins::Caller, standins::Engine, standins::Next;
+using testDoubles::Caller, testDoubles::Engine, testDoubles::Next;
 
 nlohmann::json settings(int servers, double callsOut) {
   auto out = nlohmann::json::parse(R"({
--- a/tests/pools_test.cpp
+++ b/tests/pools_test.cpp
@@ -1,11 +1,11 @@
 // The pools by themselves: sums, floors, lending and its return, whole runs out of shares, the jump.
-#include "pools/work_pools.h"
-
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
 #include <numeric>
 
+#include "pools/work_pools.h"
+
 namespace rainhook::pools {
 namespace {
 
@@ -26,8 +26,8 @@
         every(terms.size(), 0ms),
         next(terms.size()) {}
 
-  void pass(Span time, Span step = 5ms) {
-    for (const Span until = now + time; now < until; now += step) {
+  void pass(Duration time, Duration step = 5ms) {
+    for (const Duration until = now + time; now < until; now += step) {
       for (std::size_t i = 0; i < loads.size(); ++i) {
         for (; every[i] > 0ms && next[i] <= now; next[i] += every[i]) ++loads[i].held, pools.read(PoolId(i));
         while (!running[i].empty() && running[i].front() <= now) {
@@ -53,10 +53,10 @@
   Pools pools;
   double total;
   std::vector<PoolLoad> loads;
-  std::vector<std::vector<Span>> running;
+  std::vector<std::vector<Duration>> running;
   std::vector<int> done;
-  std::vector<Span> each, every, next;
-  Span now{};
+  std::vector<Duration> each, every, next;
+  Duration now{};
   int idle = 0;  // turns that ended with a free place and something held
 };
 
@@ -131,7 +131,7 @@
   const auto reserve = *rc::gen::inRange(0, 30) / 100.0;
   Pools pools({{"a", 2, reserve, 0.1}, {"b", 1, reserve, 0.05}, {"c", 1, 0, 0.2}});
   const double total = *rc::gen::inRange(1, 24);
-  Span now{};
+  Duration now{};
   std::vector<PoolLoad> loads(3);
   for (const auto& [pool, held, ended] : turns) {
     now += std::chrono::milliseconds(ended % 50);
--- a/tests/refusal_test.cpp
+++ b/tests/refusal_test.cpp
@@ -9,7 +9,7 @@
 #include <atomic>
 #include <cerrno>
 
-#include "world.h"
+#include "fake_peers.h"
 
 namespace {
 
@@ -40,7 +40,7 @@
 // One connection is refused its set-up; the next is served, rooms are made, and nothing of the first is left.
 void refusedOnce(std::atomic<int>& which, int call) {
   Peers w;
-  w.place.descriptors = 64;
+  w.place.maxDescriptors = 64;
   w.start();
   auto before = w.balancer();
   before.health();
--- a/tests/seal_test.cpp
+++ b/tests/seal_test.cpp
@@ -1,11 +1,11 @@
 // What the seal lets through: only what is under a key of ours, once.
-#include "membership_transport/message_authenticator.h"
-
 #include <gtest/gtest.h>
 
 #include <pcg_random.hpp>
 
-namespace rainhook::net {
+#include "membership_transport/message_authenticator.h"
+
+namespace rainhook::membershipTransport {
 namespace {
 
 SealKey key(unsigned char first) {
@@ -18,7 +18,7 @@
 }
 
 TEST(Seal, OpensOnceInAnyOrderAndNothingOld) {
-  Seal from({key(1)}, 7), to({key(1)}, 8);
+  MessageAuthenticator from({key(1)}, 7), to({key(1)}, 8);
   std::vector<std::string> sealed;
   for (int i = 0; i < 2000; ++i) sealed.push_back(from.sealed(std::to_string(i)));
   EXPECT_EQ(text(to.opened(sealed[5])), "5");
@@ -33,7 +33,7 @@
 }
 
 TEST(Seal, InAnyOrderEachIsOpenedOnce) {
-  Seal from({key(1)}, 7), to({key(1)}, 8);
+  MessageAuthenticator from({key(1)}, 7), to({key(1)}, 8);
   pcg32 chance(1);
   std::vector<std::string> sealed;
   for (int i = 0; i < 5000; ++i) sealed.push_back(from.sealed("x"));
@@ -49,7 +49,7 @@
 }
 
 TEST(Seal, TwoKeysVerifyTheFirstSigns) {
-  Seal old({key(1)}, 7), between({key(1), key(2)}, 8), fresh({key(2)}, 9);
+  MessageAuthenticator old({key(1)}, 7), between({key(1), key(2)}, 8), fresh({key(2)}, 9);
   EXPECT_EQ(text(between.opened(old.sealed("a"))), "a");
   EXPECT_EQ(text(between.opened(fresh.sealed("b"))), "b");
   EXPECT_EQ(text(old.opened(between.sealed("c"))), "c");
@@ -57,7 +57,7 @@
 }
 
 TEST(Seal, ABitThatIsAnotherAnywhereIsRefused) {
-  Seal from({key(1)}, 7), to({key(1)}, 8);
+  MessageAuthenticator from({key(1)}, 7), to({key(1)}, 8);
   const auto sealed = from.sealed("message");
   for (std::size_t bit = 0; bit < sealed.size() * 8; ++bit) {
     auto spoilt = sealed;
@@ -70,4 +70,4 @@
 }
 
 }  // namespace
-}  // namespace rainhook::net
+}  // namespace rainhook::membershipTransport
--- a/tests/server_test.cpp
+++ b/tests/server_test.cpp
@@ -1,7 +1,7 @@
 // The whole server on loopback against small stand-ins: a req's path, and what peers do wrong.
 #include <gtest/gtest.h>
 
-#include "world.h"
+#include "fake_peers.h"
 
 namespace rainhook {
 namespace {
@@ -19,7 +19,7 @@
   EXPECT_EQ(launch["msg"], "launch");
   EXPECT_EQ(launch["call"], one);
   EXPECT_EQ(launch["service"], "read");
-  EXPECT_EQ(net::jsonl::fromBase64(launch["blob"]), body);
+  EXPECT_EQ(codec::jsonLines::fromBase64(launch["blob"]), body);
   w.ends(one, "ok", result);
   const auto answer = client.answer();
   EXPECT_EQ(answer.number, 1);
@@ -108,7 +108,7 @@
   next.say(Peers::response("200 OK", "reply"));
   const auto deliver = w.command();
   EXPECT_EQ(deliver["msg"], "deliver");
-  EXPECT_EQ(net::jsonl::fromBase64(deliver["blob"]), "reply");
+  EXPECT_EQ(codec::jsonLines::fromBase64(deliver["blob"]), "reply");
   w.wantsCall(one, "again");
   next = Line::accept(w.nextAt);
   ASSERT_TRUE(next.hear(Asked::read));
@@ -239,36 +239,37 @@
 
 // Kept results are bounded: what has no room any more is errored, and room comes back when they go.
 TEST(Marks, KeepNoMoreResultsThanTheyMay) {
-  server::Marks marks(10, 10s);
-  const server::Marks::Time at{};
-  const auto key = [](const char* mark) { return server::Marks::Key{HandlerId{1}, mark, {}}; };
+  server::DeduplicationCache marks(10, 10s);
+  const server::DeduplicationCache::Time at{};
+  const auto key = [](const char* mark) { return server::DeduplicationCache::Key{HandlerId{1}, mark, {}}; };
   for (std::uint32_t i = 1; i <= 2; ++i) {
-    marks.keep(key(i == 1 ? "a" : "b"), {}, ReqId{i}, at + 5s);
-    marks.ended(ReqId{i}, server::Marks::End::done, at, "eight by");
+    marks.keep(key(i == 1 ? "a" : "b"), {}, RequestId{i}, at + 5s);
+    marks.ended(RequestId{i}, server::DeduplicationCache::End::done, at, "eight by");
   }
-  EXPECT_EQ(marks.find(ReqId{1})->result, "eight by");
-  EXPECT_EQ(marks.find(ReqId{2})->end, server::Marks::End::errored);
-  marks.forget(ReqId{1});
-  marks.ended(ReqId{2}, server::Marks::End::done, at, "eight by");
-  EXPECT_EQ(marks.find(ReqId{2})->result, "eight by");
+  EXPECT_EQ(marks.find(RequestId{1})->result, "eight by");
+  EXPECT_EQ(marks.find(RequestId{2})->end, server::DeduplicationCache::End::errored);
+  marks.forget(RequestId{1});
+  marks.ended(RequestId{2}, server::DeduplicationCache::End::done, at, "eight by");
+  EXPECT_EQ(marks.find(RequestId{2})->result, "eight by");
 }
 
 // A long time of new marks: each is looked at when it is over and not before, and none stays.
 TEST(Marks, AreEmptiedByTimeAndLookedAtOnlyThen) {
-  server::Marks marks(1 << 20, 10s);
-  const server::Marks::Time start{};
+  server::DeduplicationCache marks(1 << 20, 10s);
+  const server::DeduplicationCache::Time start{};
   std::size_t most = 0;
   for (std::uint32_t i = 1; i <= 5000; ++i) {
     const auto at = start + 10ms * i;
     marks.expire(at);
-    marks.keep({HandlerId{1}, std::to_string(i), {}}, {}, ReqId{i}, at + 1s);
-    if (i % 3 == 0) marks.forget(ReqId{i});
-    if (i % 3 == 1) marks.ended(ReqId{i}, server::Marks::End::done, at, "result");
+    marks.keep({HandlerId{1}, std::to_string(i), {}}, {}, RequestId{i}, at + 1s);
+    if (i % 3 == 0) marks.forget(RequestId{i});
+    if (i % 3 == 1) marks.ended(RequestId{i}, server::DeduplicationCache::End::done, at, "result");
     most = std::max(most, marks.size());
   }
   EXPECT_LE(most, 2 * 1100u / 3 + 1);  // a second's and ten more, in which a repeat may be read late
-  EXPECT_EQ(marks.find(ReqId{4801})->end, server::Marks::End::errored);  // its second is over, its key stays
-  EXPECT_EQ(marks.find(ReqId{4999})->result, "result");
+  EXPECT_EQ(marks.find(RequestId{4801})->end,
+            server::DeduplicationCache::End::errored);  // its second is over, its key stays
+  EXPECT_EQ(marks.find(RequestId{4999})->result, "result");
   EXPECT_LE(marks.looks(), 2 * 5000u);
   marks.expire(start + 1h);
   EXPECT_EQ(marks.size(), 0u);
@@ -276,30 +277,30 @@
 }
 
 TEST(Marks, AResultThatComesAfterItsTimeIsNotKept) {
-  server::Marks marks(1 << 20, 10s);
-  const server::Marks::Time at{};
-  marks.keep({HandlerId{1}, "a", {}}, {}, ReqId{1}, at + 1s);
+  server::DeduplicationCache marks(1 << 20, 10s);
+  const server::DeduplicationCache::Time at{};
+  marks.keep({HandlerId{1}, "a", {}}, {}, RequestId{1}, at + 1s);
   marks.expire(at + 2s);
-  marks.ended(ReqId{1}, server::Marks::End::done, at + 3s, "late");
-  EXPECT_EQ(marks.find(ReqId{1})->result, "");
+  marks.ended(RequestId{1}, server::DeduplicationCache::End::done, at + 3s, "late");
+  EXPECT_EQ(marks.find(RequestId{1})->result, "");
 }
 
 // One that waited and has left is answered no more; the others still wait for the same first.
 TEST(Table, ThoseThatWaitLeaveOneByOne) {
-  server::Table table;
+  server::RequestTable table;
   for (std::uint32_t i = 1; i <= 4; ++i) {
-    net::ArrivedReq arrived;
+    peers::IncomingRequest arrived;
     arrived.name = std::to_string(i);
-    auto& req = table.add(ReqId{i}, std::move(arrived));
+    auto& req = table.add(RequestId{i}, std::move(arrived));
     if (i == 1) continue;
-    req.course = server::Course::waitingForFirst;
-    req.repeats = ReqId{i == 4 ? 2u : 1u};
-    table.waitFor(*req.repeats, ReqId{i});
+    req.course = server::RequestState::waitingForFirst;
+    req.repeats = RequestId{i == 4 ? 2u : 1u};
+    table.waitFor(*req.repeats, RequestId{i});
   }
-  EXPECT_EQ(table.waitingFor(ReqId{1}), (std::vector{ReqId{2}, ReqId{3}}));
-  table.drop(ReqId{2});
-  EXPECT_EQ(table.waitingFor(ReqId{1}), std::vector{ReqId{3}});
-  EXPECT_EQ(table.waitingFor(ReqId{2}), std::vector{ReqId{4}});
+  EXPECT_EQ(table.waitingFor(RequestId{1}), (std::vector{RequestId{2}, RequestId{3}}));
+  table.drop(RequestId{2});
+  EXPECT_EQ(table.waitingFor(RequestId{1}), std::vector{RequestId{3}});
+  EXPECT_EQ(table.waitingFor(RequestId{2}), std::vector{RequestId{4}});
 }
 
 TEST(ServerEngine, ABrokenLinkLosesAndDoublesNothing) {
@@ -389,8 +390,8 @@
   client.ask(3, Balancer::fields(one));
   auto line = w.command();
   while (line["call"] != one) line = w.command();
-  EXPECT_EQ(w.standing(),
-            (server::Server::Standing{.held = 0, .onCores = 1, .atCalls = 0, .unowed = 0, .callsOpen = 0}));
+  EXPECT_EQ(w.standing(), (server::RequestServer::Standing{
+                              .held = 0, .onCores = 1, .atCalls = 0, .unowed = 0, .callsOpen = 0}));
 }
 
 // A link that stands but says nothing any more is made anew.
@@ -532,7 +533,7 @@
                                                                        {"prio", "1.0"},
                                                                        {"obj", "zz"}})
     EXPECT_TRUE(refused(field, value)) << field;
-  client.say(net::thrift::Writer(net::thrift::Kind::call, "dance", 50).stop().whole());
+  client.say(codec::thrift::Writer(codec::thrift::Kind::call, "dance", 50).stop().whole());
   EXPECT_EQ(client.answer().what, What::exception);
   client.ask(60, Balancer::fields(two), std::string(2049, 'x'));
   EXPECT_EQ(client.answer().what, What::exception);
@@ -685,7 +686,7 @@
 
 TEST(ServerClients, OutOfDescriptorsAnIdleConnectionGivesWay) {
   Peers w;
-  w.place.descriptors = 32;  // 18 for balancers
+  w.place.maxDescriptors = 32;  // 18 for balancers
   w.start();
   std::vector<Balancer> clients;
   for (int i = 0; i < 24; ++i) {
@@ -706,7 +707,7 @@
 // all that is open, and those with a req open stay.
 TEST(ServerClients, RoomForAHerdIsMadeWithoutGoingThroughAllThatIsOpen) {
   Peers w;
-  w.place.descriptors = 256;  // 144 for balancers
+  w.place.maxDescriptors = 256;  // 144 for balancers
   w.start();
   std::vector<Balancer> known;
   for (int i = 0; i < 140; ++i) {
@@ -789,7 +790,7 @@
   EXPECT_EQ(client.answer().what, What::done);
   client.close();
   w.waitForEnd();
-  EXPECT_LT(std::chrono::steady_clock::now() - told, w.place.stopAfter);
+  EXPECT_LT(std::chrono::steady_clock::now() - told, w.place.shutdownTimeout);
 }
 
 TEST(ServerDrain, WhatStillRunsIsAnsweredBeforeTheStop) {
@@ -803,7 +804,7 @@
   EXPECT_EQ(client.answer().what, What::closing);
   EXPECT_EQ(client.answer().what, What::shed);
   w.waitForEnd();
-  EXPECT_LT(std::chrono::steady_clock::now() - told, w.place.stopAfter);
+  EXPECT_LT(std::chrono::steady_clock::now() - told, w.place.shutdownTimeout);
 }
 
 }  // namespace
--- a/tests/wire_test.cpp
+++ b/tests/wire_test.cpp
@@ -6,11 +6,11 @@
 #include "configuration/server_configuration.h"
 #include "simulator_adapter/simulator_host.h"
 
-namespace simhost {
+namespace rainhook::simulator {
 namespace {
 
-using rainhook::Facts;
-using rainhook::Gauge;
+using rainhook::DeploymentSettings;
+using rainhook::LoadGauge;
 
 std::vector<std::byte> bytes(std::string_view hex) {
   std::vector<std::byte> out;
@@ -27,14 +27,14 @@
   const auto batch = readBatch(bytes(clock + req));
   ASSERT_EQ(batch.events.size(), 1u);
   EXPECT_EQ(batch.clock, 0x1f568bf90u);
-  const auto& read = std::get<rainhook::ReqRead>(std::get<rainhook::Event>(batch.events[0].event));
+  const auto& read = std::get<rainhook::RequestArrived>(std::get<rainhook::Event>(batch.events[0].event));
   EXPECT_EQ(batch.events[0].instance, 3);
-  EXPECT_EQ(read.id, rainhook::ReqId{0x5d3a91c4});
-  EXPECT_EQ(read.repeats, rainhook::ReqId{0x0e6f2b19});
+  EXPECT_EQ(read.id, rainhook::RequestId{0x5d3a91c4});
+  EXPECT_EQ(read.duplicateOf, rainhook::RequestId{0x0e6f2b19});
   EXPECT_EQ(read.rank, 0.625);
-  EXPECT_EQ(read.workHint, rainhook::Span(12000000));
-  EXPECT_EQ(read.patience, rainhook::Span(240000000));
-  EXPECT_EQ(read.caller, rainhook::CallerId{17});
+  EXPECT_EQ(read.estimatedWork, rainhook::Duration(12000000));
+  EXPECT_EQ(read.timeRemaining, rainhook::Duration(240000000));
+  EXPECT_EQ(read.client, rainhook::ClientId{17});
 }
 
 TEST(Wire, RefusesEveryCutOfAFrame) {
@@ -55,36 +55,39 @@
 
 TEST(Wire, WritesTheRepliesOfThePage) {
   Reply reply;
-  reply.add(3, rainhook::Start{rainhook::ReqId{0x5d3a91c4}});
-  reply.add(3, rainhook::SetTimer{rainhook::TimerId{77}, rainhook::Span(500000000)});
-  reply.add(5, rainhook::Note{"two servers unknown"});
-  reply.add(3, rainhook::SaySignal{0.25});
-  reply.add(3, rainhook::Shed{rainhook::ReqId{0x0e6f2b19}, rainhook::Span(250000000), true});
+  reply.add(3, rainhook::StartExecution{rainhook::RequestId{0x5d3a91c4}});
+  reply.add(3, rainhook::SetTimer{rainhook::TimerId{77}, rainhook::Duration(500000000)});
+  reply.add(5, rainhook::DiagnosticMessage{"two servers unknown"});
+  reply.add(3, rainhook::PublishLoadSignal{0.25});
+  reply.add(3, rainhook::ShedRequest{rainhook::RequestId{0x0e6f2b19}, rainhook::Duration(250000000), true});
   EXPECT_EQ(reply.frame(),
             bytes("4900000005000000500300c4913a5d5c03004d0000000065cd1d000000005d05001300"
                   "74776f207365727665727320756e6b6e6f776e5a03000000803e510300192b6f0e80b2e60e0000000001"));
 }
 
-Facts readFacts(std::string_view text) { return rainhook::readFacts(rainhook::pairsOfText(text)); }
+DeploymentSettings readDeploymentSettings(std::string_view text) {
+  return rainhook::readDeploymentSettings(rainhook::parseSettingsText(text));
+}
 
-TEST(Facts, ReadsWordsAndKeepsStatedMeaningsOfAbsentOnes) {
-  const auto facts = readFacts(
+TEST(DeploymentSettings, ReadsWordsAndKeepsStatedMeaningsOfAbsentOnes) {
+  const auto facts = readDeploymentSettings(
       "classes.count=1\nclasses.0.effect=guarded\nclasses.0.aimNs=5\ndomain.halt=pause\nunknown.key=x\n"
       "domain.signal=credit\ndomain.classSkipWorth=0.3,0.4\ndomain.gauges=sockets,new_one,cpu_busy\n");
-  EXPECT_EQ(facts.handlers.at(0).effect, rainhook::Effect::uniqued);
-  EXPECT_EQ(facts.handlers[0].clientTimeout, rainhook::Span(5));
-  EXPECT_EQ(facts.handlers[0].skipValue, 0.3);
-  EXPECT_EQ(facts.machine.halting, rainhook::Halting::pause);
-  EXPECT_EQ(facts.voice.signal, rainhook::SignalKind::credit);
-  EXPECT_EQ(facts.voice.longestAdvice, rainhook::Span(0));
-  EXPECT_FALSE(facts.tellsPatience);
-  EXPECT_EQ(facts.gauges, (std::vector{Gauge::connections, Gauge::other, Gauge::cpu}));
+  EXPECT_EQ(facts.handlerPolicies.at(0).idempotency, rainhook::Idempotency::keyed);
+  EXPECT_EQ(facts.handlerPolicies[0].clientTimeout, rainhook::Duration(5));
+  EXPECT_EQ(facts.handlerPolicies[0].degradedWeight, 0.3);
+  EXPECT_EQ(facts.machine.cancellation, rainhook::CancellationMode::pauseWork);
+  EXPECT_EQ(facts.signaling.signalKind, rainhook::LoadSignalKind::credit);
+  EXPECT_EQ(facts.signaling.maxRetryAfter, rainhook::Duration(0));
+  EXPECT_FALSE(facts.clientsSendTimeRemaining);
+  EXPECT_EQ(facts.gauges,
+            (std::vector{LoadGauge::openConnections, LoadGauge::other, LoadGauge::cpuUtilization}));
 }
 
-TEST(Facts, RefusesWhatIsNoNumberOrNoKnownWord) {
+TEST(DeploymentSettings, RefusesWhatIsNoNumberOrNoKnownWord) {
   for (const char* bad : {"domain.cores=six", "domain.cores=1.5", "domain.memoryKb=nan", "domain.halt=maybe",
                           "domain.cold=perhaps", "invariants.fallNs=-5", "no sign", "classes.count=-1"})
-    EXPECT_THROW(readFacts(bad), rainhook::FactsError) << bad;
+    EXPECT_THROW(readDeploymentSettings(bad), rainhook::ConfigurationError) << bad;
 }
 
 // Nested JSON gives the same facts as the flat text, and a fault names its path.
@@ -95,17 +98,17 @@
       "orgs": [{"name": "acme"}], "domain": {"classCalls": [false, true], "cores": 3, "gauges": ["sockets"]}}})";
   const auto [place, facts, fixed] = rainhook::readConfiguration(good);
   EXPECT_EQ(place.seed, rainhook::Seed{0x8c1f30d27a5be964});
-  EXPECT_EQ(place.descriptors, 512u);
-  EXPECT_EQ(place.stopAfter, std::chrono::milliseconds(3200));
-  EXPECT_EQ(place.next, "");
+  EXPECT_EQ(place.maxDescriptors, 512u);
+  EXPECT_EQ(place.shutdownTimeout, std::chrono::milliseconds(3200));
+  EXPECT_EQ(place.downstream, "");
   EXPECT_EQ(facts.handlerNames, (std::vector<std::string>{"a", "b"}));
-  EXPECT_EQ(facts.customerNames, std::vector<std::string>{"acme"});
-  EXPECT_TRUE(facts.handlers.at(1).calls);
+  EXPECT_EQ(facts.tenantNames, std::vector<std::string>{"acme"});
+  EXPECT_TRUE(facts.handlerPolicies.at(1).callsDownstream);
   EXPECT_EQ(facts.machine.cores, 3);
-  EXPECT_EQ(facts.gauges, std::vector{Gauge::connections});
+  EXPECT_EQ(facts.gauges, std::vector{LoadGauge::openConnections});
   auto other = good;
   other.replace(other.find("6100"), 4, "6200").replace(other.find("512"), 3, "384");
-  EXPECT_EQ(leftByReload(rainhook::readConfiguration(good), rainhook::readConfiguration(other)),
+  EXPECT_EQ(restartRequiredChanges(rainhook::readConfiguration(good), rainhook::readConfiguration(other)),
             std::vector<std::string>{"limits"});
   const std::pair<const char*, std::pair<const char*, const char*>> faults[] = {
       {"\"name\": \"n3\",", {"", "name is missing"}},
@@ -125,15 +128,15 @@
     try {
       rainhook::readConfiguration(bad);
       ADD_FAILURE() << "taken: " << now.second;
-    } catch (const rainhook::FactsError& error) {
+    } catch (const rainhook::ConfigurationError& error) {
       EXPECT_NE(std::string(error.what()).find(now.second), std::string::npos) << error.what();
     }
   }
-  EXPECT_THROW(rainhook::readConfigurationFile("/nowhere"), rainhook::FactsError);
+  EXPECT_THROW(rainhook::readConfigurationFile("/nowhere"), rainhook::ConfigurationError);
 }
 
 TEST(Host, ANumberMayEndAndStartInOneBatch) {
-  const rainhook::Event read = rainhook::ReqRead{};
+  const rainhook::Event read = rainhook::RequestArrived{};
   Host host;
   host.answer({0, {{4, Attach{1, "classes.count=1\n"}}}});
   // What came before the death is void; the fresh instance opens, and nothing is said of the old req.
@@ -145,12 +148,12 @@
 
 TEST(Host, RefusesEventsForInstancesAndClassesItDoesNotKnow) {
   Host host;
-  EXPECT_THROW(host.answer({0, {{4, rainhook::Event{rainhook::CallerGone{}}}}}), WireError);
+  EXPECT_THROW(host.answer({0, {{4, rainhook::Event{rainhook::ClientDisconnected{}}}}}), WireError);
   host.answer({0, {{4, Attach{1, "classes.count=1\n"}}}});
-  rainhook::ReqRead read;
+  rainhook::RequestArrived read;
   read.handler = rainhook::HandlerId{1};
   EXPECT_THROW(host.answer({1, {{4, rainhook::Event{read}}}}), WireError);
 }
 
 }  // namespace
-}  // namespace simhost
+}  // namespace rainhook::simulator
