--- a/tests/options_test.cpp
+++ b/tests/options_test.cpp
@@ -138,7 +138,7 @@
 }
 
 TEST(PlanQuestion, EachFaultNamesFileLineAndKey) {
-  const std::string file = ::testing::TempDir() + "rainhook-zones.yaml";
+  const std::string file = ::testing::TempDir() + "rainhook-zones-" + std::to_string(::getpid()) + ".yaml";
   const auto fault = [&](const std::string& text) -> std::string {
     std::ofstream(file) << text;
     try {
@@ -159,6 +159,7 @@
   EXPECT_EQ(fault("zones: {a: r}\nfigures: {c: {read: 5}}\n"), ":2: figures.c: is no known key");
   EXPECT_EQ(fault("zones: {a: r}\nfigures: {a: {read: many}}\n"),
             ":2: figures.a.read: 'many' is no number from 0 to 1000000000");
+  std::filesystem::remove(file);
 }
 
 }  // namespace
