--- a/Makefile
+++ b/Makefile
@@ -18,17 +18,19 @@
 
 built: built-plain built-sanitized
 built-plain: OPTIONS :=
-built-sanitized: OPTIONS := -DRAINHOOK_SANITIZE=ON
+# -O1: the same checks, in half the time of the compiler.
+built-sanitized: OPTIONS := -DRAINHOOK_SANITIZE=ON -DCMAKE_CXX_FLAGS_RELEASE='-O1 -DNDEBUG'
 built-plain built-sanitized: built-%:
 	cmake -G 'Unix Makefiles' -B build-test-$* -DCMAKE_BUILD_TYPE=Release -DRAINHOOK_TESTS=ON $(OPTIONS)
-	+$(MAKE) -C build-test-$* $(JOBS)
+	+$(MAKE) --no-print-directory -C build-test-$* $(JOBS)
 
-# All at once; then what holds the time on real sockets beside few others; then what starts processes.
+# A test a core; then what holds the time on real sockets beside few others; then what starts processes.
 TIMING_JOBS ?= 4
+PROCESS_JOBS ?= $(shell nproc)
 test-plain test-sanitized: test-%: built-%
 	ctest --test-dir build-$@ -LE 'processes|timing' -j$$(nproc) $${PASS_OVER:+-E "$$PASS_OVER"} --output-on-failure --timeout 240
 	ctest --test-dir build-$@ -L timing -j$(TIMING_JOBS) $${PASS_OVER:+-E "$$PASS_OVER"} --output-on-failure --timeout 240
-	ctest --test-dir build-$@ -L processes -j$$(nproc) $${PASS_OVER:+-E "$$PASS_OVER"} --output-on-failure --timeout 240
+	ctest --test-dir build-$@ -L processes -j$(PROCESS_JOBS) $${PASS_OVER:+-E "$$PASS_OVER"} --output-on-failure --timeout 240
 
 # A search of FUZZ_SECONDS for bytes that harm the store's readers; not in CI, which runs the corpus.
 fuzz-store:
@@ -76,7 +78,7 @@
 lint-format:
 	clang-format --dry-run --Werror $(SOURCES)
 lint-tidy: lint-commands
-	+$(MAKE) $(JOBS) -k $(TIDY)
+	+@$(MAKE) --no-print-directory $(JOBS) -k $(TIDY)
 lint-commands:
 	cmake -B build -DCMAKE_BUILD_TYPE=Release -DCMAKE_EXPORT_COMPILE_COMMANDS=ON
 .PHONY: $(TIDY)
