--- a/src/commands/failover_command.cpp
+++ b/src/commands/failover_command.cpp
@@ -1,17 +1,25 @@
-// failover: the plan that the zones follow. So far only computed from a file of figures, without a fleet.
+/// @file
+/// `rainhook failover`: so far only computes a plan from a file of observations, without a fleet.
 #include <fmt/format.h>
 
 #include <iostream>
 #include <nlohmann/json.hpp>
+#include <string>
 
 #include "commands/commands.h"
+#include "failover/failover_planner.h"
 #include "options/failover_options.h"
 
 namespace rainhook::commands {
 namespace {
 
 namespace po = boost::program_options;
-using namespace failover;
+using failover::FailoverPlan;
+using failover::FailoverPlanner;
+using failover::TransitionReason;
+using failover::ZoneName;
+using failover::ZonePlan;
+using failover::ZoneState;
 
 constexpr const char* usage = R"(usage: rainhook failover plan FILE [--json]
 
@@ -19,32 +27,109 @@
 
 )";
 
-Plan planned(const options::PlanQuestion& question) {
-  Planner planner(question.terms);
-  Plan plan, before;
-  Span now{};
-  for (std::uint64_t look = 0; look < question.looks; ++look, now += question.terms.look) {
-    const Plan next = planner.next(now, question.seen, question.orders, plan, {before});
-    before = plan, plan = next;
+/// Smaller shares are left out of the table, which shows tenths of a percent.
+constexpr double leastPrintedShare = 0.0005;
+
+/// The names of states in the JSON output, a published format.
+const char* jsonNameOf(ZoneState state) {
+  switch (state) {
+    case ZoneState::serving:
+      return "in service";
+    case ZoneState::overloaded:
+      return "strained";
+    case ZoneState::draining:
+      return "leaving";
+    case ZoneState::outOfService:
+      return "out";
+    case ZoneState::recovering:
+      return "filling";
+  }
+  return "";
+}
+
+/// The reasons in the JSON output, a published format.
+const char* jsonNameOf(TransitionReason reason) {
+  switch (reason) {
+    case TransitionReason::none:
+      return "";
+    case TransitionReason::unreachable:
+      return "nobody of it is heard";
+    case TransitionReason::drainedByOperator:
+      return "drained by order";
+    case TransitionReason::slowerThanOtherZones:
+      return "its reqs take over three times as long as elsewhere";
+    case TransitionReason::healthyAgain:
+      return "well again";
+    case TransitionReason::waitingToRecover:
+      return "heard again, and waited for";
+    case TransitionReason::reachableAgain:
+      return "heard again";
+    case TransitionReason::recoveryStepFailed:
+      return "reqs wait there: a step back";
+    case TransitionReason::recoveryCompleted:
+      return "filled";
+    case TransitionReason::recoveryStepSucceeded:
+      return "it does what it gets";
+    case TransitionReason::arrivalsExceedCapacity:
+      return "more than it can do";
+    case TransitionReason::overloadEnded:
+      return "does what it gets";
+  }
+  return "";
+}
+
+/// Makes as many plans as the scenario has steps; each counts the plan before its previous one as still in
+/// use.
+FailoverPlan computePlan(const options::PlanningScenario& scenario) {
+  FailoverPlanner planner(scenario.settings);
+  FailoverPlan plan;
+  FailoverPlan planInUse;
+  failover::Duration now{};
+  for (std::uint64_t step = 0; step < scenario.steps; ++step) {
+    const FailoverPlan next =
+        planner.nextPlan(now, scenario.observation, scenario.overrides, plan, {planInUse});
+    planInUse = plan;
+    plan = next;
+    now += scenario.settings.stepInterval;
   }
   return plan;
 }
 
-nlohmann::json written(const Plan& plan) {
-  nlohmann::json out{{"version", static_cast<std::uint64_t>(plan.version)},
-                     {"zones", nlohmann::json::array()}};
-  for (const auto& [zone, is] : plan.zones) {
-    nlohmann::json to = nlohmann::json::object();
-    for (const auto& [target, other] : plan.zones)
-      if (const double share = plan.share(zone, target); share > 0) to[target.text] = share;
-    out["zones"].push_back({{"zone", zone.text},
-                            {"state", nameOf(is.state)},
-                            {"fill", is.fill},
-                            {"proven_a_second", is.proven},
-                            {"why", is.why},
-                            {"shares", to}});
+nlohmann::json toJson(const FailoverPlan& plan, const ZoneName& zone, const ZonePlan& zonePlan) {
+  nlohmann::json shares = nlohmann::json::object();
+  for (const auto& [target, targetPlan] : plan.zones)
+    if (const double share = plan.share(zone, target); share > 0) shares[target.text] = share;
+  return {{"zone", zone.text},
+          {"state", jsonNameOf(zonePlan.state)},
+          {"fill", zonePlan.usableRatio},
+          {"proven_a_second", zonePlan.provenRate},
+          {"why", jsonNameOf(zonePlan.reason)},
+          {"shares", shares}};
+}
+
+nlohmann::json toJson(const FailoverPlan& plan) {
+  nlohmann::json zones = nlohmann::json::array();
+  for (const auto& [zone, zonePlan] : plan.zones) zones.push_back(toJson(plan, zone, zonePlan));
+  return {{"version", static_cast<std::uint64_t>(plan.version)}, {"zones", zones}};
+}
+
+std::string formatShares(const FailoverPlan& plan, const ZoneName& zone) {
+  std::string text;
+  for (const auto& [target, targetPlan] : plan.zones) {
+    const double share = plan.share(zone, target);
+    if (share < leastPrintedShare) continue;
+    text += fmt::format("{}{} {:.1f}%", text.empty() ? "" : ", ", target.text, 100 * share);
   }
-  return out;
+  return text;
+}
+
+void printTable(const FailoverPlan& plan) {
+  fmt::print("{:<14} {:<14} {:>6} {:>10}  {:<40} {}\n", "zone", "state", "usable", "proven/s",
+             "traffic goes to", "reason");
+  for (const auto& [zone, zonePlan] : plan.zones)
+    fmt::print("{:<14} {:<14} {:>6.2f} {:>10.1f}  {:<40} {}\n", zone.text, nameOf(zonePlan.state),
+               zonePlan.usableRatio, zonePlan.provenRate, formatShares(plan, zone),
+               describe(zonePlan.reason));
 }
 
 }  // namespace
@@ -55,25 +140,22 @@
       "command", po::value<std::string>()->default_value(""), "plan")(
       "file", po::value<std::string>()->default_value(""), "plan: the file, also as the word behind it")(
       "help", "this page");
-  const auto given = read(words, options, {"command", "file"});
-  const auto command = given["command"].as<std::string>(), file = given["file"].as<std::string>();
-  if (given.count("help") || command == "help") return std::cout << usage << options, fine;
-  if (command != "plan")
-    throw Misuse(command.empty() ? "failover: no command is given"
-                                 : "unknown command 'failover " + command + "'");
-  if (file.empty()) throw Misuse("failover plan: the file is missing");
-  const Plan plan = planned(options::readPlanQuestion(file));
-  if (given["json"].as<bool>()) return std::cout << written(plan).dump(2) << '\n', fine;
-  fmt::print("{:<14} {:<11} {:>6} {:>10}  {:<40} {}\n", "zone", "state", "fill", "proven/s",
-             "traffic goes to", "why");
-  for (const auto& [zone, is] : plan.zones) {
-    std::string to;
-    for (const auto& [target, other] : plan.zones)
-      if (const double share = plan.share(zone, target); share >= 0.0005)
-        to += fmt::format("{}{} {:.1f}%", to.empty() ? "" : ", ", target.text, 100 * share);
-    fmt::print("{:<14} {:<11} {:>6.2f} {:>10.1f}  {:<40} {}\n", zone.text, nameOf(is.state), is.fill,
-               is.proven, to, is.why);
+  const po::variables_map given = read(words, options, {"command", "file"});
+  const auto command = given["command"].as<std::string>();
+  const auto file = given["file"].as<std::string>();
+  if (given.count("help") > 0 || command == "help") {
+    std::cout << usage << options;
+    return fine;
   }
+  if (command.empty()) throw Misuse("failover: no command is given");
+  if (command != "plan") throw Misuse("unknown command 'failover " + command + "'");
+  if (file.empty()) throw Misuse("failover plan: the file is missing");
+
+  const FailoverPlan plan = computePlan(options::readPlanningScenario(file));
+  if (given["json"].as<bool>())
+    std::cout << toJson(plan).dump(2) << '\n';
+  else
+    printTable(plan);
   return fine;
 }
 
--- /dev/null
+++ b/src/failover/gray_failure_detector.cpp
@@ -0,0 +1,76 @@
+#include "failover/gray_failure_detector.h"
+
+#include <algorithm>
+#include <cstddef>
+#include <vector>
+
+namespace rainhook::failover {
+namespace {
+
+/// A zone is slow when its service time is over this multiple of the others' median.
+constexpr double slowFactor = 3;
+/// It is healthy below this multiple; in between, neither.
+constexpr double healthyFactor = slowFactor / 2;
+/// Step intervals for which a zone has to be slow before it counts as a gray failure.
+constexpr int slowStepsToFailure = 3;
+
+using ServiceTimes = std::map<ZoneName, double>;
+
+/// Seconds per request, of the zones with work and with data that is not too old.
+ServiceTimes measureServiceTimes(const FailoverSettings& settings, const FleetObservation& observation) {
+  ServiceTimes times;
+  for (const auto& [zone, observed] : observation.zones) {
+    const bool hasWork = observed.liveMembers > 0 && observed.completionRate > 0 && observed.executing > 0;
+    if (settings.zones.contains(zone) && hasWork && observed.dataAge < settings.maxDataAge)
+      times[zone] = observed.executing / observed.completionRate;
+  }
+  return times;
+}
+
+/// The median of all service times but the zone's own, of an even number the upper one; empty if there are
+/// none.
+std::optional<double> medianOfOthers(const ServiceTimes& times, const ZoneName& zone) {
+  std::vector<double> others;
+  for (const auto& [other, time] : times)
+    if (other != zone) others.push_back(time);
+  if (others.empty()) return std::nullopt;
+  const auto middle = others.begin() + static_cast<std::ptrdiff_t>(others.size() / 2);
+  std::nth_element(others.begin(), middle, others.end());
+  return *middle;
+}
+
+/// Keeps the time at which a condition became true, for as long as it holds.
+void trackSince(std::optional<Duration>& since, bool holds, Duration now) {
+  if (!holds)
+    since.reset();
+  else if (!since)
+    since = now;
+}
+
+}  // namespace
+
+std::set<ZoneName> GrayFailureDetector::update(Duration now, const FailoverSettings& settings,
+                                               const FleetObservation& observation) {
+  const ServiceTimes times = measureServiceTimes(settings, observation);
+  std::set<ZoneName> grayFailures;
+  for (const auto& [zone, region] : settings.zones) {
+    const auto own = times.find(zone);
+    const std::optional<double> median = medianOfOthers(times, zone);
+    const bool isComparable = own != times.end() && median;
+    const bool isSlow = isComparable && own->second > slowFactor * *median;
+    const bool isHealthy = !isComparable || own->second < healthyFactor * *median;
+    ZoneHistory& history = histories_[zone];
+    trackSince(history.slowSince, isSlow, now);
+    trackSince(history.healthySince, isHealthy, now);
+    if (isSlow && now - *history.slowSince >= slowStepsToFailure * settings.stepInterval)
+      grayFailures.insert(zone);
+  }
+  return grayFailures;
+}
+
+std::optional<Duration> GrayFailureDetector::healthySince(const ZoneName& zone) const {
+  const auto found = histories_.find(zone);
+  return found == histories_.end() ? std::nullopt : found->second.healthySince;
+}
+
+}  // namespace rainhook::failover
--- a/src/options/failover_options.h
+++ b/src/options/failover_options.h
@@ -1,23 +1,29 @@
-// The terms of failover's plan and, for trying a plan without a fleet, a file of figures. Errors:
-// OptionsError.
+/// @file
+/// Reads failover's settings and, for computing a plan without a fleet, a file of observations. The keys of
+/// both are mapped to failover's types here and nowhere else. Errors: OptionsError.
 #pragma once
 
+#include <cstdint>
 #include <string>
 
-#include "failover/failover_planner.h"
+#include "failover/failover_types.h"
 #include "options/yaml_section.h"
 
 namespace rainhook::options {
 
-// zones, costs, in-region, beyond, margin, look, step: of a section that may hold more.
-failover::PlanTerms planTerms(Section& given);
+/// Reads the keys zones, costs, in-region, beyond, margin, look and step of a section that may hold more.
+/// Throws OptionsError.
+[[nodiscard]] failover::FailoverSettings readFailoverSettings(Section& section);
 
-struct PlanQuestion {
-  failover::PlanTerms terms;
-  failover::Seen seen;
-  failover::Orders orders;
-  std::uint64_t looks = 1;  // so often with the same figures, a look apart
+/// What `rainhook failover plan` computes a plan from.
+struct PlanningScenario {
+  failover::FailoverSettings settings;
+  failover::FleetObservation observation;
+  failover::OperatorOverrides overrides;
+  std::uint64_t steps = 1;  ///< steps with this same observation, a step interval apart
 };
-PlanQuestion readPlanQuestion(const std::string& file);
+
+/// Reads a file such as examples/zones.yaml. Throws OptionsError.
+[[nodiscard]] PlanningScenario readPlanningScenario(const std::string& file);
 
 }  // namespace rainhook::options
--- a/tests/failover_recording_test.cpp
+++ b/tests/failover_recording_test.cpp
@@ -26,36 +26,48 @@
 /// The numbers of the recording; they stay whatever becomes of the enumeration.
 std::uint64_t stableNumber(ZoneState state) {
   switch (state) {
-    case ZoneState::inService:
+    case ZoneState::serving:
       return 1;
-    case ZoneState::strained:
+    case ZoneState::overloaded:
       return 2;
-    case ZoneState::leaving:
+    case ZoneState::draining:
       return 3;
-    case ZoneState::out:
+    case ZoneState::outOfService:
       return 4;
-    case ZoneState::filling:
+    case ZoneState::recovering:
       return 5;
   }
   return 0;
 }
 
-std::uint64_t stableNumber(const std::string& reason) {
-  static const std::map<std::string, std::uint64_t> numbers{
-      {"", 1},
-      {"nobody of it is heard", 2},
-      {"drained by order", 3},
-      {"its reqs take over three times as long as elsewhere", 4},
-      {"well again", 5},
-      {"heard again, and waited for", 6},
-      {"heard again", 7},
-      {"reqs wait there: a step back", 8},
-      {"filled", 9},
-      {"it does what it gets", 10},
-      {"more than it can do", 11},
-      {"does what it gets", 12},
-  };
-  return numbers.at(reason);
+std::uint64_t stableNumber(TransitionReason reason) {
+  switch (reason) {
+    case TransitionReason::none:
+      return 1;
+    case TransitionReason::unreachable:
+      return 2;
+    case TransitionReason::drainedByOperator:
+      return 3;
+    case TransitionReason::slowerThanOtherZones:
+      return 4;
+    case TransitionReason::healthyAgain:
+      return 5;
+    case TransitionReason::waitingToRecover:
+      return 6;
+    case TransitionReason::reachableAgain:
+      return 7;
+    case TransitionReason::recoveryStepFailed:
+      return 8;
+    case TransitionReason::recoveryCompleted:
+      return 9;
+    case TransitionReason::recoveryStepSucceeded:
+      return 10;
+    case TransitionReason::arrivalsExceedCapacity:
+      return 11;
+    case TransitionReason::overloadEnded:
+      return 12;
+  }
+  return 0;
 }
 
 constexpr std::size_t stateNumbers = 6;
@@ -70,16 +82,16 @@
   std::array<int, reasonNumbers> reasons{};
 };
 
-void addPlan(Fnv1aHash& hash, const Plan& plan) {
+void addPlan(Fnv1aHash& hash, const FailoverPlan& plan) {
   hash.add(static_cast<std::uint64_t>(plan.version));
   hash.add(std::uint64_t{plan.zones.size()});
   for (const auto& [zone, zonePlan] : plan.zones) {
     hash.add(zone.text);
     hash.add(stableNumber(zonePlan.state));
-    hash.add(zonePlan.fill);
-    hash.add(zonePlan.proven);
-    hash.add(std::uint64_t{zonePlan.returns});
-    hash.add(stableNumber(zonePlan.why));
+    hash.add(zonePlan.usableRatio);
+    hash.add(zonePlan.provenRate);
+    hash.add(std::uint64_t{zonePlan.failedRecoveries});
+    hash.add(stableNumber(zonePlan.reason));
   }
   hash.add(std::uint64_t{plan.shares.size()});
   for (const auto& [origin, targets] : plan.shares) {
@@ -92,15 +104,15 @@
   }
 }
 
-void count(Tally& tally, const Plan& plan) {
+void count(Tally& tally, const FailoverPlan& plan) {
   if (!plan.shares.empty()) ++tally.plansWithShares;
   for (const auto& [zone, zonePlan] : plan.zones) {
     ++tally.states.at(stableNumber(zonePlan.state));
-    ++tally.reasons.at(stableNumber(zonePlan.why));
+    ++tally.reasons.at(stableNumber(zonePlan.reason));
   }
 }
 
-enum class Fault : std::uint8_t { none, missing, memberless, silent, slow, verySlow, noWork, stale };
+enum class Fault : std::uint8_t { none, missing, memberless, unreachable, slow, verySlow, noWork, stale };
 
 struct SimulatedZone {
   double localRate = 0;  ///< requests a second of its own clients
@@ -119,7 +131,7 @@
         planner_(drawSettings()),
         faultPercent_(random_.oneOf(std::array{0, 2, 5, 12})),
         overloadPercent_(random_.oneOf(std::array{0, 20, 60})) {
-    for (const auto& [zone, region] : planner_.terms().zones) drawLoad(zones_[zone]);
+    for (const auto& [zone, region] : planner_.settings().zones) drawLoad(zones_[zone]);
   }
 
   RecordedRun run(const std::string& name, Tally& tally) {
@@ -128,8 +140,8 @@
     const auto steps = random_.between(60, 140);
     for (std::int64_t step = 1; step <= steps; ++step) {
       changeWorld();
-      const Plan previous = plan_;
-      plan_ = planner_.next(now_, observe(), orders_, plan_, plansInUse_);
+      const FailoverPlan previous = plan_;
+      plan_ = planner_.nextPlan(now_, observe(), overrides_, plan_, plansInUse_);
       addPlan(hash, plan_);
       count(tally, plan_);
       ++tally.steps;
@@ -142,8 +154,8 @@
   }
 
  private:
-  PlanTerms drawSettings() {
-    PlanTerms settings;
+  FailoverSettings drawSettings() {
+    FailoverSettings settings;
     const auto zoneCount = random_.between(2, 6);
     const auto regionCount = random_.between(1, 3);
     std::vector<ZoneName> names;
@@ -153,9 +165,9 @@
     }
     for (std::size_t i = 0; i + 1 < names.size(); ++i)
       if (random_.percent(25)) settings.costs[{names[i + 1], names[i]}] = drawCost();
-    if (random_.percent(40)) settings.margin = random_.thousandths(0, 300);
-    if (random_.percent(40)) settings.step = random_.thousandths(50, 1000);
-    if (random_.percent(40)) settings.look = std::chrono::milliseconds(random_.between(500, 8000));
+    if (random_.percent(40)) settings.capacityMargin = random_.thousandths(0, 300);
+    if (random_.percent(40)) settings.maxStep = random_.thousandths(50, 1000);
+    if (random_.percent(40)) settings.stepInterval = std::chrono::milliseconds(random_.between(500, 8000));
     return settings;
   }
 
@@ -179,14 +191,14 @@
       if (random_.percent(faultPercent_)) drawFault(zone);
     }
     if (random_.percent(5)) toggleDrain();
-    if (random_.percent(orders_.held ? 40 : 2)) orders_.held = !orders_.held;
-    if (random_.percent(5)) drawCut();
+    if (random_.percent(overrides_.isFrozen ? 40 : 2)) overrides_.isFrozen = !overrides_.isFrozen;
+    if (random_.percent(5)) drawUnreachablePair();
   }
 
   void drawFault(SimulatedZone& zone) {
     zone.fault =
-        random_.oneOf(std::array{Fault::missing, Fault::memberless, Fault::silent, Fault::slow, Fault::slow,
-                                 Fault::verySlow, Fault::verySlow, Fault::noWork, Fault::stale});
+        random_.oneOf(std::array{Fault::missing, Fault::memberless, Fault::unreachable, Fault::slow,
+                                 Fault::slow, Fault::verySlow, Fault::verySlow, Fault::noWork, Fault::stale});
     zone.slowdown = random_.thousandths(1400, 4000);
     zone.faultStepsLeft = static_cast<int>(random_.between(1, 30));
   }
@@ -196,15 +208,15 @@
 
   void toggleDrain() {
     const ZoneName& zone = drawZone();
-    if (orders_.drained.erase(zone) == 0) orders_.drained.insert(zone);
+    if (overrides_.drainedZones.erase(zone) == 0) overrides_.drainedZones.insert(zone);
   }
 
-  void drawCut() {
-    cut_.clear();
+  void drawUnreachablePair() {
+    unreachablePairs_.clear();
     if (random_.percent(60)) {
       const ZoneName& from = drawZone();
       const ZoneName& to = drawZone();
-      cut_.insert({from, to});
+      unreachablePairs_.insert({from, to});
     }
   }
 
@@ -215,39 +227,40 @@
     return rate;
   }
 
-  Seen observe() {
-    Seen observation;
-    observation.cut = cut_;
+  FleetObservation observe() {
+    FleetObservation observation;
+    observation.unreachablePairs = unreachablePairs_;
     for (const auto& [name, zone] : zones_)
-      if (zone.fault != Fault::missing) observation.zones[name] = figuresOf(name, zone);
+      if (zone.fault != Fault::missing) observation.zones[name] = observeZone(name, zone);
     return observation;
   }
 
-  ZoneFigures figuresOf(const ZoneName& name, const SimulatedZone& zone) {
-    ZoneFigures figures;
-    figures.members = zone.fault == Fault::memberless ? 0 : 3;
-    figures.silent = zone.fault == Fault::silent;
-    figures.read = zone.localRate * plan_.share(name, name) + assignedRate(name);
-    figures.done = std::min(figures.read, zone.capacity);
-    if (zone.fault == Fault::noWork) figures.done = 0;
+  ZoneObservation observeZone(const ZoneName& name, const SimulatedZone& zone) {
+    ZoneObservation observed;
+    observed.liveMembers = zone.fault == Fault::memberless ? 0 : 3;
+    observed.isUnreachable = zone.fault == Fault::unreachable;
+    observed.arrivalRate = zone.localRate * plan_.share(name, name) + assignedRate(name);
+    observed.completionRate = std::min(observed.arrivalRate, zone.capacity);
+    if (zone.fault == Fault::noWork) observed.completionRate = 0;
     double slowdown = 1;
     if (zone.fault == Fault::slow) slowdown = zone.slowdown;
     if (zone.fault == Fault::verySlow) slowdown = 5;
-    figures.running = figures.done * zone.secondsPerRequest * slowdown;
-    figures.limit = zone.capacity * zone.secondsPerRequest * random_.thousandths(900, 1500);
-    figures.heldBack = figures.read > zone.capacity ? random_.thousandths(400, 1000) : 0;
-    figures.age = std::chrono::milliseconds(random_.between(0, zone.fault == Fault::stale ? 15'000 : 3000));
-    return figures;
+    observed.executing = observed.completionRate * zone.secondsPerRequest * slowdown;
+    observed.concurrencyLimit = zone.capacity * zone.secondsPerRequest * random_.thousandths(900, 1500);
+    observed.queueingRatio = observed.arrivalRate > zone.capacity ? random_.thousandths(400, 1000) : 0;
+    observed.dataAge =
+        std::chrono::milliseconds(random_.between(0, zone.fault == Fault::stale ? 15'000 : 3000));
+    return observed;
   }
 
-  void rememberInUse(const Plan& previous) {
+  void rememberInUse(const FailoverPlan& previous) {
     if (random_.percent(60)) plansInUse_.push_back(previous);
     while (plansInUse_.size() > 3) plansInUse_.erase(plansInUse_.begin());
     if (random_.percent(30)) plansInUse_.clear();
   }
 
   void advanceTime() {
-    const Span interval = planner_.terms().look;
+    const Duration interval = planner_.settings().stepInterval;
     if (random_.percent(3))
       now_ += interval * random_.between(20, 300);
     else if (random_.percent(50))
@@ -257,15 +270,15 @@
   }
 
   SplitMix64 random_;
-  Planner planner_;
+  FailoverPlanner planner_;
   const int faultPercent_;
   const int overloadPercent_;
   std::map<ZoneName, SimulatedZone> zones_;
-  Orders orders_;
-  std::set<std::pair<ZoneName, ZoneName>> cut_;
-  Plan plan_;
-  std::vector<Plan> plansInUse_;
-  Span now_{};
+  OperatorOverrides overrides_;
+  std::set<std::pair<ZoneName, ZoneName>> unreachablePairs_;
+  FailoverPlan plan_;
+  std::vector<FailoverPlan> plansInUse_;
+  Duration now_{};
 };
 
 /// Some two thirds of what was counted at the first recording; runs that show less hold less.
--- a/tests/options_test.cpp
+++ b/tests/options_test.cpp
@@ -137,12 +137,12 @@
             "f.yaml:2: membership.advertise: is missing: others can't reach 0.0.0.0");
 }
 
-TEST(PlanQuestion, EachFaultNamesFileLineAndKey) {
+TEST(PlanningScenario, EachFaultNamesFileLineAndKey) {
   const std::string file = ::testing::TempDir() + "rainhook-zones.yaml";
   const auto fault = [&](const std::string& text) -> std::string {
     std::ofstream(file) << text;
     try {
-      readPlanQuestion(file);
+      static_cast<void>(readPlanningScenario(file));
     } catch (const OptionsError& error) {
       return std::string(error.what()).substr(file.size());
     }
