--- a/src/pools/work_pools.cpp
+++ b/src/pools/work_pools.cpp
@@ -10,150 +10,160 @@
 
 using namespace std::chrono_literals;
 
-// The interval of the decision module's own climber, with as many answers to tell of it.
-constexpr Duration interval = 1s;
-constexpr int answersWanted = 10;
-// The gains of that climber: a step of two runs counts fully, so does a change by twice the least latency.
-constexpr double stepGain = 0.5, latencyGain = 0.5, leastStep = 0.25;
-// What is read tells of a jump within this time, what runs earn of a change of worth.
-constexpr double readHalfLife = 0.1, worthHalfLife = 4;
-// A rate that asks for so many times a pool's limit has outrun the rules.
-constexpr double outrun = 1.2;
-// Runs' worth of prior knowledge in a density.
-constexpr double prior = 4;
-
-double seconds(Duration span) { return std::chrono::duration<double>(span).count(); }
+/// As the decision module's limiter for the whole server.
+constexpr Duration adjustmentInterval = 1s;
+/// A pool whose demand is this multiple of its limit can't wait for the adjustments of its limiter.
+constexpr double demandJumpFactor = 1.2;
+/// Keeps a limit that is a whole number but for rounding errors from being rounded down.
+constexpr double roundingTolerance = 1e-9;
+/// Bounds the rate at which a pool with very short executions gains or loses credit.
+constexpr double leastCreditSeconds = 1e-3;
+
+double toSeconds(Duration span) { return std::chrono::duration<double>(span).count(); }
+
+int roundDown(double limit) { return static_cast<int>(limit + roundingTolerance); }
+
+int wanted(const PoolLoad& load) { return load.queued + load.executing; }
 
 }  // namespace
 
-Pools::Pools(std::vector<PoolTerms> terms) {
-  for (auto& own : terms) {
-    Row row;
-    row.core = own.firstCore;
-    row.terms = std::move(own);
-    rows_.push_back(std::move(row));
-  }
-  may_.resize(rows_.size());
+WorkPools::WorkPools(std::span<const PoolSettings> settings) : limits_(settings.size()) {
+  for (const PoolSettings& pool : settings)
+    pools_.push_back(
+        {.statistics = PoolStatistics(pool), .reservedRatio = pool.reservedRatio, .limiter = {}});
 }
 
-double Pools::density(PoolId pool) const {
-  const Row& row = rows_[static_cast<std::size_t>(pool)];
-  return (row.worth + prior * row.terms.value) / (row.spent + prior * std::max(row.core, 1e-6));
+void WorkPools::onExecutionEnded(PoolId pool, const ExecutionReport& report) {
+  at(pool).statistics.onExecutionEnded(report);
+  if (report.earnedWeight > 0) at(pool).limiter.onAnswer(report.latencyRatio);
 }
 
-void Pools::ended(PoolId pool, double coreSeconds, double scaledLatency, double worth) {
-  Row& r = row(pool);
-  r.core += (coreSeconds - r.core) * 0.05;
-  r.worth += worth, r.spent += coreSeconds;
-  if (worth > 0) r.sum += scaledLatency, ++r.answers;
+std::span<const int> WorkPools::concurrencyLimits(Duration now, double total,
+                                                  std::span<const PoolLoad> loads) {
+  const double elapsedSeconds = toSeconds(now - std::exchange(now_, now));
+  if (!std::exchange(isStarted_, true)) {
+    divideEqually(total);
+    nextAdjustment_ = now + adjustmentInterval;
+  }
+  for (Pool& pool : pools_) pool.statistics.advance(elapsedSeconds);
+  if (now >= nextAdjustment_) {
+    nextAdjustment_ = now + adjustmentInterval;
+    for (Pool& pool : pools_) pool.limit += pool.limiter.endInterval();
+  }
+  followDemand(total, loads);
+  fitToTotal(total);
+
+  const int remainder = grantWholeLimits(total, loads);
+  grantRemainder(remainder, loads);
+  updateCredits(elapsedSeconds, loads);
+  return limits_;
+}
+
+void WorkPools::divideEqually(double total) {
+  for (Pool& pool : pools_) pool.limit = total / static_cast<double>(pools_.size());
 }
 
-void Pools::pass(double secs) {
-  if (secs <= 0) return;
-  const double keepRead = std::exp2(-secs / readHalfLife), keepWorth = std::exp2(-secs / worthHalfLife);
-  for (Row& row : rows_) {
-    row.rate = row.rate * keepRead + row.read / secs * (1 - keepRead);
-    row.read = 0;
-    row.worth *= keepWorth, row.spent *= keepWorth;
+/// A pool whose requests arrive faster than its limit can serve them gets what they ask for at once.
+void WorkPools::followDemand(double total, std::span<const PoolLoad> loads) {
+  for (std::size_t i = 0; i < pools_.size(); ++i) {
+    Pool& pool = pools_[i];
+    const double demand = pool.statistics.demand();
+    if (loads[i].queued > 0 && demand > demandJumpFactor * pool.limit) pool.limit = std::min(demand, total);
   }
 }
 
-// The four rules, on this pool's own latency; an interval teaches only where the limit held something back.
-void Pools::climb(Row& row) {
-  if (row.answers < answersWanted) return;
-  const double mean = row.sum / row.answers;
-  if (row.heldBack) {
-    if (row.mean == 0) {
-      row.asked = 1;
-    } else {
-      const double out = fuzzyStep(row.asked * stepGain, (mean - row.mean) * latencyGain) / stepGain;
-      row.asked = std::abs(out) >= leastStep ? out : out > 0 ? leastStep : -leastStep;
-    }
-    row.mean = mean;
-    row.limit += row.asked;
+/// Makes the limits sum up to the total. An excess is taken from the pools that earn least per core second,
+/// down to their reserves. What is left over goes to the pool that earns most among those whose limit was
+/// reached.
+void WorkPools::fitToTotal(double total) {
+  const std::vector<std::size_t> byWeight = poolsByWeight();
+  double excess = clampLimits(total);
+  for (const std::size_t index : byWeight) {
+    if (excess <= 0) break;
+    Pool& pool = pools_[index];
+    const double reduction = std::min(excess, pool.limit - pool.reservedRatio * total);
+    pool.limit -= reduction;
+    excess -= reduction;
   }
-  row.sum = 0, row.answers = 0, row.heldBack = false;
+  if (excess >= 0) return;
+  const auto isLimitReached = [this](std::size_t index) { return pools_[index].limiter.isLimitReached(); };
+  const auto best = std::find_if(byWeight.rbegin(), byWeight.rend(), isLimitReached);
+  const std::size_t receiver = best == byWeight.rend() ? byWeight.back() : *best;
+  pools_[receiver].limit -= excess;
 }
 
-// What is read against what may run, by Little's law: a pool whose reqs come faster than its limit can do
-// them asks for what they take at once.
-void Pools::jump(double total, std::span<const PoolLoad> loads) {
-  for (std::size_t i = 0; i < rows_.size(); ++i) {
-    Row& row = rows_[i];
-    const double wants = row.rate * row.core;
-    if (loads[i].held > 0 && wants > outrun * row.limit) row.limit = std::min(wants, total);
+/// Keeps each limit between the pool's reserve and the total. Returns by how much their sum exceeds the
+/// total; negative if it is less.
+double WorkPools::clampLimits(double total) {
+  double excess = -total;
+  for (Pool& pool : pools_) {
+    pool.limit = std::clamp(pool.limit, pool.reservedRatio * total, total);
+    excess += pool.limit;
   }
+  return excess;
 }
 
-// The limits sum to the total. What is over goes from those that earn least for a core second, down to their
-// floors; what is left over goes to those that were held back, the one that earns most first.
-void Pools::arbitrate(double total) {
-  std::vector<std::size_t> byDensity(rows_.size());
-  std::iota(byDensity.begin(), byDensity.end(), std::size_t{0});
-  std::stable_sort(byDensity.begin(), byDensity.end(), [this](std::size_t a, std::size_t b) {
-    return density(static_cast<PoolId>(a)) < density(static_cast<PoolId>(b));
+/// The pools' indices, those first that earn least for a core second.
+std::vector<std::size_t> WorkPools::poolsByWeight() const {
+  std::vector<std::size_t> indices(pools_.size());
+  std::iota(indices.begin(), indices.end(), std::size_t{0});
+  std::stable_sort(indices.begin(), indices.end(), [this](std::size_t left, std::size_t right) {
+    return pools_[left].statistics.weightPerCoreSecond() < pools_[right].statistics.weightPerCoreSecond();
   });
-  double over = -total;
-  for (Row& row : rows_) {
-    row.limit = std::clamp(row.limit, floorOf(row, total), total);
-    over += row.limit;
-  }
-  for (const std::size_t i : byDensity) {
-    if (over <= 0) break;
-    const double less = std::min(over, rows_[i].limit - floorOf(rows_[i], total));
-    rows_[i].limit -= less, over -= less;
-  }
-  if (over < 0) {
-    const auto best =
-        std::find_if(byDensity.rbegin(), byDensity.rend(), [&](std::size_t i) { return rows_[i].heldBack; });
-    rows_[best == byDensity.rend() ? byDensity.back() : *best].limit -= over;
-  }
+  return indices;
 }
 
-std::span<const int> Pools::mayRun(Duration now, double total, std::span<const PoolLoad> loads) {
-  const double secs = seconds(now - std::exchange(now_, now));
-  if (!std::exchange(opened_, true)) {
-    for (Row& row : rows_) row.limit = total / static_cast<double>(rows_.size());
-    nextStep_ = now + interval;
+/// Gives each pool what it wants of the whole part of its limit. Returns how many executions are left.
+int WorkPools::grantWholeLimits(double total, std::span<const PoolLoad> loads) {
+  int remainder = roundDown(total);
+  for (std::size_t i = 0; i < pools_.size(); ++i) {
+    limits_[i] = std::min({wanted(loads[i]), roundDown(pools_[i].limit), remainder});
+    remainder -= limits_[i];
   }
-  pass(secs);
-  if (now >= nextStep_) {
-    nextStep_ = now + interval;
-    for (Row& row : rows_) climb(row);
+  return remainder;
+}
+
+/// Gives what is left one by one to the pool that wants more and has most credit. So a pool that wants less
+/// than its limit lends the rest.
+void WorkPools::grantRemainder(int remainder, std::span<const PoolLoad> loads) {
+  for (; remainder > 0; --remainder) {
+    const std::optional<std::size_t> pool = poolWithMostCredit(loads);
+    if (!pool) return;
+    ++limits_[*pool];
   }
-  jump(total, loads);
-  arbitrate(total);
-
-  // Whole runs: each pool has what it wants of the whole part of its limit. What is left goes one by one to
-  // the pool that wants more and is owed most, its part of a run and what rounding kept from it before; a
-  // pool that wants less lends its share by that.
-  int left = static_cast<int>(total + 1e-9);
-  const auto wants = [&](std::size_t i) { return loads[i].held + loads[i].onCores; };
-  for (std::size_t i = 0; i < rows_.size(); ++i) {
-    may_[i] = std::min({wants(i), static_cast<int>(rows_[i].limit + 1e-9), left});
-    left -= may_[i];
+}
+
+/// Of the pools that want more than they were given, the one whose limit and credit exceed that most.
+std::optional<std::size_t> WorkPools::poolWithMostCredit(std::span<const PoolLoad> loads) const {
+  std::optional<std::size_t> best;
+  double mostCredit = 0;
+  for (std::size_t i = 0; i < pools_.size(); ++i) {
+    const double credit = pools_[i].limit + pools_[i].roundingCredit - limits_[i];
+    if (!wantsMore(i, loads) || (best && credit <= mostCredit)) continue;
+    best = i;
+    mostCredit = credit;
   }
-  while (left > 0) {
-    std::size_t best = rows_.size();
-    double most = 0;
-    for (std::size_t i = 0; i < rows_.size(); ++i) {
-      const double owed = rows_[i].limit + rows_[i].owedRuns - may_[i];
-      if (wants(i) > may_[i] && (best == rows_.size() || owed > most)) best = i, most = owed;
+  return best;
+}
+
+/// Credit grows with the time in which a pool that wants more executes less than its limit. A pool that wants
+/// nothing more has none, and what it has had too much fades.
+void WorkPools::updateCredits(double elapsedSeconds, std::span<const PoolLoad> loads) {
+  for (std::size_t i = 0; i < pools_.size(); ++i) {
+    Pool& pool = pools_[i];
+    if (!wantsMore(i, loads)) {
+      pool.roundingCredit = std::min(pool.roundingCredit, 0.0) * std::exp2(-elapsedSeconds);
+      continue;
     }
-    if (best == rows_.size()) break;
-    ++may_[best], --left;
-  }
-  for (std::size_t i = 0; i < rows_.size(); ++i) {
-    Row& row = rows_[i];
-    if (wants(i) > may_[i]) row.heldBack = true;
-    // A pool that wants nothing more is owed nothing; the debt of one that does stays under one run.
-    row.owedRuns =
-        wants(i) > may_[i]
-            ? std::clamp(row.owedRuns + (row.limit - loads[i].onCores) * secs / std::max(row.core, 1e-3),
-                         -1.0, 1.0)
-            : std::min(row.owedRuns, 0.0) * std::exp2(-secs);
+    pool.limiter.onLimitReached();
+    const double serviceSeconds = std::max(pool.statistics.serviceSeconds(), leastCreditSeconds);
+    const double gained = (pool.limit - loads[i].executing) * elapsedSeconds / serviceSeconds;
+    pool.roundingCredit = std::clamp(pool.roundingCredit + gained, -1.0, 1.0);
   }
-  return may_;
+}
+
+bool WorkPools::wantsMore(std::size_t pool, std::span<const PoolLoad> loads) const {
+  return wanted(loads[pool]) > limits_[pool];
 }
 
 }  // namespace rainhook::pools
--- a/src/pools/work_pools.h
+++ b/src/pools/work_pools.h
@@ -1,80 +1,80 @@
-// Work pools: what each may have on the cores, of a total that is not theirs to set. A pool holds one handler
-// or several. Pure: events and the time go in, limits come out; no clock, no I/O, no chance.
-//
-// Invariants: what the pools may run sums to the total at most and, while enough is held, to all of it; no
-// pool falls under its floor while it has something to run; a share lent comes back as the borrower's runs
-// end, since nothing more of the borrower starts. State is a row a pool; nothing grows with reqs.
-//
-// Source of the rules: Diao, Hellerstein, Parekh, by `fuzzyStep`; docs/pools.md tells what departs from it,
-// when.
+/// @file
+/// Divides a server's concurrency limit among work pools, so that cores go where they earn most weight and
+/// every pool keeps its reserve. docs/pools.md explains the method.
 #pragma once
 
 #include <cstddef>
+#include <optional>
 #include <span>
-#include <string>
 #include <vector>
 
 #include "decision/decision.h"
+#include "pools/pool_limiter.h"
+#include "pools/pool_settings.h"
+#include "pools/pool_statistics.h"
 
 namespace rainhook::pools {
 
-enum class PoolId : std::uint8_t {};
-
-struct PoolTerms {
-  std::string name;
-  double value = 1;    // of one answer within its response target
-  double reserve = 0;  // share of the total that it keeps under any load; 0 to under 1, all together under 1
-  double firstCore = 0.1;  // seconds of a core that one run takes, until runs have told
-};
-
-// What a pool has now.
-struct PoolLoad {
-  int held = 0, onCores = 0;
-};
-
-class Pools {
+/// The limits of all pools under one total, which they don't set themselves. Deterministic: events and the
+/// time go in, limits come out; no clock, I/O or randomness.
+///
+/// Invariants:
+/// - The pools' limits sum up to the total at most, and to all of it while enough requests are queued.
+/// - A pool with requests never gets less than its reserve.
+/// - A pool lends what it does not use. It has it back once the borrower's executions end, because none of
+/// the
+///   borrower's requests is started any more.
+///
+/// Constant size for each pool; nothing grows with the requests. Not thread-safe.
+class WorkPools {
  public:
-  explicit Pools(std::vector<PoolTerms> terms);
+  explicit WorkPools(std::span<const PoolSettings> settings);
 
-  // A req of this pool was read.
-  void read(PoolId pool) { ++row(pool).read; }
-  // A run has ended: its seconds on the cores, its latency over the least of its handler, what its answer is
-  // worth (0 where it came late or is owed to nobody).
-  void ended(PoolId pool, double coreSeconds, double scaledLatency, double worth);
+  void onRequestArrived(PoolId pool) { at(pool).statistics.onRequestArrived(); }
+  void onExecutionEnded(PoolId pool, const ExecutionReport& report);
 
-  // How many of each pool may be on the cores now, out of `total`; one entry a pool, until the next call. To
-  // be asked before starts, with the loads as they are then.
-  std::span<const int> mayRun(Duration now, double total, std::span<const PoolLoad> loads);
+  /// How many requests of each pool may execute now, of `total` on the whole server. To be asked before
+  /// executions start, with the loads at that moment. One entry for each pool, valid until the next call.
+  [[nodiscard]] std::span<const int> concurrencyLimits(Duration now, double total,
+                                                       std::span<const PoolLoad> loads);
 
-  // What a pool would have of the total if all wanted more than they may: its share as it has been moved to.
-  double limit(PoolId pool) const { return rows_[static_cast<std::size_t>(pool)].limit; }
-  // Value within the response target for each core second of late, by which the split leans.
-  double density(PoolId pool) const;
-  std::size_t size() const { return rows_.size(); }
+  /// What the pool would have of the total if all pools wanted more than they get; with the part of an
+  /// execution.
+  [[nodiscard]] double limit(PoolId pool) const { return at(pool).limit; }
+  /// Weight that the pool has earned of late for each core second, by which the total is divided.
+  [[nodiscard]] double weightPerCoreSecond(PoolId pool) const {
+    return at(pool).statistics.weightPerCoreSecond();
+  }
+  [[nodiscard]] std::size_t size() const { return pools_.size(); }
 
  private:
-  struct Row {
-    PoolTerms terms;
-    double limit = 0;            // runs
-    double asked = 0, mean = 0;  // the rules: the last step, the mean that it followed
-    double sum = 0;              // of scaled latencies in this interval
-    int answers = 0, read = 0;
-    bool heldBack = false;                  // in this interval, by this pool's limit
-    double core = 0, worth = 0, spent = 0;  // a run's core seconds; value and core seconds of late, fading
-    double rate = 0;                        // reqs read a second, of late
-    double owedRuns = 0;                    // the part of a run that rounding has kept from it so far
+  struct Pool {
+    PoolStatistics statistics;
+    double reservedRatio = 0;
+    PoolLimiter limiter;
+    double limit = 0;           ///< executions
+    double roundingCredit = 0;  ///< executions, -1 to 1, that rounding its limit has kept from it
   };
-  Row& row(PoolId pool) { return rows_[static_cast<std::size_t>(pool)]; }
-  void pass(double secs);
-  void climb(Row& row);
-  void jump(double total, std::span<const PoolLoad> loads);
-  void arbitrate(double total);
-  double floorOf(const Row& row, double total) const { return row.terms.reserve * total; }
 
-  std::vector<Row> rows_;
-  std::vector<int> may_;
-  Duration now_{}, nextStep_{};
-  bool opened_ = false;
+  [[nodiscard]] Pool& at(PoolId pool) { return pools_[static_cast<std::size_t>(pool)]; }
+  [[nodiscard]] const Pool& at(PoolId pool) const { return pools_[static_cast<std::size_t>(pool)]; }
+
+  void divideEqually(double total);
+  void followDemand(double total, std::span<const PoolLoad> loads);
+  void fitToTotal(double total);
+  double clampLimits(double total);
+  [[nodiscard]] std::vector<std::size_t> poolsByWeight() const;
+  [[nodiscard]] int grantWholeLimits(double total, std::span<const PoolLoad> loads);
+  void grantRemainder(int remainder, std::span<const PoolLoad> loads);
+  [[nodiscard]] std::optional<std::size_t> poolWithMostCredit(std::span<const PoolLoad> loads) const;
+  void updateCredits(double elapsedSeconds, std::span<const PoolLoad> loads);
+  [[nodiscard]] bool wantsMore(std::size_t pool, std::span<const PoolLoad> loads) const;
+
+  std::vector<Pool> pools_;
+  std::vector<int> limits_;
+  Duration now_{};
+  Duration nextAdjustment_{};
+  bool isStarted_ = false;
 };
 
 }  // namespace rainhook::pools
--- a/tests/pools_recording_test.cpp
+++ b/tests/work_pools_recording_test.cpp
@@ -44,7 +44,7 @@
 class SimulatedServer {
  public:
   explicit SimulatedServer(int seed)
-      : random_(static_cast<std::uint64_t>(seed)), settings_(drawSettings()), policy_(settings_) {
+      : random_(static_cast<std::uint64_t>(seed)), settings_(drawSettings()), workPools_(settings_) {
     total_ = drawTotal();
     simulated_.resize(settings_.size());
     for (SimulatedPool& pool : simulated_) drawWorkload(pool);
@@ -69,13 +69,13 @@
   }
 
  private:
-  std::vector<PoolTerms> drawSettings() {
-    std::vector<PoolTerms> settings(static_cast<std::size_t>(random_.between(2, 4)));
+  std::vector<PoolSettings> drawSettings() {
+    std::vector<PoolSettings> settings(static_cast<std::size_t>(random_.between(2, 4)));
     for (std::size_t pool = 0; pool < settings.size(); ++pool) {
       settings[pool].name = "pool" + std::to_string(pool);
-      settings[pool].value = random_.thousandths(200, 4000);
-      if (random_.percent(60)) settings[pool].reserve = random_.thousandths(0, 240);
-      settings[pool].firstCore = random_.thousandths(5, 200);
+      settings[pool].priorityWeight = random_.thousandths(200, 4000);
+      if (random_.percent(60)) settings[pool].reservedRatio = random_.thousandths(0, 240);
+      settings[pool].initialServiceSeconds = random_.thousandths(5, 200);
     }
     return settings;
   }
@@ -106,11 +106,11 @@
     const auto completed = std::count_if(pool.completionTimes.begin(), pool.completionTimes.end(), isOver);
     std::erase_if(pool.completionTimes, isOver);
     for (std::int64_t i = 0; i < completed; ++i) {
-      --pool.load.onCores;
+      --pool.load.executing;
       const double coreSeconds = random_.thousandths(pool.serviceMillis / 2, pool.serviceMillis * 2);
-      const double scaledLatency = random_.thousandths(1000, 1500 + 100 * pool.load.held);
-      const double weight = random_.percent(20) ? 0 : settings_[index].value;
-      policy_.ended(PoolId(index), coreSeconds, scaledLatency, weight);
+      const double latencyRatio = random_.thousandths(1000, 1500 + 100 * pool.load.queued);
+      const double weight = random_.percent(20) ? 0 : settings_[index].priorityWeight;
+      workPools_.onExecutionEnded(PoolId(index), {coreSeconds, latencyRatio, weight});
       ++tally.completions;
     }
   }
@@ -120,14 +120,14 @@
     const std::int64_t millis = std::min<std::int64_t>(elapsed_ / 1ms, 1000);
     const std::int64_t expected = pool.arrivalsPerMille * millis;
     const std::int64_t arrivals = expected / 1000 + (random_.between(0, 999) < expected % 1000 ? 1 : 0);
-    for (std::int64_t i = 0; i < arrivals; ++i) policy_.read(PoolId(index));
-    pool.load.held = std::min(pool.load.held + static_cast<int>(arrivals), mostQueued);
+    for (std::int64_t i = 0; i < arrivals; ++i) workPools_.onRequestArrived(PoolId(index));
+    pool.load.queued = std::min(pool.load.queued + static_cast<int>(arrivals), mostQueued);
   }
 
   std::span<const int> askForLimits() {
     loads_.clear();
     for (const SimulatedPool& pool : simulated_) loads_.push_back(pool.load);
-    return policy_.mayRun(now_, total_, loads_);
+    return workPools_.concurrencyLimits(now_, total_, loads_);
   }
 
   void addStep(std::span<const int> limits, Tally& tally) {
@@ -135,11 +135,11 @@
     bool hasChanged = false;
     for (std::size_t index = 0; index < simulated_.size(); ++index) {
       SimulatedPool& pool = simulated_[index];
-      const double limit = policy_.limit(PoolId(index));
+      const double limit = workPools_.limit(PoolId(index));
       hash_.add(static_cast<std::uint64_t>(limits[index]));
       hash_.add(limit);
-      hash_.add(policy_.density(PoolId(index)));
-      isAtLimit = isAtLimit || pool.load.held + pool.load.onCores > limits[index];
+      hash_.add(workPools_.weightPerCoreSecond(PoolId(index)));
+      isAtLimit = isAtLimit || pool.load.queued + pool.load.executing > limits[index];
       hasChanged = hasChanged || limit != pool.lastLimit;
       pool.lastLimit = limit;
     }
@@ -149,13 +149,13 @@
 
   void start(std::span<const int> limits) {
     int executing = 0;
-    for (const SimulatedPool& pool : simulated_) executing += pool.load.onCores;
+    for (const SimulatedPool& pool : simulated_) executing += pool.load.executing;
     for (std::size_t index = 0; index < simulated_.size(); ++index) {
       SimulatedPool& pool = simulated_[index];
-      while (pool.load.held > 0 && pool.load.onCores < limits[index] &&
+      while (pool.load.queued > 0 && pool.load.executing < limits[index] &&
              executing < static_cast<int>(total_)) {
-        --pool.load.held;
-        ++pool.load.onCores;
+        --pool.load.queued;
+        ++pool.load.executing;
         ++executing;
         const std::int64_t millis = pool.serviceMillis * random_.between(50, 200) / 100;
         pool.completionTimes.push_back(now_ + std::chrono::milliseconds(millis));
@@ -164,8 +164,8 @@
   }
 
   SplitMix64 random_;
-  const std::vector<PoolTerms> settings_;
-  Pools policy_;
+  const std::vector<PoolSettings> settings_;
+  WorkPools workPools_;
   double total_ = 1;
   Duration now_{};
   Duration elapsed_{};
@@ -182,13 +182,13 @@
   EXPECT_GE(tally.completions, 249'000);
 }
 
-TEST(PoolsRecording, EveryLimitIsAsRecorded) {
+TEST(WorkPoolsRecording, EveryLimitIsAsRecorded) {
   Tally tally;
   std::vector<RecordedRun> runs;
   for (int seed = 1; seed <= runCount; ++seed)
     runs.push_back(SimulatedServer(seed).run("server" + std::to_string(seed), tally));
   expectEnoughSeen(tally);
-  recording::expectMatchesRecording("pools_recording.txt", runs);
+  recording::expectMatchesRecording("work_pools_recording.txt", runs);
 }
 
 }  // namespace
