--- a/src/failover/minimum_cost_flow.h
+++ b/src/failover/minimum_cost_flow.h
@@ -29,7 +29,9 @@
   /// negative one counts as none. The cost of one unit of flow must not be negative.
   EdgeId addEdge(NodeId from, NodeId to, double capacity, double cost);
 
-  /// Computes the greatest flow from source to sink that costs least.
+  /// Computes the greatest flow from source to sink that costs least. Throws boost::negative_edge where the
+  /// sums of costs are not exact in binary (tenths, say) and rounding makes the reduced cost of an edge
+  /// negative.
   void solve();
   /// The flow on an edge after `solve`, in requests per second.
   [[nodiscard]] double flow(EdgeId edge) const;
