--- a/src/decision/decision.cpp
+++ b/src/decision/decision.cpp
@@ -12,7 +12,10 @@
 #include <set>
 #include <utility>
 
+#include "decision/fuzzy_rules.h"
+
 namespace rainhook {
+
 namespace {
 
 using namespace std::chrono_literals;
@@ -351,19 +354,17 @@
 
 class Server final : public AdmissionPolicy {
  public:
-  Server(const MachineProfile& machine, const std::vector<HandlerPolicy>& handlers,
-         const DownstreamProfile& below, const ProtocolLimits& duties, const SignalingProfile& voice,
-         const ResultSharing& trade, const FleetProfile& fleet)
-      : handlers_(handlers),
-        voice_(voice),
-        trade_(trade),
-        fleet_(fleet),
-        cores_(machine.cores),
-        climber_(machine.cores),
-        pace_(handlers),
-        guard_(machine),
-        calls_(below),
-        drain_(duties.drainGrace) {}
+  explicit Server(const PolicySettings& settings)
+      : handlers_(settings.handlers),
+        voice_(settings.signaling),
+        trade_(settings.sharing),
+        fleet_(settings.fleet),
+        cores_(settings.machine.cores),
+        climber_(settings.machine.cores),
+        pace_(settings.handlers),
+        guard_(settings.machine),
+        calls_(settings.downstream),
+        drain_(settings.limits.drainGrace) {}
 
   std::vector<Action> onEvents(Duration now, std::span<const Event> happened) override {
     out_.clear();
@@ -773,13 +774,8 @@
   return (more - fewer) / (more + fewer);
 }
 
-std::unique_ptr<AdmissionPolicy> makeAdmissionPolicy(Seed, const MachineProfile& machine,
-                                                     const std::vector<HandlerPolicy>& handlers,
-                                                     const DownstreamProfile& below,
-                                                     const ProtocolLimits& duties,
-                                                     const SignalingProfile& voice,
-                                                     const ResultSharing& trade, const FleetProfile& fleet) {
-  return std::make_unique<Server>(machine, handlers, below, duties, voice, trade, fleet);
+std::unique_ptr<AdmissionPolicy> makeAdmissionPolicy(const PolicySettings& settings) {
+  return std::make_unique<Server>(settings);
 }
 
 }  // namespace rainhook
--- a/src/pools/work_pools.cpp
+++ b/src/pools/work_pools.cpp
@@ -5,6 +5,8 @@
 #include <numeric>
 #include <utility>
 
+#include "decision/fuzzy_rules.h"
+
 namespace rainhook::pools {
 namespace {
 
--- a/src/server/request_server.cpp
+++ b/src/server/request_server.cpp
@@ -107,8 +107,13 @@
   origin_ = net::Reactor::Clock::now() - since;
   MachineProfile machine = facts_.machine;
   machine.coldStart = cold;
-  module_ = makeAdmissionPolicy(place_.seed, machine, facts_.handlerPolicies, facts_.downstream,
-                                facts_.protocolLimits, facts_.signaling, facts_.resultSharing, facts_.fleet);
+  module_ = makeAdmissionPolicy({.machine = machine,
+                                 .handlers = facts_.handlerPolicies,
+                                 .downstream = facts_.downstream,
+                                 .limits = facts_.protocolLimits,
+                                 .signaling = facts_.signaling,
+                                 .sharing = facts_.resultSharing,
+                                 .fleet = facts_.fleet});
   fresh_ = true;
   if (part_ < 1) tell(DownstreamQuotaChanged{part_});
 }
--- a/src/simulator_adapter/simulator_host.cpp
+++ b/src/simulator_adapter/simulator_host.cpp
@@ -11,9 +11,13 @@
   fresh.facts = rainhook::readDeploymentSettings(rainhook::parseSettingsText(attach.facts));
   fresh.startedAt = clock;
   const rainhook::DeploymentSettings& f = fresh.facts;
-  fresh.decision =
-      rainhook::makeAdmissionPolicy(rainhook::Seed{attach.seed}, f.machine, f.handlerPolicies, f.downstream,
-                                    f.protocolLimits, f.signaling, f.resultSharing, f.fleet);
+  fresh.decision = rainhook::makeAdmissionPolicy({.machine = f.machine,
+                                                  .handlers = f.handlerPolicies,
+                                                  .downstream = f.downstream,
+                                                  .limits = f.protocolLimits,
+                                                  .signaling = f.signaling,
+                                                  .sharing = f.resultSharing,
+                                                  .fleet = f.fleet});
   fresh.touched = true;
   instances_.insert_or_assign(number, std::move(fresh));
 }
--- a/tests/decision_recording_test.cpp
+++ b/tests/decision_recording_test.cpp
@@ -192,16 +192,6 @@
     "plain", "drop", "pause",       "shareUnderOne",   "shareOverOne", "shareAroundOne",
     "tier",  "cold", "tightMemory", "tightMemoryDrop", "sharingReads", "crowded"};
 
-struct Deployment {
-  MachineProfile machine;
-  std::vector<HandlerPolicy> handlers;
-  DownstreamProfile below;
-  ProtocolLimits duties;
-  SignalingProfile voice;
-  ResultSharing trade;
-  FleetProfile fleet;
-};
-
 MachineProfile machineOf(Variant variant, Chance& chance) {
   MachineProfile machine;
   machine.cores = chance.oneOf(std::array{1, 2, 4, 16});
@@ -274,16 +264,16 @@
   return voice;
 }
 
-Deployment deploymentOf(Variant variant, Chance& chance) {
-  Deployment deployment;
+PolicySettings deploymentOf(Variant variant, Chance& chance) {
+  PolicySettings deployment;
   deployment.machine = machineOf(variant, chance);
   deployment.handlers = handlersOf(chance);
-  deployment.below = belowOf(variant, chance);
-  deployment.duties.answerSlack = 20ms;
-  deployment.duties.drainGrace = chance.millis(0, 100);
-  deployment.voice = voiceOf(chance);
-  deployment.trade.weightByWork = chance.percent(50);
-  if (variant == Variant::sharingReads) deployment.trade.sharingDuration = chance.millis(50, 800);
+  deployment.downstream = belowOf(variant, chance);
+  deployment.limits.answerSlack = 20ms;
+  deployment.limits.drainGrace = chance.millis(0, 100);
+  deployment.signaling = voiceOf(chance);
+  deployment.sharing.weightByWork = chance.percent(50);
+  if (variant == Variant::sharingReads) deployment.sharing.sharingDuration = chance.millis(50, 800);
   deployment.fleet.servers = chance.oneOf(std::array{1, 3, 40});
   deployment.fleet.clients = chance.oneOf(std::array{1, 8, 200});
   deployment.fleet.maxIdleTime = chance.millis(50, 5000);
@@ -327,9 +317,7 @@
         saysGauges_(chance_.percent(80)),
         habits_{chance_.thousandths(200, 500), chance_.thousandths(600, 900)},
         patient_(static_cast<int>(chance_.oneOf(std::array{0, 50, 100}))) {
-    decision_ =
-        makeAdmissionPolicy(Seed{1}, deployment_.machine, deployment_.handlers, deployment_.below,
-                            deployment_.duties, deployment_.voice, deployment_.trade, deployment_.fleet);
+    decision_ = makeAdmissionPolicy(deployment_);
   }
 
   // The hash after every ten batches, and after the last.
@@ -648,7 +636,7 @@
   }
 
   void tellOfTheMachine() {
-    if (deployment_.below.concurrentCallQuota > 0 && chance_.percent(3))
+    if (deployment_.downstream.concurrentCallQuota > 0 && chance_.percent(3))
       events_.emplace_back(DownstreamQuotaChanged{chance_.thousandths(0, 1200)});
     if (deployment_.machine.warmUpDuration > 0s && chance_.percent(2)) {
       const bool cold = chance_.percent(70);
@@ -680,7 +668,7 @@
   }
 
   Chance chance_;
-  const Deployment deployment_;
+  const PolicySettings deployment_;
   const int batches_;
   const bool leaves_, saysGauges_;
   const std::array<double, 2> habits_;  // how long callers wait, as shares of their timeout
--- a/tests/protocol_model.h
+++ b/tests/protocol_model.h
@@ -57,7 +57,7 @@
   int lastTries = 0, callsMade = 0;
 
   void open() {
-    module = makeAdmissionPolicy(Seed{7}, machine, handlers, below, duties, voice, trade, fleet);
+    module = makeAdmissionPolicy({machine, handlers, below, duties, voice, trade, fleet});
     pass(0ms);
   }
   int count(Where where) const { return static_cast<int>(in(where).size()); }
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -3,9 +3,11 @@
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
+#include "decision/fuzzy_rules.h"
 #include "protocol_model.h"
 
 namespace rainhook {
+
 namespace {
 
 struct Step {
