--- /dev/null
+++ b/src/decision/admission_controller.cpp
@@ -0,0 +1,537 @@
+#include "decision/admission_controller.h"
+
+#include <algorithm>
+#include <chrono>
+#include <cstddef>
+#include <set>
+#include <string>
+#include <utility>
+#include <variant>
+
+#include "decision/time_conversion.h"
+
+namespace rainhook {
+namespace {
+
+using namespace std::chrono_literals;
+
+constexpr TimerId tickTimer{1};
+constexpr Duration tickInterval = 25ms;
+/// Answers that are owed are given so long before their deadline.
+constexpr Duration deadlineMargin = 30ms;
+/// The protocol's slack, and what times of arrival in whole milliseconds may be off, at either end.
+constexpr Duration retentionMargin = 52ms;
+constexpr Duration limitRaiseInterval = 100ms;
+constexpr Duration minCallTimeout = 1ms;
+/// Cores that are busier than this are not idle.
+constexpr double idleUtilization = 0.85;
+/// Part of the time to spare that requests may spend in the queue.
+constexpr double queueShareOfSlack = 0.3;
+constexpr double minTolerableSeconds = 0.05;
+/// Without pressure, an execution is believed to take only this part of the estimate.
+constexpr double benefitOfDoubt = 0.5;
+/// From this excess on, reading gets a core of its own.
+constexpr double longReadDelaySeconds = 0.3;
+/// Calls slower than this are not retried: it would only add to the load.
+constexpr double maxSlowdownForRetry = 2;
+constexpr int maxCallFailures = 2;
+/// A call is expected to take this many times the usual where it must be in time.
+constexpr double callTimeMargin = 1.5;
+
+}  // namespace
+
+AdmissionController::AdmissionController(const PolicySettings& settings)
+    : settings_(settings),
+      limiter_(settings.machine.cores),
+      serviceTimes_(settings.handlers),
+      memory_(settings.machine),
+      executionCeiling_(settings.machine),
+      callBudget_(settings.downstream),
+      idleConnections_(settings.machine.cores, settings.fleet),
+      loadSignal_(settings.signaling, settings.fleet),
+      drain_(settings.limits.drainGrace) {}
+
+std::vector<Action> AdmissionController::onEvents(Duration now, std::span<const Event> events) {
+  actions_.clear();
+  const Duration elapsed = now - now_;
+  advanceTime(now);
+  entriesScanned_ += events.size();
+  if (!hasStarted_) onStart();
+  for (const Event& event : events) std::visit([this](const auto& each) { onEvent(each); }, event);
+  processRequests(elapsed);
+  return std::move(actions_);
+}
+
+void AdmissionController::onStart() {
+  hasStarted_ = true;
+  emit(PublishHealth{.healthy = true, .isCached = true});
+  emit(SetTimer{.timer = tickTimer, .delay = tickInterval});
+}
+
+void AdmissionController::advanceTime(Duration now) {
+  const Duration elapsed = now - now_;
+  now_ = now;
+  serviceTimes_.advance(elapsed, requests_.executingCount(), callBudget_.openCalls());
+  callBudget_.advance(elapsed, serviceTimes_.callSlowdown());
+  const int expired = deduplication_.removeExpired(now);
+  memory_.release(memory_.cachedEntryKb() * expired);
+  entriesScanned_ += static_cast<std::size_t>(expired);
+}
+
+// Events.
+
+void AdmissionController::onEvent(const RequestArrived& event) {
+  const RequestRecord request = makeRecord(event);
+  overload_.recordArrival();
+  memory_.reserve(event.queuedMemoryKb);
+  requests_.add(request);
+  arrivals_.push_back(event.id);
+  readDelays_.recordArrival(event.readDelay, policyOf(request).clientTimeout);
+}
+
+RequestRecord AdmissionController::makeRecord(const RequestArrived& arrival) {
+  const HandlerPolicy& policy = settings_.handlers[indexOf(arrival.handler)];
+  RequestRecord request{.arrival = arrival};
+  request.arrivedAt = now_ - arrival.readDelay;
+  Duration deadline = request.arrivedAt + policy.clientTimeout;
+  Duration attemptAge = 0s;
+  if (arrival.timeRemaining) {
+    deadline = now_ + *arrival.timeRemaining;
+    attemptAge = attemptAges_.estimateAge(*arrival.timeRemaining + arrival.readDelay, policy.clientTimeout);
+  }
+  request.deadline = std::max(now_, deadline);
+  const Duration workAllowance =
+      fromSeconds(policy.objectiveWorkFactor * serviceTimes_.executionSeconds(arrival));
+  const Duration target = request.arrivedAt + policy.latencyObjective + workAllowance - attemptAge;
+  request.target = std::min(target, request.deadline);
+  return request;
+}
+
+void AdmissionController::onEvent(const ExecutionEnded& event) {
+  RequestRecord* request = requests_.find(event.id);
+  if (!request) return;
+  if (request->stage == RequestStage::awaitingOriginal || event.outcome == Outcome::superseded) {
+    remove(*request);
+    return;
+  }
+  if (request->stage == RequestStage::calling) callBudget_.recordCallEnd(now_, CallEnd::abandoned);
+  if (request->stage == RequestStage::executing && event.outcome == Outcome::completed)
+    learnFromExecution(*request);
+  if (event.outcome == Outcome::cancelled && request->isAnswerOwed) {
+    requeueCancelled(*request);
+    return;
+  }
+  remove(*request);
+}
+
+void AdmissionController::learnFromExecution(const RequestRecord& request) {
+  const Duration coreTime = now_ - request.startedAt - request.offCoreTime;
+  serviceTimes_.recordExecution(request.arrival, coreTime, request.completedCalls);
+  // Shed and failed requests must not pass for low latency; time in calls is not the limit's doing.
+  if (!request.isAnswerOwed) return;
+  const double latencySeconds = toSeconds(now_ - request.arrivedAt - request.offCoreTime);
+  limiter_.recordLatency(serviceTimes_.normalizeLatency(request.arrival.handler, latencySeconds));
+}
+
+void AdmissionController::requeueCancelled(RequestRecord& request) {
+  requests_.requeue(request, now_);
+  const double queuedKb = request.arrival.queuedMemoryKb;
+  memory_.release(memory_.executionKb(queuedKb) - queuedKb);
+  if (isIdempotent(request)) {
+    queue_.pushFront(request.arrival.id);
+  } else {
+    shedOrFail(request, ShedCause::localLoad);
+  }
+}
+
+void AdmissionController::onEvent(const DownstreamCallRequested& event) {
+  RequestRecord* request = requests_.find(event.id);
+  if (!request || request->stage != RequestStage::executing) return;
+  requests_.moveTo(*request, RequestStage::awaitingCall, now_);
+  awaitingCall_.push_back(event.id);
+}
+
+void AdmissionController::onEvent(const DownstreamCallEnded& event) {
+  RequestRecord* request = requests_.find(event.id);
+  if (!request || request->stage != RequestStage::calling) return;
+  const bool mayLinger = event.outcome == Outcome::timedOut || event.outcome == Outcome::connectionLost;
+  callBudget_.recordCallEnd(now_, mayLinger ? CallEnd::abandoned : CallEnd::finished);
+  serviceTimes_.recordCall(event.duration);
+  request->lastCallOutcome = event.outcome;
+  if (event.outcome == Outcome::completed) {
+    ++request->completedCalls;
+    request->consecutiveCallFailures = 0;
+    requests_.moveTo(*request, RequestStage::executing, now_);
+  } else {
+    ++request->consecutiveCallFailures;
+    requests_.moveTo(*request, RequestStage::awaitingCall, now_);
+    awaitingCall_.push_back(event.id);
+  }
+}
+
+void AdmissionController::onEvent(const ClientDisconnected& event) {
+  if (RequestRecord* request = requests_.find(event.id)) settleAnswer(*request);
+}
+
+void AdmissionController::onEvent(const ShutdownNotice& event) {
+  drain_.onShutdownNotice(now_, event.timeRemaining);
+  emit(PublishHealth{.healthy = false, .isCached = true});
+  emit(DiagnosticMessage{"leaving: health withdrawn, held " + std::to_string(queue_.size())});
+}
+
+void AdmissionController::onEvent(const DownstreamQuotaChanged& event) {
+  callBudget_.setQuotaShare(event.share);
+}
+
+void AdmissionController::onEvent(const ExecutionEngineStarted& event) {
+  executionCeiling_.setEngineStart(event.coldStart, now_ - event.elapsed);
+}
+
+void AdmissionController::onEvent(const TimerFired& event) {
+  if (event.timer != tickTimer) return;
+  emit(SetTimer{.timer = tickTimer, .delay = tickInterval});
+  if (event.runnableTasks)
+    idleConnections_.recordRunnableTasks(*event.runnableTasks, requests_.executingCount());
+  if (event.openConnections) {
+    if (const auto timeout = idleConnections_.update(now_, *event.openConnections))
+      emit(SetIdleConnectionTimeout{*timeout});
+  }
+  hasIdleCores_ = hasIdleCores(event);
+}
+
+/// Whether the gauges say that cores are idle now while the limit keeps requests in the queue.
+bool AdmissionController::hasIdleCores(const TimerFired& gauges) const {
+  if (!gauges.cpuUtilization || !gauges.runnableTasks || queue_.isEmpty()) return false;
+  return *gauges.cpuUtilization < idleUtilization && *gauges.runnableTasks < settings_.machine.cores &&
+         requests_.executingCount() >= limiter_.limit();
+}
+
+// The path of a request.
+
+void AdmissionController::processRequests(Duration elapsed) {
+  const double ceiling = executionCeiling_.maxExecutions(now_);
+  const double tolerableSeconds = tolerableQueueSeconds();
+  limiter_.update(now_);
+  limiter_.clampTo(ceiling);
+
+  admitArrivals();
+  shedHopeless(tolerableSeconds);
+  const bool callsWait = !awaitingCall_.empty();
+  startExecutions(ceiling, callsWait);
+  const double queueWaitSeconds = trimQueue(tolerableSeconds, callsWait);
+  advanceDownstreamCalls(callsWait);
+  answerOverdue();
+
+  overload_.update(elapsed, queueWaitSeconds + readDelays_.excessSeconds(), tolerableSeconds);
+  readDelays_.advance(elapsed);
+  publishLoadSignal();
+}
+
+/// A duplicate waits for its original, a request that can't be served is shed at once, others are queued.
+void AdmissionController::admitArrivals() {
+  for (const RequestId id : std::exchange(arrivals_, {})) {
+    RequestRecord* request = requests_.find(id);
+    if (!request || awaitOriginal(*request)) continue;
+    if (!drain_.mayExecute(request->arrivedAt) || isTooLate(*request) || !retainForDuplicates(*request)) {
+      shedOrFail(*request, ShedCause::localLoad);
+      continue;
+    }
+    request->stage = RequestStage::queued;
+    queue_.push(id);
+  }
+}
+
+/// Sheds queued requests that can't be answered in time, and those that would wait too long for a call.
+void AdmissionController::shedHopeless(double tolerableSeconds) {
+  removeDepartedFromQueue();
+  double callsAhead = static_cast<double>(awaitingCall_.size());
+  for (const RequestId id : queue_)
+    callsAhead += serviceTimes_.callsPerExecution(requests_.at(id).arrival.handler);
+  for (const RequestId id : queue_.oldestFirst()) {
+    RequestRecord& request = requests_.at(id);
+    const HandlerId handler = request.arrival.handler;
+    const double callWaitSeconds = callsAhead * serviceTimes_.callSeconds() / callBudget_.callLimit();
+    const bool waitsTooLongForCall =
+        serviceTimes_.usuallyCalls(handler) && callWaitSeconds > tolerableSeconds;
+    if (!waitsTooLongForCall && !isTooLate(request)) continue;
+    callsAhead -= serviceTimes_.callsPerExecution(handler);
+    shedOrFail(request, waitsTooLongForCall ? ShedCause::futile : ShedCause::localLoad);
+  }
+  removeDepartedFromQueue();
+}
+
+/// Starts queued requests while the limit, the ceiling and the memory allow. While calls wait for room, an
+/// execution that calls would only wait too: it stays queued.
+void AdmissionController::startExecutions(double ceiling, bool callsWait) {
+  const double limit = executionLimit();
+  for (const RequestId id : queue_.startOrder(now_)) {
+    RequestRecord& request = requests_.at(id);
+    if (callsWait && serviceTimes_.usuallyCalls(request.arrival.handler)) continue;
+    if (requests_.executingCount() + 1 > limit) {
+      limiter_.recordLimitReached();
+      if (!mayRaiseLimit()) break;
+      nextLimitRaise_ = now_ + limitRaiseInterval;
+      limiter_.raiseByOne(ceiling);
+    }
+    const double queuedKb = request.arrival.queuedMemoryKb;
+    const double moreKb = memory_.executionKb(queuedKb) - queuedKb;
+    if (requests_.startedCount() + 1 > ceiling || !memory_.fits(moreKb)) break;
+    memory_.reserve(moreKb);
+    requests_.start(request, now_);
+    emit(StartExecution{id});
+  }
+  removeDepartedFromQueue();
+}
+
+/// Sheds from the oldest end until the newest queued request need not wait longer than is tolerable for those
+/// ahead of it. Returns the seconds that it has to wait.
+double AdmissionController::trimQueue(double tolerableSeconds, bool callsWait) {
+  double secondsAhead = queuedWorkSeconds(callsWait);
+  if (!queue_.isEmpty())
+    secondsAhead -= serviceTimes_.executionSeconds(requests_.at(queue_.newest()).arrival);
+  const double parallelism = std::max(1.0, limiter_.limit());
+  bool isFull = false;
+  while (!queue_.isEmpty() && (secondsAhead / parallelism > tolerableSeconds || memory_.isExceeded())) {
+    RequestRecord& oldest = requests_.at(queue_.popOldest());
+    secondsAhead -= serviceTimes_.executionSeconds(oldest.arrival);
+    shedOrFail(oldest, ShedCause::localLoad);
+    isFull = true;
+  }
+  queue_.recordFullness(now_, isFull);
+  return std::max(0.0, secondsAhead) / parallelism;
+}
+
+void AdmissionController::advanceDownstreamCalls(bool callsWait) {
+  for (const RequestId id : std::exchange(awaitingCall_, {})) {
+    RequestRecord* request = requests_.find(id);
+    if (!request || request->stage != RequestStage::awaitingCall || !request->isAnswerOwed) continue;
+    advanceDownstreamCall(*request, callsWait);
+  }
+}
+
+/// Makes the call within the budget, skips it where that earns something, gives up where it comes too late.
+void AdmissionController::advanceDownstreamCall(RequestRecord& request, bool callsWait) {
+  const RequestId id = request.arrival.id;
+  const HandlerPolicy& policy = policyOf(request);
+  const int failures = request.consecutiveCallFailures;
+  const bool isRepeatable = isIdempotent(request) || provesNotExecuted(request.lastCallOutcome);
+  const bool late = now_ + fromSeconds(serviceTimes_.callSeconds() * callTimeMargin) > request.target;
+  // While calls are quick and take no share of a quota, one that fails or gets no reply is worth a retry.
+  const bool mayRetryCalls =
+      !callBudget_.hasQuota() && serviceTimes_.callSlowdown() < maxSlowdownForRetry && isRepeatable;
+  const bool shouldRetry =
+      mayRetryCalls && failures < maxCallFailures && request.lastCallOutcome != Outcome::rejected;
+
+  if (policy.degradedWeight > 0 && (late || (failures > 0 && !shouldRetry))) {
+    requests_.moveTo(request, RequestStage::executing, now_);
+    emit(SkipDownstreamCall{id});
+  } else if ((failures > 0 && !isRepeatable) || failures >= maxCallFailures || (late && callsWait)) {
+    shedOrFail(request, ShedCause::futile);
+  } else if (!callBudget_.hasRoom(now_)) {
+    awaitingCall_.push_back(id);
+  } else {
+    startDownstreamCall(request, mayRetryCalls && failures == 0);
+  }
+}
+
+void AdmissionController::startDownstreamCall(RequestRecord& request, bool shouldRetryOutlier) {
+  requests_.moveTo(request, RequestStage::calling, now_);
+  callBudget_.recordCallStart();
+  const Duration timeLeft = (now_ < request.target ? request.target : request.deadline) - now_;
+  Duration timeout = std::min(timeLeft, callBudget_.maxCallDuration());
+  if (shouldRetryOutlier) timeout = std::min(timeout, serviceTimes_.callOutlierTimeout());
+  emit(CallDownstream{.id = request.arrival.id, .timeout = std::max(timeout, minCallTimeout)});
+}
+
+/// Answers what is owed before its deadline, executing or not, and what can earn nothing any more.
+void AdmissionController::answerOverdue() {
+  std::set<RequestId> overdue;
+  for (const auto& [deadline, id] : requests_.deadlines()) {
+    if (std::min(deadline, drain_.stopTime() - tickInterval) - now_ > deadlineMargin) break;
+    overdue.insert(id);
+  }
+  if (canCancelExecutions()) {
+    for (const RequestId id : requests_.executing())
+      if (isWorthless(requests_.at(id))) overdue.insert(id);
+    entriesScanned_ += requests_.executing().size();
+  }
+  entriesScanned_ += overdue.size();
+  for (const RequestId id : overdue) {
+    RequestRecord& request = requests_.at(id);
+    shedOrFail(request, now_ > request.target ? ShedCause::futile : ShedCause::localLoad);
+  }
+}
+
+void AdmissionController::publishLoadSignal() {
+  const auto value = loadSignal_.update(drain_.isDraining(), overload_.severity(), limiter_.limit());
+  if (value) emit(PublishLoadSignal{*value});
+}
+
+// What the path asks.
+
+/// Whether the request could not be answered in time even if it started now, judged by what executions and
+/// calls take at present. Without pressure a doubtful one is tried, and one that still earns when late.
+bool AdmissionController::isTooLate(const RequestRecord& request) const {
+  const HandlerPolicy& policy = policyOf(request);
+  const bool isPressed = overload_.isUnderPressure();
+  const double executionSeconds =
+      (isPressed ? 1 : benefitOfDoubt) * serviceTimes_.executionSeconds(request.arrival);
+  const Duration expected =
+      fromSeconds(executionSeconds + serviceTimes_.downstreamSeconds(request.arrival.handler));
+  if (now_ + expected <= request.target) return false;
+  return isPressed || policy.lateWeight <= 0 || now_ + expected > request.deadline;
+}
+
+/// Whether an execution only keeps others from the cores: past its target, and late earns nothing.
+bool AdmissionController::isWorthless(const RequestRecord& request) const {
+  return request.isAnswerOwed && now_ > request.target && isCancellable(request) &&
+         policyOf(request).lateWeight <= 0;
+}
+
+bool AdmissionController::isIdempotent(const RequestRecord& request) const {
+  return policyOf(request).idempotency == Idempotency::idempotent;
+}
+
+bool AdmissionController::isCancellable(const RequestRecord& request) const {
+  return canCancelExecutions() && isIdempotent(request);
+}
+
+bool AdmissionController::canCancelExecutions() const {
+  return settings_.machine.cancellation == CancellationMode::discardWork;
+}
+
+bool AdmissionController::mayRaiseLimit() const { return hasIdleCores_ && now_ >= nextLimitRaise_; }
+
+/// The limit on executions for this moment. Requests that stand unread can't be shed, and wait for the cores
+/// that executions share with reading: when they wait for long, reading gets one core more.
+double AdmissionController::executionLimit() const {
+  const int reservedForReading = readDelays_.excessSeconds() > longReadDelaySeconds ? 1 : 0;
+  return std::max(1.0, limiter_.limit() - reservedForReading);
+}
+
+/// Seconds on the cores of the queued requests, less those that wait until calls have room.
+double AdmissionController::queuedWorkSeconds(bool callsWait) const {
+  double total = 0;
+  for (const RequestId id : queue_) {
+    const RequestArrived& arrival = requests_.at(id).arrival;
+    if (callsWait && serviceTimes_.usuallyCalls(arrival.handler)) continue;
+    total += serviceTimes_.executionSeconds(arrival);
+  }
+  return total;
+}
+
+/// How long requests may wait in the queue: a part of the time to spare of the handler that has the least.
+double AdmissionController::tolerableQueueSeconds() const {
+  double minSlackSeconds = 1e9;
+  for (std::size_t index = 0; index < settings_.handlers.size(); ++index) {
+    const HandlerId handler{static_cast<std::uint8_t>(index)};
+    const double slackSeconds = toSeconds(settings_.handlers[index].latencyObjective) -
+                                serviceTimes_.executionSeconds(handler) -
+                                serviceTimes_.downstreamSeconds(handler);
+    minSlackSeconds = std::min(minSlackSeconds, slackSeconds);
+  }
+  return std::max(queueShareOfSlack * minSlackSeconds, minTolerableSeconds);
+}
+
+// Duplicates.
+
+/// A duplicate of a keyed request that may have been executed, or of a read in progress, waits for its
+/// original. Returns whether the request is one.
+bool AdmissionController::awaitOriginal(RequestRecord& request) {
+  const auto& original = request.arrival.duplicateOf;
+  if (!original) return false;
+  const bool isKeyed = policyOf(request).idempotency == Idempotency::keyed;
+  if (!isKeyed && !deduplication_.contains(*original)) return false;
+  request.isDuplicate = true;
+  request.stage = RequestStage::awaitingOriginal;
+  emit(AnswerFromOriginal{request.arrival.id});
+  return true;
+}
+
+/// Retains the request where duplicates may follow. Returns false where it must be and memory has no room.
+bool AdmissionController::retainForDuplicates(const RequestRecord& request) {
+  const HandlerPolicy& policy = policyOf(request);
+  const Duration sharingDuration = settings_.sharing.sharingDuration;
+  const bool isKeyed = policy.idempotency == Idempotency::keyed;
+  const bool isShareable = isIdempotent(request) && sharingDuration > 0s && !request.arrival.isWrite &&
+                           request.arrival.resourceKey != ResourceKey{};
+  if (!isKeyed && !isShareable) return true;
+  if (!memory_.fits(memory_.cachedEntryKb())) return !isKeyed;
+  const Duration retention = isKeyed ? request.arrivedAt + policy.deduplicationWindow + retentionMargin - now_
+                                     : sharingDuration + policy.latencyObjective;
+  memory_.reserve(memory_.cachedEntryKb());
+  deduplication_.retain(request.arrival.id, now_ + retention);
+  emit(RetainResult{.id = request.arrival.id, .retention = retention});
+  return true;
+}
+
+/// A request that never ran has no result: duplicates must be executed themselves.
+void AdmissionController::dropRetained(const RequestRecord& request) {
+  if (request.hasStarted || !deduplication_.remove(request.arrival.id)) return;
+  memory_.release(memory_.cachedEntryKb());
+  emit(DropResult{request.arrival.id});
+}
+
+// Answers without a result.
+
+/// Answers the request for good. One that may have been executed and must not be repeated, or a duplicate of
+/// such a one, is never said to have been shed.
+void AdmissionController::shedOrFail(RequestRecord& request, ShedCause cause) {
+  const RequestId id = request.arrival.id;
+  const bool isLocal = cause == ShedCause::localLoad;
+  if (isLocal) overload_.recordShed();
+  if (isIdempotent(request) || (!request.hasStarted && !request.isDuplicate)) {
+    emit(ShedRequest{.id = id,
+                     .retryAfter = isLocal ? retryAfter() : Duration{},
+                     .discourageRetry = !isLocal || shouldDiscourageRetry()});
+  } else {
+    emit(FailRequest{id});
+  }
+  settleAnswer(request);
+}
+
+/// No answer is owed any more: what has not started is over, an execution ends by itself unless it can be
+/// cancelled.
+void AdmissionController::settleAnswer(RequestRecord& request) {
+  requests_.settleAnswer(request);
+  if (request.stage == RequestStage::executing && isCancellable(request))
+    emit(CancelExecution{request.arrival.id});
+  if (isStarted(request.stage)) return;
+  dropRetained(request);
+  remove(request);
+}
+
+void AdmissionController::remove(const RequestRecord& request) {
+  const double queuedKb = request.arrival.queuedMemoryKb;
+  memory_.release(isStarted(request.stage) ? memory_.executionKb(queuedKb) : queuedKb);
+  requests_.remove(request.arrival.id);
+}
+
+void AdmissionController::removeDepartedFromQueue() {
+  entriesScanned_ += queue_.size();
+  queue_.retainIf([this](RequestId id) {
+    const RequestRecord* request = requests_.find(id);
+    return request && request->stage == RequestStage::queued;
+  });
+}
+
+Duration AdmissionController::retryAfter() const {
+  const Duration longest = settings_.signaling.maxRetryAfter;
+  if (drain_.isDraining()) return longest;
+  return fromSeconds(toSeconds(longest) * overload_.severity());
+}
+
+/// Where all servers are full, retries elsewhere fare no better and only add load. A server that is merely
+/// slow can't tell its own trouble from a storm of reading and accepting that its sheds feed, so only one
+/// that drains lets them go on.
+bool AdmissionController::shouldDiscourageRetry() const {
+  return !drain_.isDraining() && overload_.isOverloaded();
+}
+
+const HandlerPolicy& AdmissionController::policyOf(const RequestRecord& request) const {
+  return settings_.handlers[indexOf(request.arrival.handler)];
+}
+
+void AdmissionController::emit(Action action) { actions_.push_back(std::move(action)); }
+
+}  // namespace rainhook
--- /dev/null
+++ b/src/decision/admission_controller.h
@@ -0,0 +1,128 @@
+/// @file
+/// The admission policy of one server: what becomes of each request, and when.
+#pragma once
+
+#include <cstdint>
+#include <span>
+#include <vector>
+
+#include "decision/active_requests.h"
+#include "decision/admission_policy.h"
+#include "decision/admission_queue.h"
+#include "decision/attempt_age_estimator.h"
+#include "decision/concurrency_limiter.h"
+#include "decision/deduplication_index.h"
+#include "decision/downstream_call_budget.h"
+#include "decision/drain_state.h"
+#include "decision/execution_ceiling.h"
+#include "decision/idle_connection_tuner.h"
+#include "decision/load_signal_encoder.h"
+#include "decision/memory_budget.h"
+#include "decision/overload_detector.h"
+#include "decision/read_delay_estimator.h"
+#include "decision/request_record.h"
+#include "decision/service_time_estimator.h"
+
+namespace rainhook {
+
+/// Takes the events into the parts that estimate and account, then moves all requests along their path:
+/// `processRequests` is that path, top to bottom. docs/design.md explains the decisions.
+class AdmissionController final : public AdmissionPolicy {
+ public:
+  explicit AdmissionController(const PolicySettings& settings);
+
+  [[nodiscard]] std::vector<Action> onEvents(Duration now, std::span<const Event> events) override;
+  [[nodiscard]] std::uint64_t entriesScanned() const override { return entriesScanned_; }
+  [[nodiscard]] double concurrencyLimit() const override { return limiter_.limit(); }
+
+ private:
+  /// Why a request is answered without a result.
+  enum class ShedCause {
+    localLoad,  ///< This server's load: it counts as a sign of overload, and another server may do better.
+    futile,     ///< A slow dependency, or too late: it would be no better on another server.
+  };
+
+  void onStart();
+  void advanceTime(Duration now);
+
+  void onEvent(const RequestArrived& event);
+  void onEvent(const ExecutionEnded& event);
+  void onEvent(const DownstreamCallRequested& event);
+  void onEvent(const DownstreamCallEnded& event);
+  void onEvent(const ClientDisconnected& event);
+  void onEvent(const ShutdownNotice& event);
+  void onEvent(const TimerFired& event);
+  void onEvent(const DownstreamQuotaChanged& event);
+  void onEvent(const ExecutionEngineStarted& event);
+  [[nodiscard]] RequestRecord makeRecord(const RequestArrived& arrival);
+  void learnFromExecution(const RequestRecord& request);
+  void requeueCancelled(RequestRecord& request);
+  [[nodiscard]] bool hasIdleCores(const TimerFired& gauges) const;
+
+  /// The path of a request.
+  void processRequests(Duration elapsed);
+  void admitArrivals();
+  void shedHopeless(double tolerableSeconds);
+  void startExecutions(double ceiling, bool callsWait);
+  [[nodiscard]] double trimQueue(double tolerableSeconds, bool callsWait);
+  void advanceDownstreamCalls(bool callsWait);
+  void advanceDownstreamCall(RequestRecord& request, bool callsWait);
+  void startDownstreamCall(RequestRecord& request, bool shouldRetryOutlier);
+  void answerOverdue();
+  void publishLoadSignal();
+
+  [[nodiscard]] bool isTooLate(const RequestRecord& request) const;
+  [[nodiscard]] bool isWorthless(const RequestRecord& request) const;
+  [[nodiscard]] bool isIdempotent(const RequestRecord& request) const;
+  [[nodiscard]] bool isCancellable(const RequestRecord& request) const;
+  [[nodiscard]] bool canCancelExecutions() const;
+  [[nodiscard]] bool mayRaiseLimit() const;
+  [[nodiscard]] double executionLimit() const;
+  [[nodiscard]] double queuedWorkSeconds(bool callsWait) const;
+  [[nodiscard]] double tolerableQueueSeconds() const;
+
+  [[nodiscard]] bool awaitOriginal(RequestRecord& request);
+  [[nodiscard]] bool retainForDuplicates(const RequestRecord& request);
+  void dropRetained(const RequestRecord& request);
+
+  void shedOrFail(RequestRecord& request, ShedCause cause);
+  void settleAnswer(RequestRecord& request);
+  void remove(const RequestRecord& request);
+  void removeDepartedFromQueue();
+  [[nodiscard]] Duration retryAfter() const;
+  [[nodiscard]] bool shouldDiscourageRetry() const;
+
+  [[nodiscard]] const HandlerPolicy& policyOf(const RequestRecord& request) const;
+  void emit(Action action);
+
+  const PolicySettings settings_;
+  ConcurrencyLimiter limiter_;
+  ServiceTimeEstimator serviceTimes_;
+  MemoryBudget memory_;
+  ExecutionCeiling executionCeiling_;
+  DownstreamCallBudget callBudget_;
+  DeduplicationIndex deduplication_;
+  OverloadDetector overload_;
+  ReadDelayEstimator readDelays_;
+  AttemptAgeEstimator attemptAges_;
+  IdleConnectionTuner idleConnections_;
+  LoadSignalEncoder loadSignal_;
+  DrainState drain_;
+
+  ActiveRequests requests_;
+  AdmissionQueue queue_;
+  /// Requests that were read since the last call of `processRequests`.
+  std::vector<RequestId> arrivals_;
+  /// Requests whose downstream call has not been made, in the order in which they asked for it.
+  std::vector<RequestId> awaitingCall_;
+
+  std::vector<Action> actions_;
+  Duration now_{};
+  Duration nextLimitRaise_{};
+  /// Whether the last gauges showed idle cores while requests were queued.
+  bool hasIdleCores_ = false;
+  bool hasStarted_ = false;
+  std::uint64_t entriesScanned_ = 0;
+};
+
+}  // namespace rainhook
--- /dev/null
+++ b/src/decision/admission_queue.cpp
@@ -0,0 +1,34 @@
+#include "decision/admission_queue.h"
+
+#include <algorithm>
+
+namespace rainhook {
+namespace {
+
+using namespace std::chrono_literals;
+
+/// A queue that has been full for longer starts the newest first.
+constexpr Duration newestFirstAfter = 1s;
+/// A queue that has not been full for longer counts as relieved.
+constexpr Duration relievedAfter = 500ms;
+
+}  // namespace
+
+RequestId AdmissionQueue::popOldest() {
+  const RequestId id = ids_.front();
+  ids_.pop_front();
+  return id;
+}
+
+std::vector<RequestId> AdmissionQueue::startOrder(Duration now) const {
+  std::vector<RequestId> order = oldestFirst();
+  if (now - fullSince_ > newestFirstAfter) std::reverse(order.begin(), order.end());
+  return order;
+}
+
+void AdmissionQueue::recordFullness(Duration now, bool isFull) {
+  if (isFull) lastFullAt_ = now;
+  if (now - lastFullAt_ > relievedAfter) fullSince_ = now;
+}
+
+}  // namespace rainhook
--- /dev/null
+++ b/src/decision/admission_queue.h
@@ -0,0 +1,57 @@
+/// @file
+/// The queue of requests that wait for their execution.
+#pragma once
+
+#include <chrono>
+#include <cstddef>
+#include <deque>
+#include <vector>
+
+#include "decision/ids.h"
+
+namespace rainhook {
+
+/// Requests that were admitted and have not started, oldest first.
+///
+/// They start oldest first, but newest first once the queue has been full for a while: then the oldest are
+/// the least likely to be answered in time (adaptive LIFO).
+class AdmissionQueue {
+ public:
+  [[nodiscard]] bool isEmpty() const { return ids_.empty(); }
+  [[nodiscard]] std::size_t size() const { return ids_.size(); }
+  [[nodiscard]] auto begin() const { return ids_.begin(); }
+  [[nodiscard]] auto end() const { return ids_.end(); }
+
+  /// The request that came last; the queue must not be empty.
+  [[nodiscard]] RequestId newest() const { return ids_.back(); }
+
+  void push(RequestId id) { ids_.push_back(id); }
+
+  /// Puts a request whose execution was cancelled back to the oldest end.
+  void pushFront(RequestId id) { ids_.push_front(id); }
+
+  /// Takes out the oldest request; the queue must not be empty.
+  [[nodiscard]] RequestId popOldest();
+
+  /// Removes the requests for which the predicate is false.
+  template <typename Predicate>
+  void retainIf(Predicate isQueued) {
+    std::erase_if(ids_, [&isQueued](RequestId id) { return !isQueued(id); });
+  }
+
+  /// A copy, for loops that change the queue.
+  [[nodiscard]] std::vector<RequestId> oldestFirst() const { return {ids_.begin(), ids_.end()}; }
+
+  /// A copy in the order in which requests are to start.
+  [[nodiscard]] std::vector<RequestId> startOrder(Duration now) const;
+
+  /// Reports whether the queue was full just now, that is, had to be trimmed.
+  void recordFullness(Duration now, bool isFull);
+
+ private:
+  std::deque<RequestId> ids_;
+  Duration lastFullAt_ = std::chrono::seconds(-1);
+  Duration fullSince_{};
+};
+
+}  // namespace rainhook
