--- a/src/decision/admission_controller.cpp
+++ b/src/decision/admission_controller.cpp
@@ -244,7 +244,7 @@
 /// Sheds queued requests that can't be answered in time, and those that would wait too long for a call.
 void AdmissionController::shedHopeless(double tolerableSeconds) {
   removeDepartedFromQueue();
-  double callsAhead = static_cast<double>(awaitingCall_.size());
+  auto callsAhead = static_cast<double>(awaitingCall_.size());
   for (const RequestId id : queue_)
     callsAhead += serviceTimes_.callsPerExecution(requests_.at(id).arrival.handler);
   for (const RequestId id : queue_.oldestFirst()) {
--- a/tests/protocol_model.h
+++ b/tests/protocol_model.h
@@ -1,12 +1,18 @@
-// A slow, plain model of one server's surroundings and of the four rules: it hands the module events, carries
-// out what the module asks for and writes down every rule that breaks.
+/// @file
+/// A plain model of one server's surroundings and of the rules of the protocol.
 #pragma once
 
 #include <algorithm>
+#include <chrono>
+#include <cstddef>
+#include <cstdint>
 #include <deque>
-#include <functional>
 #include <map>
+#include <memory>
+#include <optional>
 #include <string>
+#include <utility>
+#include <variant>
 #include <vector>
 
 #include "decision/decision.h"
@@ -15,229 +21,363 @@
 
 using namespace std::chrono_literals;
 
-struct World {
-  MachineProfile machine{.cores = 2,
-                         .memoryKb = 4000,
-                         .executionMemoryFactor = 4,
-                         .cachedEntryKb = 50,
-                         .maxExecutionsPerCore = 4,
-                         .crowdingWindow = 2s};
-  std::vector<HandlerPolicy> handlers{{.latencyObjective = 1s, .clientTimeout = 3s}};
-  DownstreamProfile below;
-  ProtocolLimits duties{.answerSlack = 60ms, .drainGrace = 1s};
-  SignalingProfile voice{.maxRetryAfter = 1s};
-  ResultSharing trade;
-  FleetProfile fleet{4, 2};
-
-  enum class Where { held, running, wanting, calling, waiting, over };
-  struct Req {
-    RequestArrived read;
-    Duration arrived, due, callUntil{};
-    Where where = Where::held;
-    int answers = 0, starts = 0, shedAnswers = 0;
-    bool gone = false, callMayHaveRun = false, kept = false;
-    RequestId first{};  // the first try of the same uniqued req, or itself
-  };
-
-  std::map<RequestId, Req> reqs;
-  std::map<RequestId, Duration> kept;     // entries alive, by the req that holds them
-  std::map<RequestId, Duration> effects;  // by first try: when the try that ran arrived
-  std::multimap<Duration, TimerId> timers;
-  std::vector<Duration> lingering;
-  std::deque<std::pair<Duration, double>>
-      callLoad;             // call-seconds of late, for the mean that the dependency survives
-  std::vector<Event> next;  // what the world owes the module in its next batch
-  std::vector<Action> last;
-  std::vector<std::string> broken;
-  std::unique_ptr<AdmissionPolicy> module;
-  Duration now{}, told = Duration::max(), stop = Duration::max();
-  double cpu = 1, wanting = 100, connections = 0;
-  Duration closesIdle{};
-  std::uint32_t ids = 0;
-  int lastTries = 0, callsMade = 0;
+/// Where a request stands, as the server's surroundings see it.
+enum class RequestState { queued, executing, awaitingCall, calling, awaitingOriginal, over };
+
+/// One request and what was done with it.
+struct ModelRequest {
+  RequestArrived arrival;
+  Duration arrivedAt{};
+  Duration deadline{};
+  Duration callDeadline{};
+  RequestState state = RequestState::queued;
+  int answerCount = 0;
+  int startCount = 0;
+  int shedCount = 0;
+  bool hasClientLeft = false;
+  bool mayCallHaveRun = false;
+  /// The first attempt of the same keyed request, or itself.
+  RequestId original{};
+};
+
+/// Hands events to the policy, carries out its actions and writes down every rule that breaks.
+///
+/// A test sets `settings` and the gauges, calls `open`, then lets requests arrive and time pass. Events wait
+/// in `pendingEvents` until `advance` hands them over.
+class ProtocolModel {
+ public:
+  PolicySettings settings{.machine = {.cores = 2,
+                                      .memoryKb = 4000,
+                                      .executionMemoryFactor = 4,
+                                      .cachedEntryKb = 50,
+                                      .maxExecutionsPerCore = 4,
+                                      .crowdingWindow = 2s},
+                          .handlers = {{.latencyObjective = 1s, .clientTimeout = 3s}},
+                          .downstream = {},
+                          .limits = {.answerSlack = 60ms, .drainGrace = 1s},
+                          .signaling = {.maxRetryAfter = 1s},
+                          .sharing = {},
+                          .fleet = {.servers = 4, .clients = 2}};
+
+  // The gauges that come with each timer.
+  double cpuUtilization = 1;
+  double runnableTasks = 100;
+  double openConnections = 0;
+
+  std::unique_ptr<AdmissionPolicy> policy;
+  std::vector<Event> pendingEvents;
+  std::map<RequestId, ModelRequest> requests;
+  /// Until when each retained request is kept.
+  std::map<RequestId, Duration> retainedUntil;
+  /// The rules that were broken, in words.
+  std::vector<std::string> violations;
+
+  Duration now{};
+  Duration notifiedAt = Duration::max();
+  Duration stopAt = Duration::max();
+  /// The idle timeout of connections that the policy asked for last.
+  Duration idleTimeout{};
+  std::uint32_t lastId = 0;
+  int discouragedRetries = 0;
+  int callsMade = 0;
 
   void open() {
-    module = makeAdmissionPolicy({machine, handlers, below, duties, voice, trade, fleet});
-    pass(0ms);
-  }
-  int count(Where where) const { return static_cast<int>(in(where).size()); }
-  std::vector<RequestId> in(Where where) const {
-    std::vector<RequestId> ids_;
-    for (const auto& [id, req] : reqs)
-      if (req.where == where) ids_.push_back(id);
-    return ids_;
-  }
-  RequestId arrive(int handler = 0, Duration patience = 3s, Duration unread = 0ms,
-                   std::optional<RequestId> again = {}) {
-    RequestArrived read;
-    read.id = RequestId{++ids};
-    read.handler = HandlerId{static_cast<std::uint8_t>(handler)};
-    read.rank = 0.5, read.queuedMemoryKb = 20, read.timeRemaining = patience, read.readDelay = unread;
-    Req req{.read = read, .arrived = now - unread, .due = now + patience};
-    req.first = again ? reqs.at(*again).first : read.id;
-    if (again)
-      for (const auto& [id, other] : reqs)  // the table names whichever try holds the entry
-        if (other.first == req.first && kept.contains(id)) req.read.duplicateOf = id;
-    reqs[read.id] = req;
-    next.push_back(req.read);
-    return read.id;
-  }
-  void end(RequestId id, Outcome outcome = Outcome::completed) {
-    Req& req = reqs.at(id);
-    req.where = Where::over;
-    next.push_back(ExecutionEnded{id, outcome, {}});
-    if ((outcome == Outcome::completed || outcome == Outcome::failed) && !req.gone && req.answers == 0)
-      answer(req);
-    for (auto& [other, waiting] : reqs)
-      if (waiting.where == Where::waiting && waiting.first == req.first)
-        end(other, outcome == Outcome::completed ? Outcome::completed : Outcome::failed);
-  }
-  void want(RequestId id) {
-    reqs.at(id).where = Where::wanting;
-    next.push_back(DownstreamCallRequested{id});
-    if (reqs.at(id).answers || reqs.at(id).gone) end(id, Outcome::cancelled);
+    policy = makeAdmissionPolicy(settings);
+    advance(0ms);
+  }
+
+  [[nodiscard]] std::vector<RequestId> idsIn(RequestState state) const {
+    std::vector<RequestId> ids;
+    for (const auto& [id, request] : requests)
+      if (request.state == state) ids.push_back(id);
+    return ids;
+  }
+  [[nodiscard]] int countIn(RequestState state) const { return static_cast<int>(idsIn(state).size()); }
+
+  [[nodiscard]] const HandlerPolicy& policyOf(const ModelRequest& request) const {
+    return settings.handlers[indexOf(request.arrival.handler)];
+  }
+  [[nodiscard]] Idempotency idempotencyOf(const ModelRequest& request) const {
+    return policyOf(request).idempotency;
+  }
+
+  // What happens to the server.
+
+  /// A request arrives; `retryOf` names an earlier attempt of the same request.
+  RequestId arrive(int handler = 0, Duration timeRemaining = 3s, Duration readDelay = 0ms,
+                   std::optional<RequestId> retryOf = {}) {
+    RequestArrived arrival;
+    arrival.id = RequestId{++lastId};
+    arrival.handler = HandlerId{static_cast<std::uint8_t>(handler)};
+    arrival.rank = 0.5;
+    arrival.queuedMemoryKb = 20;
+    arrival.timeRemaining = timeRemaining;
+    arrival.readDelay = readDelay;
+    ModelRequest request{.arrival = arrival, .arrivedAt = now - readDelay, .deadline = now + timeRemaining};
+    request.original = retryOf ? requests.at(*retryOf).original : arrival.id;
+    if (retryOf) request.arrival.duplicateOf = retainedAttemptOf(request.original);
+    requests[arrival.id] = request;
+    pendingEvents.emplace_back(request.arrival);
+    return arrival.id;
   }
+
+  void endExecution(RequestId id, Outcome outcome = Outcome::completed) {
+    ModelRequest& request = requests.at(id);
+    request.state = RequestState::over;
+    pendingEvents.emplace_back(ExecutionEnded{id, outcome, {}});
+    const bool hasResult = outcome == Outcome::completed || outcome == Outcome::failed;
+    if (hasResult && !request.hasClientLeft && request.answerCount == 0) answer(request);
+    for (auto& [other, duplicate] : requests) {
+      if (duplicate.state != RequestState::awaitingOriginal || duplicate.original != request.original)
+        continue;
+      endExecution(other, outcome == Outcome::completed ? Outcome::completed : Outcome::failed);
+    }
+  }
+
+  void requestCall(RequestId id) {
+    ModelRequest& request = requests.at(id);
+    request.state = RequestState::awaitingCall;
+    pendingEvents.emplace_back(DownstreamCallRequested{id});
+    if (request.answerCount > 0 || request.hasClientLeft) endExecution(id, Outcome::cancelled);
+  }
+
   void endCall(RequestId id, Outcome outcome) {
-    Req& req = reqs.at(id);
-    next.push_back(DownstreamCallEnded{id, outcome, {}});
-    if (outcome == Outcome::timedOut) lingering.push_back(now + below.abandonedCallLinger);
-    req.where = outcome == Outcome::completed ? Where::running : Where::wanting;
-    req.callMayHaveRun =
+    ModelRequest& request = requests.at(id);
+    pendingEvents.emplace_back(DownstreamCallEnded{id, outcome, {}});
+    if (outcome == Outcome::timedOut)
+      lingeringUntil_.push_back(now + settings.downstream.abandonedCallLinger);
+    request.state = outcome == Outcome::completed ? RequestState::executing : RequestState::awaitingCall;
+    request.mayCallHaveRun =
         outcome == Outcome::failed || outcome == Outcome::timedOut || outcome == Outcome::connectionLost;
   }
-  void leave(RequestId id) {  // its caller has gone, and the server hears of it
-    Req& req = reqs.at(id);
-    req.gone = true;
-    next.push_back(ClientDisconnected{id});
-    if (req.where == Where::held || req.where == Where::waiting) req.where = Where::over;
-    if (req.where == Where::wanting || req.where == Where::calling) end(id, Outcome::cancelled);
-  }
-  void notice(Duration left) {
-    told = now, stop = now + left;
-    next.push_back(ShutdownNotice{left});
-  }
-
-  void answer(Req& req) {
-    if (++req.answers > 1) broken.push_back("two answers");
-    if (!req.gone && now > req.due + duties.answerSlack) broken.push_back("late answer");
-  }
-  void turnAway(RequestId id, bool shed) {
-    Req& req = reqs.at(id);
-    if (req.where == Where::over || req.gone) return;
-    if (shed && req.read.handler != HandlerId{} && effectOf(req) != Idempotency::idempotent &&
-        (req.starts > 0 || ranWithin(req)))
-      broken.push_back("shed what had run");
-    req.shedAnswers += shed;
-    answer(req);
-    if (req.where == Where::held || req.where == Where::waiting) req.where = Where::over;
-    if (req.where == Where::wanting || req.where == Where::calling) end(id, Outcome::cancelled);
-  }
-  Idempotency effectOf(const Req& req) const {
-    return handlers[static_cast<std::size_t>(req.read.handler)].idempotency;
-  }
-  bool ranWithin(const Req& req) {
-    const auto it = effects.find(req.first);
-    const Duration window = handlers[static_cast<std::size_t>(req.read.handler)].deduplicationWindow;
-    return effectOf(req) == Idempotency::keyed && it != effects.end() && req.arrived <= it->second + window;
-  }
-  void carryOut(const Action& action) {
-    if (const auto* a = std::get_if<StartExecution>(&action)) {
-      Req& req = reqs.at(a->id);
-      if (req.where != Where::held) return;
-      if (effectOf(req) != Idempotency::idempotent && req.starts > 0) broken.push_back("ran twice");
-      if (ranWithin(req)) broken.push_back("effect twice");
-      if (told < Duration::max() && req.arrived > told + duties.drainGrace)
-        broken.push_back("ran after the grace");
-      effects[req.first] = req.arrived;
-      ++req.starts;
-      req.where = Where::running;
-    } else if (const auto* shed = std::get_if<ShedRequest>(&action)) {
-      lastTries += shed->discourageRetry;
-      turnAway(shed->id, true);
-    } else if (const auto* fail = std::get_if<FailRequest>(&action)) {
-      turnAway(fail->id, false);
-    } else if (const auto* halt = std::get_if<CancelExecution>(&action)) {
-      Req& req = reqs.at(halt->id);
-      if (machine.cancellation == CancellationMode::none)
-        broken.push_back("stopped work that can't be stopped");
-      if (req.where != Where::running || machine.cancellation != CancellationMode::discardWork) return;
-      req.where = req.answers || req.gone ? Where::over : Where::held;
-      next.push_back(ExecutionEnded{halt->id, Outcome::cancelled, {}});
-    } else if (const auto* call = std::get_if<CallDownstream>(&action)) {
-      Req& req = reqs.at(call->id);
-      if (req.where != Where::wanting) return;
-      if (req.callMayHaveRun && effectOf(req) != Idempotency::idempotent)
-        broken.push_back("call repeated without proof");
-      req.where = Where::calling;
-      ++callsMade;
-      req.callUntil = now + call->timeout;
-    } else if (const auto* skip = std::get_if<SkipDownstreamCall>(&action)) {
-      Req& req = reqs.at(skip->id);
-      if (handlers[static_cast<std::size_t>(req.read.handler)].degradedWeight <= 0)
-        broken.push_back("skip earns nothing");
-      if (req.where == Where::wanting) req.where = Where::running;
-    } else if (const auto* keep = std::get_if<RetainResult>(&action)) {
-      kept[keep->id] = now + keep->retention;
-    } else if (const auto* forget = std::get_if<DropResult>(&action)) {
-      if (reqs.at(forget->id).starts > 0) broken.push_back("forgot what had run");
-      kept.erase(forget->id);
-    } else if (const auto* echo = std::get_if<AnswerFromOriginal>(&action)) {
-      Req& req = reqs.at(echo->id);
-      if (!req.read.duplicateOf) broken.push_back("no first to answer from");
-      const auto first = req.read.duplicateOf ? reqs.find(*req.read.duplicateOf) : reqs.end();
-      req.where = Where::waiting;
-      if (first != reqs.end() && first->second.where == Where::over) end(echo->id, Outcome::completed);
-    } else if (const auto* idle = std::get_if<SetIdleConnectionTimeout>(&action)) {
-      closesIdle = idle->timeout;
-    } else if (const auto* timer = std::get_if<SetTimer>(&action)) {
-      timers.emplace(now + timer->delay, timer->timer);
-    }
+
+  /// The client has gone, and the server is told so.
+  void disconnect(RequestId id) {
+    ModelRequest& request = requests.at(id);
+    request.hasClientLeft = true;
+    pendingEvents.emplace_back(ClientDisconnected{id});
+    endWithoutAnswer(request);
   }
-  // Time passes in steps of a tick; due timers ring, and what is owed to the module is handed over.
-  void pass(Duration by) {
-    const Duration until = now + by;
+
+  void announceShutdown(Duration timeRemaining) {
+    notifiedAt = now;
+    stopAt = now + timeRemaining;
+    pendingEvents.emplace_back(ShutdownNotice{timeRemaining});
+  }
+
+  /// Time passes in small steps; timers fire, and what is pending is handed to the policy.
+  void advance(Duration duration) {
+    const Duration until = now + duration;
     do {
-      const Duration then = now;
-      now = std::min(until, now + 5ms);
-      std::erase_if(kept, [&](auto& k) { return k.second < now; });
-      std::erase_if(lingering, [&](auto& l) { return l < now; });
-      for (const RequestId id : in(Where::calling))
-        if (reqs.at(id).callUntil <= now) endCall(id, Outcome::timedOut);
-      const double inHand = count(Where::calling) + static_cast<double>(lingering.size());
-      callLoad.emplace_back(now, inHand * std::chrono::duration<double>(now - then).count());
-      while (!callLoad.empty() && callLoad.front().first <= now - below.quotaWindow) callLoad.pop_front();
-      while (!timers.empty() && timers.begin()->first <= now) {
-        next.push_back(TimerFired{timers.begin()->second, cpu, wanting, {}, connections});
-        timers.erase(timers.begin());
-      }
-      const auto batch = std::exchange(next, {});
-      if (batch.empty() && now > 0ms) continue;
-      last = module->onEvents(now, batch);
-      for (const auto& action : last) carryOut(action);
-      check();
+      const Duration before = now;
+      now = std::min(until, now + step);
+      expire();
+      accountForCalls(now - before);
+      fireTimers();
+      const std::vector<Event> events = std::exchange(pendingEvents, {});
+      if (events.empty() && now > 0ms) continue;
+      for (const Action& action : policy->onEvents(now, events))
+        std::visit([this](const auto& each) { apply(each); }, action);
+      checkInvariants();
     } while (now < until);
   }
-  void check() {
-    double kb = static_cast<double>(kept.size()) * machine.cachedEntryKb;
-    for (const auto& [id, req] : reqs) {
-      if (req.where == Where::held || req.where == Where::waiting)
-        kb += req.read.queuedMemoryKb;
-      else if (req.where != Where::over)
-        kb += req.read.queuedMemoryKb * machine.executionMemoryFactor;
-      const Duration limit = std::min(req.due + duties.answerSlack, stop);
-      if (!req.gone && req.answers == 0 && now > limit) broken.push_back("no answer in time");
+
+ private:
+  static constexpr Duration step = 5ms;
+
+  [[nodiscard]] static double toSeconds(Duration duration) {
+    return std::chrono::duration<double>(duration).count();
+  }
+
+  void reportViolation(const char* rule) { violations.emplace_back(rule); }
+
+  /// The attempt of the same keyed request that is retained; the last one, should there be several.
+  [[nodiscard]] std::optional<RequestId> retainedAttemptOf(RequestId original) const {
+    std::optional<RequestId> retained;
+    for (const auto& [id, request] : requests)
+      if (request.original == original && retainedUntil.contains(id)) retained = id;
+    return retained;
+  }
+
+  // Answers.
+
+  void answer(ModelRequest& request) {
+    ++request.answerCount;
+    if (request.answerCount > 1) reportViolation("two answers");
+    if (!request.hasClientLeft && now > request.deadline + settings.limits.answerSlack)
+      reportViolation("late answer");
+  }
+
+  /// Requests that do not occupy a core end with their answer; executions end by themselves.
+  void endWithoutAnswer(ModelRequest& request) {
+    if (request.state == RequestState::queued || request.state == RequestState::awaitingOriginal)
+      request.state = RequestState::over;
+    if (request.state == RequestState::awaitingCall || request.state == RequestState::calling)
+      endExecution(request.arrival.id, Outcome::cancelled);
+  }
+
+  /// Whether the same keyed request was executed so lately that it must not be executed again.
+  [[nodiscard]] bool wasExecutedWithinWindow(const ModelRequest& request) const {
+    if (idempotencyOf(request) != Idempotency::keyed) return false;
+    const auto executed = executedArrivals_.find(request.original);
+    if (executed == executedArrivals_.end()) return false;
+    return request.arrivedAt <= executed->second + policyOf(request).deduplicationWindow;
+  }
+
+  // Actions of the policy.
+
+  void apply(const StartExecution& action) {
+    ModelRequest& request = requests.at(action.id);
+    if (request.state != RequestState::queued) return;
+    if (idempotencyOf(request) != Idempotency::idempotent && request.startCount > 0)
+      reportViolation("executed twice");
+    if (wasExecutedWithinWindow(request)) reportViolation("effect twice");
+    if (notifiedAt < Duration::max() && request.arrivedAt > notifiedAt + settings.limits.drainGrace)
+      reportViolation("executed after the grace");
+    executedArrivals_[request.original] = request.arrivedAt;
+    ++request.startCount;
+    request.state = RequestState::executing;
+  }
+  void apply(const ShedRequest& action) {
+    if (action.discourageRetry) ++discouragedRetries;
+    ModelRequest& request = requests.at(action.id);
+    if (request.state == RequestState::over || request.hasClientLeft) return;
+    const bool mayHaveEffect = request.startCount > 0 || wasExecutedWithinWindow(request);
+    if (request.arrival.handler != HandlerId{} && idempotencyOf(request) != Idempotency::idempotent &&
+        mayHaveEffect)
+      reportViolation("shed what had been executed");
+    ++request.shedCount;
+    answer(request);
+    endWithoutAnswer(request);
+  }
+  void apply(const FailRequest& action) {
+    ModelRequest& request = requests.at(action.id);
+    if (request.state == RequestState::over || request.hasClientLeft) return;
+    answer(request);
+    endWithoutAnswer(request);
+  }
+  void apply(const CancelExecution& action) {
+    ModelRequest& request = requests.at(action.id);
+    const CancellationMode cancellation = settings.machine.cancellation;
+    if (cancellation == CancellationMode::none) reportViolation("cancelled what can't be cancelled");
+    if (request.state != RequestState::executing || cancellation != CancellationMode::discardWork) return;
+    const bool isAnswered = request.answerCount > 0 || request.hasClientLeft;
+    request.state = isAnswered ? RequestState::over : RequestState::queued;
+    pendingEvents.emplace_back(ExecutionEnded{action.id, Outcome::cancelled, {}});
+  }
+  void apply(const CallDownstream& action) {
+    ModelRequest& request = requests.at(action.id);
+    if (request.state != RequestState::awaitingCall) return;
+    if (request.mayCallHaveRun && idempotencyOf(request) != Idempotency::idempotent)
+      reportViolation("call repeated without proof");
+    request.state = RequestState::calling;
+    request.callDeadline = now + action.timeout;
+    ++callsMade;
+  }
+  void apply(const SkipDownstreamCall& action) {
+    ModelRequest& request = requests.at(action.id);
+    if (policyOf(request).degradedWeight <= 0) reportViolation("skipped call earns nothing");
+    if (request.state == RequestState::awaitingCall) request.state = RequestState::executing;
+  }
+  void apply(const RetainResult& action) { retainedUntil[action.id] = now + action.retention; }
+  void apply(const DropResult& action) {
+    if (requests.at(action.id).startCount > 0) reportViolation("dropped what had been executed");
+    retainedUntil.erase(action.id);
+  }
+  void apply(const AnswerFromOriginal& action) {
+    ModelRequest& request = requests.at(action.id);
+    request.state = RequestState::awaitingOriginal;
+    if (!request.arrival.duplicateOf) {
+      reportViolation("no original to answer from");
+      return;
+    }
+    const auto original = requests.find(*request.arrival.duplicateOf);
+    if (original != requests.end() && original->second.state == RequestState::over)
+      endExecution(action.id, Outcome::completed);
+  }
+  void apply(const SetIdleConnectionTimeout& action) { idleTimeout = action.timeout; }
+  void apply(const SetTimer& action) { timers_.emplace(now + action.delay, action.timer); }
+  void apply(const PublishHealth&) {}
+  void apply(const PublishLoadSignal&) {}
+  void apply(const DiagnosticMessage&) {}
+
+  // The passing of time.
+
+  void expire() {
+    std::erase_if(retainedUntil, [this](const auto& entry) { return entry.second < now; });
+    std::erase_if(lingeringUntil_, [this](Duration until) { return until < now; });
+    for (const RequestId id : idsIn(RequestState::calling))
+      if (requests.at(id).callDeadline <= now) endCall(id, Outcome::timedOut);
+  }
+
+  void accountForCalls(Duration elapsed) {
+    const double inFlight = countIn(RequestState::calling) + static_cast<double>(lingeringUntil_.size());
+    callSeconds_.emplace_back(now, inFlight * toSeconds(elapsed));
+    const Duration windowStart = now - settings.downstream.quotaWindow;
+    while (!callSeconds_.empty() && callSeconds_.front().first <= windowStart) callSeconds_.pop_front();
+  }
+
+  void fireTimers() {
+    while (!timers_.empty() && timers_.begin()->first <= now) {
+      pendingEvents.emplace_back(TimerFired{.timer = timers_.begin()->second,
+                                            .cpuUtilization = cpuUtilization,
+                                            .runnableTasks = runnableTasks,
+                                            .memoryUtilization = {},
+                                            .openConnections = openConnections});
+      timers_.erase(timers_.begin());
+    }
+  }
+
+  // What must hold after every batch of events.
+
+  void checkInvariants() {
+    checkAnswers();
+    if (memoryInUse() > settings.machine.memoryKb) reportViolation("memory");
+    if (countIn(RequestState::executing) > survivableExecutions()) reportViolation("too many executions");
+    checkCallQuota();
+  }
+
+  void checkAnswers() {
+    for (const auto& [id, request] : requests) {
+      const Duration latest = std::min(request.deadline + settings.limits.answerSlack, stopAt);
+      if (!request.hasClientLeft && request.answerCount == 0 && now > latest)
+        reportViolation("no answer in time");
     }
-    if (kb > machine.memoryKb) broken.push_back("memory");
-    const double warm = std::min(1.0, std::chrono::duration<double>(now) / machine.warmUpDuration);
-    const double speed = machine.coldStart ? machine.initialSpeed + (1 - machine.initialSpeed) * warm : 1;
-    if (count(Where::running) > machine.cores * (1 + (machine.maxExecutionsPerCore - 1) * speed))
-      broken.push_back("crowd");
-    double load = 0;
-    for (const auto& [at, callSeconds] : callLoad) load += callSeconds;
-    if (below.concurrentCallQuota > 0 &&
-        load > below.concurrentCallQuota * std::chrono::duration<double>(below.quotaWindow).count())
-      broken.push_back("calls");
   }
+
+  [[nodiscard]] double memoryInUse() const {
+    double totalKb = static_cast<double>(retainedUntil.size()) * settings.machine.cachedEntryKb;
+    for (const auto& [id, request] : requests) {
+      const double queuedKb = request.arrival.queuedMemoryKb;
+      if (request.state == RequestState::queued || request.state == RequestState::awaitingOriginal)
+        totalKb += queuedKb;
+      else if (request.state != RequestState::over)
+        totalKb += queuedKb * settings.machine.executionMemoryFactor;
+    }
+    return totalKb;
+  }
+
+  [[nodiscard]] double survivableExecutions() const {
+    const MachineProfile& machine = settings.machine;
+    const double progress = std::min(1.0, toSeconds(now) / toSeconds(machine.warmUpDuration));
+    const double speed = machine.coldStart ? machine.initialSpeed + (1 - machine.initialSpeed) * progress : 1;
+    return machine.cores * (1 + (machine.maxExecutionsPerCore - 1) * speed);
+  }
+
+  void checkCallQuota() {
+    const DownstreamProfile& downstream = settings.downstream;
+    double total = 0;
+    for (const auto& [at, seconds] : callSeconds_) total += seconds;
+    const double allowed = downstream.concurrentCallQuota * toSeconds(downstream.quotaWindow);
+    if (downstream.concurrentCallQuota > 0 && total > allowed) reportViolation("downstream quota");
+  }
+
+  std::multimap<Duration, TimerId> timers_;
+  /// By original: when the attempt that was executed arrived.
+  std::map<RequestId, Duration> executedArrivals_;
+  std::vector<Duration> lingeringUntil_;
+  /// Call-seconds of each step within the quota's window.
+  std::deque<std::pair<Duration, double>> callSeconds_;
 };
 
 }  // namespace rainhook
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,130 +1,194 @@
-// Generated days against the plain model of the four rules: every effect, every halting, cold and warm,
-// drains, calls.
+/// @file
+/// Generated histories against the plain model of the protocol's rules, and the fuzzy rules against their
+/// table.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
+#include <algorithm>
+#include <cmath>
+#include <string>
+#include <vector>
+
 #include "decision/fuzzy_rules.h"
 #include "protocol_model.h"
 
 namespace rainhook {
-
 namespace {
 
+/// One generated step of a history; `choice` selects among what is possible.
 struct Step {
-  unsigned kind, which;
-  int wait;
+  unsigned kind;
+  unsigned choice;
+  int waitMs;
 };
 
-template <typename T>
-T pick(const std::vector<T>& from, unsigned which) {
-  return from[which % from.size()];
+template <typename Value>
+Value pick(const std::vector<Value>& values, unsigned choice) {
+  return values[choice % values.size()];
 }
 
-void play(World& w, const Step& step) {
-  using Where = World::Where;
-  const auto running = w.in(Where::running), calling = w.in(Where::calling), wanting = w.in(Where::wanting);
-  const auto held = w.in(Where::held);
+Outcome pickCallOutcome(unsigned choice) {
   static const std::vector<Outcome> outcomes{Outcome::completed,   Outcome::failed,
                                              Outcome::rejected,    Outcome::timedOut,
                                              Outcome::unreachable, Outcome::connectionLost};
+  return pick(outcomes, choice);
+}
+
+void arriveInABurst(ProtocolModel& model, unsigned choice) {
+  const int handler = static_cast<int>(choice % model.settings.handlers.size());
+  const Duration timeRemaining = Duration(50ms) * (1 + choice % 60);
+  for (unsigned i = 0; i <= choice % 6; ++i) model.arrive(handler, timeRemaining);
+}
+
+void retry(ProtocolModel& model, unsigned choice) {
+  if (model.lastId == 0) return;
+  const RequestId id{1 + choice % model.lastId};
+  const ModelRequest& request = model.requests.at(id);
+  if (model.idempotencyOf(request) != Idempotency::keyed || request.state == RequestState::queued) return;
+  model.arrive(static_cast<int>(request.arrival.handler), 2s, 0ms, id);
+}
+
+void endAnExecution(ProtocolModel& model, unsigned choice) {
+  const std::vector<RequestId> executing = model.idsIn(RequestState::executing);
+  if (executing.empty()) return;
+  model.endExecution(pick(executing, choice), choice % 7 ? Outcome::completed : Outcome::failed);
+}
+
+void requestACall(ProtocolModel& model, unsigned choice) {
+  const std::vector<RequestId> executing = model.idsIn(RequestState::executing);
+  if (!executing.empty()) model.requestCall(pick(executing, choice));
+}
+
+void endACall(ProtocolModel& model, unsigned choice) {
+  const std::vector<RequestId> calling = model.idsIn(RequestState::calling);
+  if (!calling.empty()) model.endCall(pick(calling, choice), pickCallOutcome(choice / 8));
+}
+
+void disconnectAClient(ProtocolModel& model, unsigned choice) {
+  const RequestState state = choice % 2 ? RequestState::executing : RequestState::queued;
+  const std::vector<RequestId> ids = model.idsIn(state);
+  if (!ids.empty()) model.disconnect(pick(ids, choice / 2));
+}
+
+void announceShutdownOnce(ProtocolModel& model, unsigned choice) {
+  if (choice % 8 != 0 || model.notifiedAt < Duration::max()) return;
+  model.announceShutdown(Duration(500ms) * (1 + choice % 5));
+}
+
+void play(ProtocolModel& model, const Step& step) {
   switch (step.kind) {
     case 0:
     case 1:
     case 2:
     case 3:
-      for (unsigned i = 0; i <= step.which % 6; ++i)
-        w.arrive(static_cast<int>(step.which % w.handlers.size()), Duration(50ms) * (1 + step.which % 60));
+      arriveInABurst(model, step.choice);
       break;
-    case 4:  // another try of an earlier req
-      if (w.ids > 0) {
-        const RequestId first{1 + step.which % w.ids};
-        if (w.effectOf(w.reqs.at(first)) == Idempotency::keyed &&
-            w.reqs.at(first).where != World::Where::held)
-          w.arrive(static_cast<int>(w.reqs.at(first).read.handler), 2s, 0ms, first);
-      }
+    case 4:
+      retry(model, step.choice);
       break;
     case 5:
     case 6:
     case 7:
-      if (!running.empty())
-        w.end(pick(running, step.which), step.which % 7 ? Outcome::completed : Outcome::failed);
+      endAnExecution(model, step.choice);
       break;
     case 8:
-      if (!running.empty()) w.want(pick(running, step.which));
+      requestACall(model, step.choice);
       break;
     case 9:
     case 10:
-      if (!calling.empty()) w.endCall(pick(calling, step.which), pick(outcomes, step.which / 8));
+      endACall(model, step.choice);
       break;
     case 11:
-      if (const auto any = step.which % 2 ? running : held; !any.empty()) w.leave(pick(any, step.which / 2));
+      disconnectAClient(model, step.choice);
       break;
     case 12:
-      if (step.which % 8 == 0 && w.told == Duration::max()) w.notice(Duration(500ms) * (1 + step.which % 5));
+      announceShutdownOnce(model, step.choice);
       break;
     default:
-      w.wanting = step.which % 5;
+      model.runnableTasks = step.choice % 5;
   }
-  if (w.now < w.stop) w.pass(std::min(Duration(1ms) * (step.wait + 1), w.stop - w.now));
+  if (model.now >= model.stopAt) return;
+  model.advance(std::min(Duration(1ms) * (step.waitMs + 1), model.stopAt - model.now));
+}
+
+void generateMachine(MachineProfile& machine) {
+  machine.cores = *rc::gen::inRange(1, 4);
+  machine.coldStart = *rc::gen::arbitrary<bool>();
+  machine.initialSpeed = 0.2;
+  machine.warmUpDuration = 4s;
+  machine.maxExecutionsPerCore = *rc::gen::inRange(2, 9);
+  machine.memoryKb = *rc::gen::inRange(600, 5000);
+  machine.cancellation =
+      *rc::gen::element(CancellationMode::none, CancellationMode::discardWork, CancellationMode::pauseWork);
+}
+
+DownstreamProfile generateDownstream() {
+  DownstreamProfile downstream{.quotaWindow = 5s, .abandonedCallLinger = 200ms};
+  downstream.kind = *rc::gen::element(DownstreamKind::none, DownstreamKind::shared, DownstreamKind::nextTier);
+  if (downstream.kind == DownstreamKind::shared)
+    downstream.concurrentCallQuota = *rc::gen::element(0.1, 0.4, 0.9, 1.5, 4.0);
+  return downstream;
+}
+
+void generateSettings(PolicySettings& settings) {
+  generateMachine(settings.machine);
+  settings.fleet.clients = *rc::gen::element(2, 900);
+  settings.downstream = generateDownstream();
+  settings.signaling.signalKind = *rc::gen::element(LoadSignalKind::none, LoadSignalKind::level,
+                                                    LoadSignalKind::credit, LoadSignalKind::weight);
+  settings.sharing.sharingDuration = *rc::gen::element<Duration>(0ms, 500ms);
+  const double reducedWeight = *rc::gen::element(0.0, 0.3);
+  for (const Idempotency idempotency :
+       {Idempotency::keyed, Idempotency::nonIdempotent, Idempotency::idempotent})
+    settings.handlers.push_back({.latencyObjective = 800ms,
+                                 .clientTimeout = 3s,
+                                 .lateWeight = reducedWeight,
+                                 .degradedWeight = reducedWeight,
+                                 .callsDownstream = true,
+                                 .idempotency = idempotency,
+                                 .deduplicationWindow = 1500ms});
+  settings.handlers[0].degradedWeight = reducedWeight;
 }
 
-TEST(Rules, GeneratedDaysKeepAllFour) {
-  const bool held = rc::check("the four rules", [] {
-    World w;
-    w.machine.cores = *rc::gen::inRange(1, 4), w.fleet.clients = *rc::gen::element(2, 900);
-    w.machine.coldStart = *rc::gen::arbitrary<bool>();
-    w.machine.initialSpeed = 0.2;
-    w.machine.warmUpDuration = 4s;
-    w.machine.maxExecutionsPerCore = *rc::gen::inRange(2, 9);
-    w.machine.memoryKb = *rc::gen::inRange(600, 5000);
-    w.machine.cancellation =
-        *rc::gen::element(CancellationMode::none, CancellationMode::discardWork, CancellationMode::pauseWork);
-    w.below = {*rc::gen::element(DownstreamKind::none, DownstreamKind::shared, DownstreamKind::nextTier), 0,
-               5s, 200ms};
-    if (w.below.kind == DownstreamKind::shared)
-      w.below.concurrentCallQuota = *rc::gen::element(0.1, 0.4, 0.9, 1.5, 4.0);
-    w.voice.signalKind = *rc::gen::element(LoadSignalKind::none, LoadSignalKind::level,
-                                           LoadSignalKind::credit, LoadSignalKind::weight);
-    w.trade.sharingDuration = *rc::gen::element<Duration>(0ms, 500ms);
-    const double skip = *rc::gen::element(0.0, 0.3);
-    for (const Idempotency effect : {Idempotency::keyed, Idempotency::nonIdempotent, Idempotency::idempotent})
-      w.handlers.push_back({.latencyObjective = 800ms,
-                            .clientTimeout = 3s,
-                            .lateWeight = skip,
-                            .degradedWeight = skip,
-                            .callsDownstream = true,
-                            .idempotency = effect,
-                            .deduplicationWindow = 1500ms});
-    w.handlers[0].degradedWeight = skip;
-    w.open();
+TEST(ProtocolRules, HoldInEveryGeneratedHistory) {
+  const bool isHeld = rc::check("the rules of the protocol", [] {
+    ProtocolModel model;
+    generateSettings(model.settings);
+    model.open();
     const auto steps = *rc::gen::container<std::vector<Step>>(rc::gen::construct<Step>(
         rc::gen::inRange(0u, 14u), rc::gen::inRange(0u, 1000u), rc::gen::inRange(0, 120)));
-    for (const auto& step : steps) {
-      play(w, step);
-      RC_ASSERT(w.broken == std::vector<std::string>{});
+    for (const Step& step : steps) {
+      play(model, step);
+      RC_ASSERT(model.violations == std::vector<std::string>{});
     }
-    w.pass(std::min<Duration>(4s, w.stop - w.now));  // every answer is due by now
-    RC_ASSERT(w.broken == std::vector<std::string>{});
+    model.advance(std::min<Duration>(4s, model.stopAt - model.now));  // Every answer is owed by then.
+    RC_ASSERT(model.violations == std::vector<std::string>{});
   });
-  EXPECT_TRUE(held);
+  EXPECT_TRUE(isHeld);
 }
 
-// The climber's rules against the paper's table, written out plainly.
-TEST(Rules, FuzzyStepFollowsTheTable) {
-  const bool held = rc::check("the table of four rules", [] {
-    const double du = *rc::gen::inRange(-200, 201) / 100.0, dy = *rc::gen::inRange(-200, 201) / 100.0;
-    const auto grade = [](double x, double peak) { return std::clamp(1 - std::abs(x - peak) / 2, 0.0, 1.0); };
-    const double u = std::clamp(du, -1.0, 1.0), y = std::clamp(dy, -1.0, 1.0);
-    double weight = 0, moment = 0;
-    for (const double pu : {-1.0, 1.0})
-      for (const double py : {-1.0, 1.0}) {
-        const double rule = std::min(grade(u, pu), grade(y, py));
+// The table of the paper, written out plainly.
+TEST(FuzzyRules, FollowTheTable) {
+  const bool isHeld = rc::check("the table of four rules", [] {
+    const double lastStep = *rc::gen::inRange(-200, 201) / 100.0;
+    const double latencyChange = *rc::gen::inRange(-200, 201) / 100.0;
+    const auto membership = [](double value, double peak) {
+      return std::clamp(1 - std::abs(value - peak) / 2, 0.0, 1.0);
+    };
+    const double step = std::clamp(lastStep, -1.0, 1.0);
+    const double change = std::clamp(latencyChange, -1.0, 1.0);
+    double weight = 0;
+    double moment = 0;
+    for (const double stepPeak : {-1.0, 1.0})
+      for (const double changePeak : {-1.0, 1.0}) {
+        const double rule = std::min(membership(step, stepPeak), membership(change, changePeak));
         weight += rule;
-        moment += rule * (py < 0 ? pu : -pu);  // latency fell: the same way again; it rose: the other way
+        // The latency fell: the same direction again; it rose: the other one.
+        moment += rule * (changePeak < 0 ? stepPeak : -stepPeak);
       }
-    RC_ASSERT(std::abs(fuzzyStep(du, dy) - moment / weight) < 1e-9);
+    RC_ASSERT(std::abs(fuzzyStep(lastStep, latencyChange) - moment / weight) < 1e-9);
   });
-  EXPECT_TRUE(held);
+  EXPECT_TRUE(isHeld);
 }
 
 }  // namespace
