--- a/src/configuration/deployment_settings.cpp
+++ b/src/configuration/deployment_settings.cpp
@@ -1,115 +1,183 @@
 #include "configuration/deployment_settings.h"
 
 #include <algorithm>
+#include <cstddef>
 #include <limits>
+#include <string_view>
+#include <utility>
 
 namespace rainhook {
 namespace {
 
-HandlerPolicy readHandler(const SettingsReader& facts, std::size_t at) {
-  const std::string at0 = "classes." + std::to_string(at) + ".";
-  HandlerPolicy terms;
-  terms.latencyObjective = facts.duration(at0 + "aimNs", facts.duration(at0 + "hardLimitNs"));
-  // Stated as nothing it is a mistake; not stated at all it is 0, as any absent value.
-  if (const auto stated = facts.text(at0 + "aimNs");
-      !stated.empty() && terms.latencyObjective <= Duration::zero())
-    facts.reject(at0 + "aimNs", stated, "a span over 0");
-  terms.objectiveWorkFactor = facts.number(at0 + "aimStretch", 0);
-  terms.clientTimeout = facts.duration(at0 + "hardLimitNs", terms.latencyObjective);
-  terms.priorityWeight = facts.number(at0 + "worth", 1);
-  terms.lateWeight = facts.number(at0 + "lateWorth", 0);
-  terms.deduplicationWindow = facts.duration(at0 + "windowNs");
-  terms.degradedWeight = facts.numberInList("domain.classSkipWorth", at);
-  terms.callsDownstream = facts.booleanInList("domain.classCalls", at);
-  switch (facts.choice(at0 + "effect", {"free", "guarded", "single_shot"})) {
-    case 1:
-      terms.idempotency = Idempotency::keyed;
-      break;
-    case 2:
-      terms.idempotency = Idempotency::nonIdempotent;
-      break;
-    default:
-      break;
-  }
-  return terms;
+MachineProfile readMachineProfile(const SettingsReader& reader) {
+  MachineProfile machine;
+  machine.cores = std::max(1, reader.count("domain.cores", 1));
+  machine.memoryKb = reader.number("domain.memoryKb", 0);
+  // Without a stated amount of memory there is no memory limit.
+  if (machine.memoryKb <= 0) machine.memoryKb = std::numeric_limits<double>::max();
+  machine.executionMemoryFactor = reader.number("domain.runFactor", 1);
+  machine.cachedEntryKb = reader.number("domain.keyKb", 0);
+  machine.coldStart = reader.boolean("domain.cold");
+  machine.initialSpeed = reader.number("invariants.coldFrom", 1);
+  machine.warmUpDuration = reader.duration("invariants.warmWithinNs");
+  machine.maxExecutionsPerCore = std::max(1.0, reader.number("invariants.fallMultiple", 1));
+  machine.crowdingWindow = reader.duration("invariants.fallNs");
+  machine.cancellation =
+      reader.choice<CancellationMode>("domain.halt", {{"none", CancellationMode::none},
+                                                      {"drop", CancellationMode::discardWork},
+                                                      {"pause", CancellationMode::pauseWork}});
+  return machine;
+}
+
+Duration readLatencyObjective(const SettingsReader& reader, const std::string& prefix) {
+  const std::string path = prefix + "aimNs";
+  const Duration objective = reader.duration(path, reader.duration(prefix + "hardLimitNs"));
+  // A stated objective of 0 is a mistake; without a statement it is 0, as any absent value.
+  const std::string_view stated = reader.text(path);
+  if (!stated.empty() && objective <= Duration::zero()) reader.reject(path, stated, "a duration over 0 ns");
+  return objective;
+}
+
+HandlerPolicy readHandlerPolicy(const SettingsReader& reader, std::size_t handler) {
+  const std::string prefix = "classes." + std::to_string(handler) + ".";
+  HandlerPolicy policy;
+  policy.latencyObjective = readLatencyObjective(reader, prefix);
+  policy.objectiveWorkFactor = reader.number(prefix + "aimStretch", 0);
+  policy.clientTimeout = reader.duration(prefix + "hardLimitNs", policy.latencyObjective);
+  policy.priorityWeight = reader.number(prefix + "worth", 1);
+  policy.lateWeight = reader.number(prefix + "lateWorth", 0);
+  policy.deduplicationWindow = reader.duration(prefix + "windowNs");
+  policy.degradedWeight = reader.numberAt("domain.classSkipWorth", handler);
+  policy.callsDownstream = reader.booleanAt("domain.classCalls", handler);
+  policy.idempotency =
+      reader.choice<Idempotency>(prefix + "effect", {{"free", Idempotency::idempotent},
+                                                     {"guarded", Idempotency::keyed},
+                                                     {"single_shot", Idempotency::nonIdempotent}});
+  return policy;
+}
+
+std::vector<HandlerPolicy> readHandlerPolicies(const SettingsReader& reader) {
+  const int handlers = reader.count("classes.count", 0);
+  std::vector<HandlerPolicy> policies;
+  policies.reserve(static_cast<std::size_t>(handlers));
+  for (int handler = 0; handler < handlers; ++handler)
+    policies.push_back(readHandlerPolicy(reader, static_cast<std::size_t>(handler)));
+  return policies;
+}
+
+// The names of the entries of a list, such as `classes` or `orgs`.
+std::vector<std::string> readNames(const SettingsReader& reader, const std::string& list) {
+  const int entries = reader.count(list + ".count", 0);
+  std::vector<std::string> names;
+  names.reserve(static_cast<std::size_t>(entries));
+  for (int entry = 0; entry < entries; ++entry)
+    names.emplace_back(reader.text(list + "." + std::to_string(entry) + ".name"));
+  return names;
+}
+
+DownstreamProfile readDownstreamProfile(const SettingsReader& reader) {
+  DownstreamProfile downstream;
+  downstream.kind = reader.choice<DownstreamKind>("domain.below", {{"none", DownstreamKind::none},
+                                                                   {"shared", DownstreamKind::shared},
+                                                                   {"tier", DownstreamKind::nextTier}});
+  downstream.concurrentCallQuota = reader.number("domain.callsOut", 0);
+  downstream.quotaWindow = reader.duration("domain.callsOverNs");
+  downstream.abandonedCallLinger = reader.duration("domain.lingerNs");
+  return downstream;
+}
+
+ProtocolLimits readProtocolLimits(const SettingsReader& reader) {
+  ProtocolLimits limits;
+  limits.answerSlack = reader.duration("invariants.answerSlackNs");
+  limits.drainGrace = reader.duration("invariants.stopSendingWithinNs");
+  return limits;
+}
+
+SignalingProfile readSignalingProfile(const SettingsReader& reader) {
+  SignalingProfile signaling;
+  signaling.signalKind = reader.choice<LoadSignalKind>("domain.signal", {{"none", LoadSignalKind::none},
+                                                                         {"level", LoadSignalKind::level},
+                                                                         {"credit", LoadSignalKind::credit},
+                                                                         {"weight", LoadSignalKind::weight}});
+  signaling.signalLifetime = reader.duration("domain.saidForNs");
+  signaling.registryFollowsHealth = reader.boolean("domain.readiness");
+  if (reader.boolean("limits.retryAfter"))
+    signaling.maxRetryAfter = reader.duration("limits.maxRetryAfterNs");
+  return signaling;
+}
+
+ResultSharing readResultSharing(const SettingsReader& reader) {
+  ResultSharing sharing;
+  sharing.weightByWork = reader.choice<bool>("worthBy", {{"request", false}, {"work", true}});
+  sharing.sharingDuration = reader.duration("domain.freshNs");
+  return sharing;
+}
+
+FleetProfile readFleetProfile(const SettingsReader& reader) {
+  FleetProfile fleet;
+  fleet.servers = std::max(1, reader.count("servers", 1));
+  fleet.clients = std::max(1, reader.count("domain.callers", 1));
+  const Duration maxIdleTime = reader.duration("domain.keepaliveMaxNs");
+  if (maxIdleTime > Duration::zero()) fleet.maxIdleTime = maxIdleTime;
+  return fleet;
+}
+
+LoadGauge gaugeNamed(std::string_view name) {
+  if (name == "cpu_busy") return LoadGauge::cpuUtilization;
+  if (name == "runnable") return LoadGauge::runnableTasks;
+  if (name == "mem_used") return LoadGauge::memoryUtilization;
+  if (name == "sockets") return LoadGauge::openConnections;
+  return LoadGauge::other;
+}
+
+std::vector<LoadGauge> readGauges(const SettingsReader& reader) {
+  std::vector<LoadGauge> gauges;
+  for (const std::string_view name : reader.list("domain.gauges")) gauges.push_back(gaugeNamed(name));
+  return gauges;
 }
 
 }  // namespace
 
-DeploymentSettings readDeploymentSettings(const SettingsMap& pairs) {
-  const SettingsReader facts(pairs, "settings");
-  DeploymentSettings out;
-  MachineProfile& m = out.machine;
-  m.cores = std::max(1, facts.count("domain.cores", 1));
-  // Where no memory is stated, or none at all, nothing is held against it.
-  m.memoryKb = facts.number("domain.memoryKb", 0);
-  if (m.memoryKb <= 0) m.memoryKb = std::numeric_limits<double>::max();
-  m.executionMemoryFactor = facts.number("domain.runFactor", 1);
-  m.cachedEntryKb = facts.number("domain.keyKb", 0);
-  m.coldStart = facts.boolean("domain.cold");
-  m.initialSpeed = facts.number("invariants.coldFrom", 1);
-  m.warmUpDuration = facts.duration("invariants.warmWithinNs");
-  m.maxExecutionsPerCore = std::max(1.0, facts.number("invariants.fallMultiple", 1));
-  m.crowdingWindow = facts.duration("invariants.fallNs");
-  const CancellationMode haltings[] = {CancellationMode::none, CancellationMode::discardWork,
-                                       CancellationMode::pauseWork};
-  m.cancellation = haltings[facts.choice("domain.halt", {"none", "drop", "pause"})];
-
-  const int handlers = facts.count("classes.count", 0);
-  for (int i = 0; i < handlers; ++i) {
-    out.handlerPolicies.push_back(readHandler(facts, static_cast<std::size_t>(i)));
-    out.handlerNames.emplace_back(facts.text("classes." + std::to_string(i) + ".name"));
-  }
-  const int customers = facts.count("orgs.count", 0);
-  for (int i = 0; i < customers; ++i)
-    out.tenantNames.emplace_back(facts.text("orgs." + std::to_string(i) + ".name"));
-
-  const DownstreamKind belows[] = {DownstreamKind::none, DownstreamKind::shared, DownstreamKind::nextTier};
-  out.downstream.kind = belows[facts.choice("domain.below", {"none", "shared", "tier"})];
-  out.downstream.concurrentCallQuota = facts.number("domain.callsOut", 0);
-  out.downstream.quotaWindow = facts.duration("domain.callsOverNs");
-  out.downstream.abandonedCallLinger = facts.duration("domain.lingerNs");
-
-  out.protocolLimits.answerSlack = facts.duration("invariants.answerSlackNs");
-  out.protocolLimits.drainGrace = facts.duration("invariants.stopSendingWithinNs");
-
-  const LoadSignalKind signals[] = {LoadSignalKind::none, LoadSignalKind::level, LoadSignalKind::credit,
-                                    LoadSignalKind::weight};
-  out.signaling.signalKind = signals[facts.choice("domain.signal", {"none", "level", "credit", "weight"})];
-  out.signaling.signalLifetime = facts.duration("domain.saidForNs");
-  out.signaling.registryFollowsHealth = facts.boolean("domain.readiness");
-  if (facts.boolean("limits.retryAfter"))
-    out.signaling.maxRetryAfter = facts.duration("limits.maxRetryAfterNs");
-
-  out.resultSharing.weightByWork = facts.choice("worthBy", {"request", "work"}) == 1;
-  out.resultSharing.sharingDuration = facts.duration("domain.freshNs");
-  out.fleet.servers = std::max(1, facts.count("servers", 1));
-  out.fleet.clients = std::max(1, facts.count("domain.callers", 1));
-  if (const auto idle = facts.duration("domain.keepaliveMaxNs"); idle > idle.zero())
-    out.fleet.maxIdleTime = idle;
-  out.clientsSendTimeRemaining = facts.boolean("domain.passesDeadline");
-  for (const auto name : facts.list("domain.gauges"))
-    out.gauges.push_back(name == "cpu_busy"   ? LoadGauge::cpuUtilization
-                         : name == "runnable" ? LoadGauge::runnableTasks
-                         : name == "mem_used" ? LoadGauge::memoryUtilization
-                         : name == "sockets"  ? LoadGauge::openConnections
-                                              : LoadGauge::other);
-  return out;
+DeploymentSettings readDeploymentSettings(SettingsMap settings) {
+  const SettingsReader reader(std::move(settings), "settings");
+  DeploymentSettings deployment;
+  deployment.machine = readMachineProfile(reader);
+  deployment.handlerPolicies = readHandlerPolicies(reader);
+  deployment.handlerNames = readNames(reader, "classes");
+  deployment.tenantNames = readNames(reader, "orgs");
+  deployment.downstream = readDownstreamProfile(reader);
+  deployment.protocolLimits = readProtocolLimits(reader);
+  deployment.signaling = readSignalingProfile(reader);
+  deployment.resultSharing = readResultSharing(reader);
+  deployment.fleet = readFleetProfile(reader);
+  deployment.clientsSendTimeRemaining = reader.boolean("domain.passesDeadline");
+  deployment.gauges = readGauges(reader);
+  return deployment;
 }
 
-TimerFired timerFired(TimerId timer, std::span<const double> values, const std::vector<LoadGauge>& order) {
-  TimerFired out{.timer = timer,
-                 .cpuUtilization = {},
-                 .runnableTasks = {},
-                 .memoryUtilization = {},
-                 .openConnections = {}};
-  for (std::size_t i = 0; i < values.size() && i < order.size(); ++i) {
-    if (order[i] == LoadGauge::cpuUtilization) out.cpuUtilization = values[i];
-    if (order[i] == LoadGauge::runnableTasks) out.runnableTasks = values[i];
-    if (order[i] == LoadGauge::memoryUtilization) out.memoryUtilization = values[i];
-    if (order[i] == LoadGauge::openConnections) out.openConnections = values[i];
+TimerFired timerFired(TimerId timer, std::span<const double> values, const std::vector<LoadGauge>& gauges) {
+  TimerFired event;
+  event.timer = timer;
+  const std::size_t measured = std::min(values.size(), gauges.size());
+  for (std::size_t i = 0; i < measured; ++i) {
+    switch (gauges[i]) {
+      case LoadGauge::cpuUtilization:
+        event.cpuUtilization = values[i];
+        break;
+      case LoadGauge::runnableTasks:
+        event.runnableTasks = values[i];
+        break;
+      case LoadGauge::memoryUtilization:
+        event.memoryUtilization = values[i];
+        break;
+      case LoadGauge::openConnections:
+        event.openConnections = values[i];
+        break;
+      case LoadGauge::other:
+        break;
+    }
   }
-  return out;
+  return event;
 }
 
 }  // namespace rainhook
--- a/src/configuration/deployment_settings.h
+++ b/src/configuration/deployment_settings.h
@@ -1,4 +1,6 @@
-// What an instance is handed at its start, read into the module's words; the same for both hosts.
+/// @file
+/// The operators' settings of a deployment, read into the types of the decision module. A real server and the
+/// simulator's host read the same settings.
 #pragma once
 
 #include <span>
@@ -10,27 +12,37 @@
 
 namespace rainhook {
 
-enum class LoadGauge { cpuUtilization, runnableTasks, memoryUtilization, openConnections, other };
+/// A measurement of the machine that a timer event may carry.
+enum class LoadGauge {
+  cpuUtilization,     ///< share of the cores that are busy
+  runnableTasks,      ///< tasks that run or wait for a core
+  memoryUtilization,  ///< share of the memory in use
+  openConnections,    ///< open sockets
+  other               ///< one that rainhook does not know and ignores
+};
 
+/// What a deployment's operators state about a server, its work and its surroundings.
 struct DeploymentSettings {
-  MachineProfile machine;
-  std::vector<HandlerPolicy> handlerPolicies;
-  std::vector<std::string> handlerNames, tenantNames;
-  DownstreamProfile downstream;
-  ProtocolLimits protocolLimits;
-  SignalingProfile signaling;
-  ResultSharing resultSharing;
-  FleetProfile fleet;
-  bool clientsSendTimeRemaining = false;
-  std::vector<LoadGauge> gauges;
+  MachineProfile machine;                      ///< the machine, its limits and its slow start
+  std::vector<HandlerPolicy> handlerPolicies;  ///< by HandlerId
+  std::vector<std::string> handlerNames;       ///< by HandlerId
+  std::vector<std::string> tenantNames;        ///< by TenantId
+  DownstreamProfile downstream;                ///< the service that handlers call
+  ProtocolLimits protocolLimits;               ///< times that the protocol demands
+  SignalingProfile signaling;                  ///< which load signals are sent, and to whom
+  ResultSharing resultSharing;                 ///< whether a read's answer may serve other reads
+  FleetProfile fleet;                          ///< how many servers and clients there are
+  bool clientsSendTimeRemaining = false;       ///< whether requests carry the client's remaining time
+  std::vector<LoadGauge> gauges;               ///< the gauges of a timer event, in their order
 };
 
-// Unknown paths are passed over, absent ones keep their stated meaning. Throws FactsError on a value that is
-// not what its path holds.
-DeploymentSettings readDeploymentSettings(const SettingsMap& pairs);
+/// Reads a deployment's settings. Unknown paths are ignored; absent ones take their documented default.
+/// @throws ConfigurationError (source "settings") on a value that is not what its path holds.
+[[nodiscard]] DeploymentSettings readDeploymentSettings(SettingsMap settings);
 
-// The ring of a timer with its gauges, given in the order of the facts; fewer or none where they are not
-// known.
-TimerFired timerFired(TimerId timer, std::span<const double> values, const std::vector<LoadGauge>& order);
+/// The event of a timer with the gauges measured at its time.
+/// @param values in the order of `gauges`; there may be fewer, or none where nothing was measured
+[[nodiscard]] TimerFired timerFired(TimerId timer, std::span<const double> values,
+                                    const std::vector<LoadGauge>& gauges);
 
 }  // namespace rainhook
--- a/src/configuration/server_configuration.cpp
+++ b/src/configuration/server_configuration.cpp
@@ -3,95 +3,147 @@
 #include <Poco/Net/IPAddress.h>
 
 #include <algorithm>
+#include <array>
 #include <charconv>
+#include <cstdint>
 #include <fstream>
 #include <iterator>
 #include <limits>
 #include <nlohmann/json.hpp>
+#include <system_error>
 
 namespace rainhook {
 namespace {
 
-constexpr const char* untilRestart[] = {"name", "listen", "limits", "settings"};
+constexpr const char* configurationSource = "configuration";
+constexpr const char* settingsSource = "settings";
 
-// Numeric, since there is no name service where it runs.
-std::string address(const SettingsReader& given, const std::string& path, bool needed) {
-  std::string value(needed ? given.requiredText(path) : given.text(path));
-  if (value.empty()) return value;
-  const auto colon = value.rfind(':');
+constexpr unsigned maxPort = 65535;
+constexpr int hexadecimal = 16;
+constexpr int defaultShutdownTimeoutMs = 3000;
+constexpr int defaultDescriptors = 1024;
+constexpr int minDescriptors = 32;
+constexpr int defaultMemoryMb = 192;
+constexpr std::size_t maxHandlers = 256;  // HandlerId has eight bits
+// For counts that have no table row each.
+constexpr int unlimited = std::numeric_limits<int>::max();
+
+struct RestartOnlyKey {
+  const char* key;
+  std::string RestartOnlyValues::*value;
+};
+constexpr std::array restartOnlyKeys = {RestartOnlyKey{"name", &RestartOnlyValues::name},
+                                        RestartOnlyKey{"listen", &RestartOnlyValues::listen},
+                                        RestartOnlyKey{"limits", &RestartOnlyValues::limits},
+                                        RestartOnlyKey{"settings", &RestartOnlyValues::settings}};
+
+// Hosts are numeric, since servers run where there is no name service.
+bool isNumericAddress(const std::string& text) {
+  const std::size_t colon = text.rfind(':');
+  if (colon == std::string::npos) return false;
   Poco::Net::IPAddress host;
-  unsigned port = 65536;
-  if (colon != std::string::npos && Poco::Net::IPAddress::tryParse(value.substr(0, colon), host))
-    std::from_chars(value.data() + colon + 1, value.data() + value.size(), port);
-  if (port > 65535) given.reject(path, value, "an address with its port");
-  return value;
+  if (!Poco::Net::IPAddress::tryParse(text.substr(0, colon), host)) return false;
+  unsigned port = maxPort + 1;  // stays where no digits follow
+  std::from_chars(text.data() + colon + 1, text.data() + text.size(), port);
+  return port <= maxPort;
+}
+
+std::string readOptionalAddress(const SettingsReader& reader, const std::string& path) {
+  std::string address(reader.text(path));
+  if (!address.empty() && !isNumericAddress(address))
+    reader.reject(path, address, "an address with its port");
+  return address;
 }
 
-Seed seed(const SettingsReader& given) {
-  const auto value = given.text("seed");
+std::string readRequiredAddress(const SettingsReader& reader, const std::string& path) {
+  static_cast<void>(reader.requiredText(path));  // throws where it is absent
+  return readOptionalAddress(reader, path);
+}
+
+Seed readSeed(const SettingsReader& reader) {
+  const std::string_view digits = reader.text("seed");
+  if (digits.empty()) return Seed{};
   std::uint64_t number = 0;
-  const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), number, 16);
-  if (!value.empty() && (error != std::errc{} || end != value.data() + value.size()))
-    given.reject("seed", value, "hex digits");
+  const char* const last = digits.data() + digits.size();
+  const auto [end, error] = std::from_chars(digits.data(), last, number, hexadecimal);
+  if (error != std::errc{} || end != last) reader.reject("seed", digits, "hex digits");
   return Seed{number};
 }
 
+std::size_t readMaxDescriptors(const SettingsReader& reader) {
+  const int descriptors = reader.count("limits.sockets", defaultDescriptors, unlimited);
+  if (descriptors < minDescriptors)
+    reader.reject("limits.sockets", std::to_string(descriptors), "enough descriptors to serve with (32)");
+  return static_cast<std::size_t>(descriptors);
+}
+
+ServerEndpoints readEndpoints(const SettingsReader& reader) {
+  ServerEndpoints endpoints;
+  endpoints.name = reader.requiredText("name");
+  endpoints.listen = readRequiredAddress(reader, "listen");
+  endpoints.engine = readRequiredAddress(reader, "agent");
+  endpoints.registry = readOptionalAddress(reader, "roster");
+  endpoints.downstream = readOptionalAddress(reader, "backend");
+  endpoints.seed = readSeed(reader);
+  endpoints.shutdownTimeout =
+      std::chrono::milliseconds(reader.count("stop_ms", defaultShutdownTimeoutMs, unlimited));
+  endpoints.maxDescriptors = readMaxDescriptors(reader);
+  endpoints.memoryMb = reader.count("limits.memory_mb", defaultMemoryMb, unlimited);
+  return endpoints;
+}
+
+DeploymentSettings readSettings(const nlohmann::json& configuration) {
+  const auto settings = configuration.find("settings");
+  if (settings == configuration.end() || !settings->is_object())
+    throw ConfigurationError(configurationSource, "settings", "is missing");
+  return readDeploymentSettings(flattenSettingsJson(*settings));
+}
+
+RestartOnlyValues readRestartOnlyValues(const nlohmann::json& configuration) {
+  RestartOnlyValues values;
+  for (const auto& [key, value] : restartOnlyKeys)
+    if (const auto found = configuration.find(key); found != configuration.end())
+      values.*value = found->dump();
+  return values;
+}
+
+// Requests name their handler, so that each must have a name of its own.
+void checkHandlerNames(const std::vector<std::string>& names) {
+  if (names.empty()) throw ConfigurationError(settingsSource, "classes", "is missing or holds none");
+  if (names.size() > maxHandlers)
+    throw ConfigurationError(settingsSource, "classes", "holds more than " + std::to_string(maxHandlers));
+  for (auto name = names.begin(); name != names.end(); ++name)
+    if (name->empty() || std::find(names.begin(), name, *name) != name)
+      throw ConfigurationError(settingsSource, "classes." + std::to_string(name - names.begin()) + ".name",
+                               "is empty or given twice");
+}
+
 }  // namespace
 
-ServerConfiguration readConfiguration(const std::string& text) {
-  const auto json = nlohmann::json::parse(text, nullptr, false);
-  if (!json.is_object()) throw ConfigurationError("configuration: holds no JSON object");
-  const auto pairs = flattenSettingsJson(json);
-  const SettingsReader given(pairs, "configuration");
-  ServerConfiguration out;
-  ServerEndpoints& place = out.endpoints;
-  place.name = given.requiredText("name");
-  place.listen = address(given, "listen", true);
-  place.engine = address(given, "agent", true);
-  place.registry = address(given, "roster", false);
-  place.downstream = address(given, "backend", false);
-  place.seed = seed(given);
-  constexpr int any = std::numeric_limits<int>::max();  // nothing has a row for each of these
-  place.shutdownTimeout = std::chrono::milliseconds(given.count("stop_ms", 3000, any));
-  const int descriptors = given.count("limits.sockets", 1024, any);
-  constexpr int fewest = 32;
-  if (descriptors < fewest)
-    given.reject("limits.sockets", std::to_string(descriptors), "enough descriptors to serve with (32)");
-  place.maxDescriptors = static_cast<std::size_t>(descriptors);
-  place.memoryMb = given.count("limits.memory_mb", 192, any);
-  const auto settings = json.find("settings");
-  if (settings == json.end() || !settings->is_object())
-    throw ConfigurationError("configuration: settings is missing");
-  out.deployment = readDeploymentSettings(flattenSettingsJson(*settings));
-  for (const char* name : untilRestart)
-    if (const auto it = json.find(name); it != json.end()) out.restartOnlyValues[name] = it->dump();
-  const auto& names = out.deployment.handlerNames;
-  if (names.empty()) throw ConfigurationError("settings: classes is missing or holds none");
-  if (names.size() > 256) throw ConfigurationError("settings: classes holds more than 256");
-  for (std::size_t i = 0; i < names.size(); ++i)
-    if (names[i].empty() || std::find(names.begin(), names.begin() + static_cast<std::ptrdiff_t>(i),
-                                      names[i]) != names.begin() + static_cast<std::ptrdiff_t>(i))
-      throw ConfigurationError("settings: classes." + std::to_string(i) + ".name is empty or given twice");
-  return out;
+ServerConfiguration readConfiguration(std::string_view text) {
+  constexpr bool throwOnSyntaxErrors = false;
+  const auto json = nlohmann::json::parse(text, nullptr, throwOnSyntaxErrors);
+  if (!json.is_object()) throw ConfigurationError(configurationSource, "", "holds no JSON object");
+  ServerConfiguration configuration;
+  configuration.endpoints = readEndpoints(SettingsReader(flattenSettingsJson(json), configurationSource));
+  configuration.deployment = readSettings(json);
+  configuration.restartOnlyValues = readRestartOnlyValues(json);
+  checkHandlerNames(configuration.deployment.handlerNames);
+  return configuration;
 }
 
 std::vector<std::string> restartRequiredChanges(const ServerConfiguration& running,
                                                 const ServerConfiguration& offered) {
-  std::vector<std::string> out;
-  for (const char* name : untilRestart) {
-    const auto text = [name](const ServerConfiguration& configured) {
-      const auto it = configured.restartOnlyValues.find(name);
-      return it == configured.restartOnlyValues.end() ? std::string() : it->second;
-    };
-    if (text(running) != text(offered)) out.emplace_back(name);
-  }
-  return out;
+  std::vector<std::string> changed;
+  for (const auto& [key, value] : restartOnlyKeys)
+    if (running.restartOnlyValues.*value != offered.restartOnlyValues.*value) changed.emplace_back(key);
+  return changed;
 }
 
 ServerConfiguration readConfigurationFile(const std::string& file) {
   std::ifstream in(file);
-  if (!in) throw ConfigurationError("configuration: can't be read from '" + file + "'");
-  return readConfiguration({std::istreambuf_iterator<char>(in), {}});
+  if (!in) throw ConfigurationError(configurationSource, "", "can't be read from '" + file + "'");
+  return readConfiguration(std::string{std::istreambuf_iterator<char>(in), {}});
 }
 
 }  // namespace rainhook
--- a/src/configuration/server_configuration.h
+++ b/src/configuration/server_configuration.h
@@ -1,41 +1,57 @@
-// The configuration of a real server: its place among its peers, its limits, and the facts.
+/// @file
+/// The configuration file of a real server: its addresses, its limits and the deployment's settings.
 #pragma once
 
 #include <cstddef>
-#include <map>
 #include <string>
+#include <string_view>
 #include <vector>
 
 #include "configuration/deployment_settings.h"
 
 namespace rainhook {
 
+/// The addresses and limits of one server. Addresses are `host:port` with a numeric host.
 struct ServerEndpoints {
+  std::string name;                ///< by which the registry and the peers know it
+  std::string listen;              ///< where it serves requests
+  std::string engine;              ///< the execution engine
+  std::string registry;            ///< the endpoint registry; empty where there is none
+  std::string downstream;          ///< the downstream service; empty where nothing is called
+  Seed seed{};                     ///< of the admission policy
+  Duration shutdownTimeout{};      ///< from the shutdown notice to the end of the process
+  std::size_t maxDescriptors = 0;  ///< limit of file descriptors
+  int memoryMb = 0;                ///< limit of memory, in MB
+};
+
+/// The parts of a configuration that a running server keeps until its restart, each as its JSON text; empty
+/// where the part is absent.
+struct RestartOnlyValues {
   std::string name;
-  std::string listen;  // host:port, as the next three
-  std::string engine;
-  std::string registry;    // empty where there is none
-  std::string downstream;  // empty in the last tier
-  Seed seed{};
-  Duration shutdownTimeout{};  // from the notice to leave to the end
-  std::size_t maxDescriptors = 0;
-  int memoryMb = 0;
+  std::string listen;
+  std::string limits;
+  std::string settings;
 };
 
+/// What a server is started with.
 struct ServerConfiguration {
-  ServerEndpoints endpoints;
-  DeploymentSettings deployment;
-  // What holds until a restart, as text by its name: the name, the address, the limits and the settings.
-  std::map<std::string, std::string> restartOnlyValues;
+  ServerEndpoints endpoints;            ///< addresses and limits
+  DeploymentSettings deployment;        ///< the operators' settings
+  RestartOnlyValues restartOnlyValues;  ///< for restartRequiredChanges()
 };
 
-// The names of what a running server would leave as it is if it were offered this. The rest can be taken:
-// the addresses of the engine, the next tier and the list, and the time from the notice to leave to the end.
-std::vector<std::string> restartRequiredChanges(const ServerConfiguration& running,
-                                                const ServerConfiguration& offered);
+/// The keys that differ between two configurations and that a running server does not take over when it
+/// reloads. It does take over the addresses of the engine, the downstream service and the registry, and the
+/// shutdown timeout.
+[[nodiscard]] std::vector<std::string> restartRequiredChanges(const ServerConfiguration& running,
+                                                              const ServerConfiguration& offered);
+
+/// Reads a configuration from JSON text.
+/// @throws ConfigurationError (source "configuration" or "settings").
+[[nodiscard]] ServerConfiguration readConfiguration(std::string_view text);
 
-// Throws FactsError, which names the path and the fault.
-ServerConfiguration readConfiguration(const std::string& text);
-ServerConfiguration readConfigurationFile(const std::string& file);
+/// Reads a configuration file.
+/// @throws ConfigurationError, also where the file cannot be opened.
+[[nodiscard]] ServerConfiguration readConfigurationFile(const std::string& file);
 
 }  // namespace rainhook
--- a/src/configuration/settings_reader.cpp
+++ b/src/configuration/settings_reader.cpp
@@ -2,71 +2,107 @@
 
 #include <charconv>
 #include <cmath>
+#include <cstdint>
 #include <limits>
 #include <nlohmann/json.hpp>
+#include <system_error>
+#include <type_traits>
+#include <utility>
 
 namespace rainhook {
+namespace {
+
+constexpr const char* settingsSource = "settings";
+
+// Above this magnitude a double that stands for a whole number may not fit into 64 bits.
+constexpr double maxWholeDouble = 9e18;
+
+// Removes and returns what stands before the first separator, and the separator with it.
+std::string_view takeUntil(std::string_view& rest, char separator) {
+  const std::size_t end = rest.find(separator);
+  const std::string_view taken = rest.substr(0, end);
+  rest = end == std::string_view::npos ? std::string_view{} : rest.substr(end + 1);
+  return taken;
+}
+
+std::string plainText(const nlohmann::json& value) {
+  if (value.is_string()) return value.get<std::string>();
+  return value.is_null() ? std::string() : value.dump();
+}
+
+std::string joinWithCommas(const nlohmann::json& list) {
+  std::string joined;
+  for (const nlohmann::json& item : list) {
+    if (!joined.empty()) joined += ',';
+    joined += plainText(item);
+  }
+  return joined;
+}
+
+bool isListOfObjects(const nlohmann::json& value) {
+  return value.is_array() && !value.empty() && value.front().is_structured();
+}
+
+void flattenInto(SettingsMap& values, const std::string& path, const nlohmann::json& value) {
+  const std::string prefix = path.empty() ? path : path + '.';
+  if (value.is_object()) {
+    for (const auto& [name, inner] : value.items()) flattenInto(values, prefix + name, inner);
+  } else if (isListOfObjects(value)) {
+    values[prefix + "count"] = std::to_string(value.size());
+    for (std::size_t i = 0; i < value.size(); ++i) flattenInto(values, prefix + std::to_string(i), value[i]);
+  } else {
+    values[path] = value.is_array() ? joinWithCommas(value) : plainText(value);
+  }
+}
+
+}  // namespace
 
 SettingsMap parseSettingsText(std::string_view text) {
-  SettingsMap pairs;
-  for (std::size_t line = 1; !text.empty(); ++line) {
-    const auto end = text.find('\n');
-    const auto pair = text.substr(0, end);
-    text = end == std::string_view::npos ? std::string_view{} : text.substr(end + 1);
-    if (pair.empty()) continue;
-    const auto sign = pair.find('=');
-    if (sign == std::string_view::npos)
-      throw ConfigurationError("settings: line " + std::to_string(line) + " has no '='");
-    pairs.insert_or_assign(std::string(pair.substr(0, sign)), std::string(pair.substr(sign + 1)));
+  SettingsMap values;
+  for (std::size_t lineNumber = 1; !text.empty(); ++lineNumber) {
+    const std::string_view line = takeUntil(text, '\n');
+    if (line.empty()) continue;
+    const std::size_t equalsSign = line.find('=');
+    if (equalsSign == std::string_view::npos)
+      throw ConfigurationError(settingsSource, "line " + std::to_string(lineNumber), "has no '='");
+    values.insert_or_assign(std::string(line.substr(0, equalsSign)),
+                            std::string(line.substr(equalsSign + 1)));
   }
-  return pairs;
+  return values;
 }
 
 SettingsMap flattenSettingsJson(const nlohmann::json& nested) {
-  SettingsMap pairs;
-  const auto plain = [](const nlohmann::json& value) {
-    return value.is_string() ? value.get<std::string>() : value.is_null() ? std::string() : value.dump();
-  };
-  const auto walk = [&](const auto& self, const std::string& path, const nlohmann::json& value) -> void {
-    const std::string within = path.empty() ? path : path + '.';
-    if (value.is_object()) {
-      for (const auto& [name, inner] : value.items()) self(self, within + name, inner);
-    } else if (value.is_array() && !value.empty() && value.front().is_structured()) {
-      pairs[within + "count"] = std::to_string(value.size());
-      for (std::size_t i = 0; i < value.size(); ++i) self(self, within + std::to_string(i), value[i]);
-    } else if (value.is_array()) {
-      std::string joined;
-      for (const auto& item : value) joined.append(joined.empty() ? "" : ",").append(plain(item));
-      pairs[path] = joined;
-    } else {
-      pairs[path] = plain(value);
-    }
-  };
-  walk(walk, "", nested);
-  return pairs;
+  SettingsMap values;
+  flattenInto(values, "", nested);
+  return values;
 }
 
-void SettingsReader::reject(const std::string& path, std::string_view value, const char* wanted) const {
-  throw ConfigurationError(source_ + ": " + path + " is '" + std::string(value) + "', not " + wanted);
+SettingsReader::SettingsReader(SettingsMap values, std::string source)
+    : values_(std::move(values)), source_(std::move(source)) {}
+
+void SettingsReader::reject(const std::string& path, std::string_view value, const char* expected) const {
+  throw ConfigurationError(source_, path, "is '" + std::string(value) + "', not " + expected);
 }
 
-template <typename T>
-T SettingsReader::parsed(const std::string& path, std::string_view value) const {
-  T result{};
+template <typename Number>
+Number SettingsReader::parseNumber(const std::string& path, std::string_view value) const {
   // JSON has one kind of number: 6.0 and 6e0 are the whole number 6.
-  if constexpr (std::is_integral_v<T>)
+  if constexpr (std::is_integral_v<Number>) {
     if (value.find_first_of(".eE") != std::string_view::npos) {
-      const auto real = parsed<double>(path, value);
-      constexpr double most = 9e18;
-      if (real != std::floor(real) || std::abs(real) > most ||
-          std::abs(real) > static_cast<double>(std::numeric_limits<T>::max()))
+      const auto real = parseNumber<double>(path, value);
+      if (real != std::floor(real) || std::abs(real) > maxWholeDouble ||
+          std::abs(real) > static_cast<double>(std::numeric_limits<Number>::max()))
         reject(path, value, "a whole number");
-      return static_cast<T>(real);
+      return static_cast<Number>(real);
     }
-  const auto [end, error] = std::from_chars(value.data(), value.data() + value.size(), result);
-  if (error != std::errc{} || end != value.data() + value.size()) reject(path, value, "a number");
-  if constexpr (std::is_same_v<T, double>)
+  }
+  Number result{};
+  const char* const last = value.data() + value.size();
+  const auto [end, error] = std::from_chars(value.data(), last, result);
+  if (error != std::errc{} || end != last) reject(path, value, "a number");
+  if constexpr (std::is_floating_point_v<Number>) {
     if (!std::isfinite(result)) reject(path, value, "a number");
+  }
   return result;
 }
 
@@ -77,71 +113,57 @@
 }
 
 std::string_view SettingsReader::text(const std::string& path) const {
-  const auto it = values_.find(path);
-  return it == values_.end() ? std::string_view{} : it->second;
+  const auto found = values_.find(path);
+  return found == values_.end() ? std::string_view{} : found->second;
 }
 
 std::string_view SettingsReader::requiredText(const std::string& path) const {
-  if (const auto value = text(path); !value.empty()) return value;
-  throw ConfigurationError(source_ + ": " + path + " is missing");
+  const std::string_view value = text(path);
+  if (value.empty()) throw ConfigurationError(source_, path, "is missing");
+  return value;
 }
 
-double SettingsReader::number(const std::string& path, double absent) const {
-  const auto value = text(path);
-  if (value.empty()) return absent;
-  const auto out = parsed<double>(path, value);
-  if (out < 0) reject(path, value, "a number of 0 or more");
-  return out;
+double SettingsReader::number(const std::string& path, double fallback) const {
+  const std::string_view value = text(path);
+  if (value.empty()) return fallback;
+  const auto result = parseNumber<double>(path, value);
+  if (result < 0) reject(path, value, "a number of 0 or more");
+  return result;
 }
 
 bool SettingsReader::boolean(const std::string& path) const { return parseBoolean(path, text(path)); }
 
-Duration SettingsReader::duration(const std::string& path, Duration absent) const {
-  const auto value = text(path);
-  if (value.empty()) return absent;
-  const auto whole = parsed<std::int64_t>(path, value);
-  if (whole < 0) reject(path, value, "a span");
-  return Duration(whole);
+Duration SettingsReader::duration(const std::string& path, Duration fallback) const {
+  const std::string_view value = text(path);
+  if (value.empty()) return fallback;
+  const auto nanoseconds = parseNumber<std::int64_t>(path, value);
+  if (nanoseconds < 0) reject(path, value, "a duration of 0 ns or more");
+  return Duration(nanoseconds);
 }
 
-int SettingsReader::count(const std::string& path, int absent, int most) const {
-  const auto value = text(path);
-  if (value.empty()) return absent;
-  const int whole = parsed<int>(path, value);
-  if (whole < 0 || whole > most) reject(path, value, "a count");
-  return whole;
+int SettingsReader::count(const std::string& path, int fallback, int max) const {
+  const std::string_view value = text(path);
+  if (value.empty()) return fallback;
+  const int result = parseNumber<int>(path, value);
+  if (result < 0 || result > max) reject(path, value, "a count");
+  return result;
 }
 
 std::vector<std::string_view> SettingsReader::list(const std::string& path) const {
   std::vector<std::string_view> items;
-  for (auto rest = text(path); !rest.empty();) {
-    const auto comma = rest.find(',');
-    items.push_back(rest.substr(0, comma));
-    rest = comma == std::string_view::npos ? std::string_view{} : rest.substr(comma + 1);
-  }
+  std::string_view rest = text(path);
+  while (!rest.empty()) items.push_back(takeUntil(rest, ','));
   return items;
 }
 
-double SettingsReader::numberInList(const std::string& path, std::size_t at) const {
-  const auto items = list(path);
-  return at < items.size() ? parsed<double>(path, items[at]) : 0;
+double SettingsReader::numberAt(const std::string& path, std::size_t index) const {
+  const std::vector<std::string_view> items = list(path);
+  return index < items.size() ? parseNumber<double>(path, items[index]) : 0;
 }
 
-bool SettingsReader::booleanInList(const std::string& path, std::size_t at) const {
-  const auto items = list(path);
-  return at < items.size() && parseBoolean(path, items[at]);
-}
-
-std::size_t SettingsReader::choice(const std::string& path,
-                                   std::initializer_list<std::string_view> words) const {
-  const auto value = text(path);
-  if (value.empty()) return 0;
-  std::size_t at = 0;
-  for (const auto word : words) {
-    if (word == value) return at;
-    ++at;
-  }
-  reject(path, value, "a known word");
+bool SettingsReader::booleanAt(const std::string& path, std::size_t index) const {
+  const std::vector<std::string_view> items = list(path);
+  return index < items.size() && parseBoolean(path, items[index]);
 }
 
 }  // namespace rainhook
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -56,7 +56,7 @@
     bad[nlohmann::json::json_pointer(key)] = value;
     if (key == "/classes/0/aimNs") bad["classes"][0].erase("hardLimitNs");
     try {
-      readDeploymentSettings(flattenSettingsJson(bad));
+      static_cast<void>(readDeploymentSettings(flattenSettingsJson(bad)));
       ADD_FAILURE() << key;
     } catch (const ConfigurationError& fault) {
       auto path = key.substr(1);
