--- a/Makefile
+++ b/Makefile
@@ -1,6 +1,6 @@
 # build, test, lint and run; `make packages` installs what they need (Debian, as root).
 BUILD_PACKAGES := $(shell sed -n 's/^packages = \[\(.*\)\]$$/\1/p' deploy/balancer.toml | tr -d '",')
-TEST_PACKAGES := g++ cmake make libgtest-dev librapidcheck-dev
+TEST_PACKAGES := g++ cmake make libgtest-dev libgmock-dev librapidcheck-dev
 FUZZ_SECONDS ?= 60
 MEASURE_IN ?= build-measure/store
 LINT_PACKAGES := clang-format clang-tidy
--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,4 +1,7 @@
-// Reads batches from standard input and writes one reply for each to standard output, until the input ends.
+/// @file
+/// The program that the simulator starts: reads batches from standard input and writes one reply for each to
+/// standard output, until the input ends.
+#include <algorithm>
 #include <cstdio>
 #include <cstring>
 #include <exception>
@@ -9,37 +12,49 @@
 
 namespace {
 
-// False at a clean end of input; a frame cut short is an error.
+using rainhook::simulator::ProtocolError;
+
+// The buffer grows as bytes arrive, whatever length a frame claims.
+constexpr std::size_t maxBytesPerRead = 1 << 20;
+
+// False at a clean end of the input; a frame cut short is an error.
+bool readLength(std::uint32_t& length) {
+  const std::size_t received = std::fread(&length, 1, sizeof length, stdin);
+  if (received == 0) return false;
+  if (received < sizeof length) throw ProtocolError("the input ends within a frame's length");
+  return true;
+}
+
 bool readFrame(std::vector<std::byte>& body) {
   std::uint32_t length = 0;
-  const std::size_t head = std::fread(&length, 1, sizeof length, stdin);
-  if (head == 0) return false;
-  if (head < sizeof length) throw rainhook::simulator::WireError("the input ends within a frame's length");
+  if (!readLength(length)) return false;
   body.clear();
-  constexpr std::size_t piece = 1 << 20;  // grow as bytes arrive, whatever the length claims
   while (body.size() < length) {
     const std::size_t before = body.size();
-    body.resize(std::min<std::size_t>(length, before + piece));
-    const std::size_t got = std::fread(body.data() + before, 1, body.size() - before, stdin);
-    if (got < body.size() - before)
-      throw rainhook::simulator::WireError("the input ends after " + std::to_string(before + got) + " of a frame's " +
-                               std::to_string(length) + " bytes");
+    body.resize(std::min<std::size_t>(length, before + maxBytesPerRead));
+    const std::size_t received = std::fread(body.data() + before, 1, body.size() - before, stdin);
+    if (received < body.size() - before)
+      throw ProtocolError("the input ends after " + std::to_string(before + received) + " of a frame's " +
+                          std::to_string(length) + " bytes");
   }
   return true;
 }
 
+void writeFrame(const std::vector<std::byte>& frame) {
+  if (std::fwrite(frame.data(), 1, frame.size(), stdout) != frame.size() || std::fflush(stdout) != 0)
+    throw ProtocolError("standard output does not take the reply");
+}
+
 }  // namespace
 
 int main() {
   std::size_t frames = 0;
   try {
-    rainhook::simulator::Host host;
+    rainhook::simulator::SimulatorHost host;
     std::vector<std::byte> body;
     while (readFrame(body)) {
       ++frames;
-      const auto reply = host.answer(rainhook::simulator::readBatch(body)).frame();
-      if (std::fwrite(reply.data(), 1, reply.size(), stdout) != reply.size() || std::fflush(stdout) != 0)
-        throw rainhook::simulator::WireError("standard output does not take the reply");
+      writeFrame(host.handle(rainhook::simulator::readBatch(body)).frame());
     }
     return 0;
   } catch (const std::exception& error) {
--- a/src/simulator_adapter/simulator_host.cpp
+++ b/src/simulator_adapter/simulator_host.cpp
@@ -1,67 +1,88 @@
 #include "simulator_adapter/simulator_host.h"
 
+#include <exception>
 #include <string>
 #include <utility>
-#include <vector>
+#include <variant>
 
 namespace rainhook::simulator {
+namespace {
 
-void Host::attach(InstanceNumber number, const Attach& attach, std::uint64_t clock) {
-  Instance fresh;
-  fresh.facts = rainhook::readDeploymentSettings(rainhook::parseSettingsText(attach.facts));
-  fresh.startedAt = clock;
-  const rainhook::DeploymentSettings& f = fresh.facts;
-  fresh.decision =
-      rainhook::makeAdmissionPolicy(rainhook::Seed{attach.seed}, f.machine, f.handlerPolicies, f.downstream,
-                                    f.protocolLimits, f.signaling, f.resultSharing, f.fleet);
-  fresh.touched = true;
-  instances_.insert_or_assign(number, std::move(fresh));
+std::string nameOf(InstanceId id) { return "instance " + std::to_string(static_cast<std::uint16_t>(id)); }
+
+std::unique_ptr<AdmissionPolicy> makePolicy(Seed seed, const DeploymentSettings& settings) {
+  return makeAdmissionPolicy(seed, settings.machine, settings.handlerPolicies, settings.downstream,
+                             settings.protocolLimits, settings.signaling, settings.resultSharing,
+                             settings.fleet);
 }
 
-Host::Instance& Host::known(InstanceNumber number) {
-  const auto it = instances_.find(number);
-  if (it == instances_.end())
-    throw WireError("instance " + std::to_string(number) + " has an event but was never attached");
-  it->second.touched = true;
-  return it->second;
+// The instance's time of its policy; wraps as the simulator's clock does.
+Duration elapsed(SimulatorTime since, SimulatorTime now) {
+  return Duration(static_cast<Duration::rep>((now - since).count()));
 }
 
-Reply Host::answer(const Batch& batch) {
-  for (const auto& [number, event] : batch.events) {
-    if (const auto* attached = std::get_if<Attach>(&event)) {
-      attach(number, *attached, batch.clock);
-    } else if (std::holds_alternative<Detach>(event)) {
-      known(number);
-      instances_.erase(number);
-    } else if (const auto* ring = std::get_if<Ring>(&event)) {
-      Instance& instance = known(number);
-      const std::vector<double> values(ring->gauges.begin(), ring->gauges.end());
-      instance.pending.emplace_back(
-          rainhook::timerFired(rainhook::TimerId{ring->token}, values, instance.facts.gauges));
-    } else {
-      Instance& instance = known(number);
-      auto plain = std::get<rainhook::Event>(event);
-      if (auto* req = std::get_if<rainhook::RequestArrived>(&plain)) {
-        if (static_cast<std::size_t>(req->handler) >= instance.facts.handlerPolicies.size())
-          throw WireError("instance " + std::to_string(number) +
-                          ": a request of a class that is not in its settings");
-        if (!instance.facts.clientsSendTimeRemaining) req->timeRemaining.reset();
-      }
-      instance.pending.push_back(plain);
-    }
+}  // namespace
+
+void SimulatorHost::attach(InstanceId id, const AttachInstance& attach, SimulatorTime clock) {
+  Instance instance;
+  instance.settings = readDeploymentSettings(parseSettingsText(attach.settings));
+  instance.startedAt = clock;
+  instance.policy = makePolicy(Seed{attach.seed}, instance.settings);
+  instance.isInBatch = true;
+  instances_.insert_or_assign(id, std::move(instance));
+}
+
+SimulatorHost::Instance& SimulatorHost::instanceFor(InstanceId id) {
+  const auto found = instances_.find(id);
+  if (found == instances_.end()) throw ProtocolError(nameOf(id) + " has an event but was never attached");
+  found->second.isInBatch = true;
+  return found->second;
+}
+
+void SimulatorHost::enqueueTimer(InstanceId id, const TimerExpired& expired) {
+  Instance& instance = instanceFor(id);
+  const std::vector<double> values(expired.gaugeValues.begin(), expired.gaugeValues.end());
+  instance.pending.emplace_back(timerFired(expired.timer, values, instance.settings.gauges));
+}
+
+void SimulatorHost::enqueueEvent(InstanceId id, Event event) {
+  Instance& instance = instanceFor(id);
+  if (auto* request = std::get_if<RequestArrived>(&event)) {
+    if (static_cast<std::size_t>(request->handler) >= instance.settings.handlerPolicies.size())
+      throw ProtocolError(nameOf(id) + ": a request of a handler that is not in its settings");
+    if (!instance.settings.clientsSendTimeRemaining) request->timeRemaining.reset();
   }
-  Reply reply;
-  for (auto& [number, instance] : instances_) {
-    if (!std::exchange(instance.touched, false)) continue;
-    const auto events = std::exchange(instance.pending, {});
-    try {
-      const auto now =
-          rainhook::Duration(static_cast<rainhook::Duration::rep>(batch.clock - instance.startedAt));
-      for (const auto& action : instance.decision->onEvents(now, events)) reply.add(number, action);
-    } catch (const std::exception& error) {
-      reply.fault(number, error.what());
-    }
+  instance.pending.push_back(event);
+}
+
+void SimulatorHost::enqueue(InstanceId id, const SimulatorEvent& event, SimulatorTime clock) {
+  if (const auto* attached = std::get_if<AttachInstance>(&event)) {
+    attach(id, *attached, clock);
+  } else if (std::holds_alternative<DetachInstance>(event)) {
+    static_cast<void>(instanceFor(id));  // throws where it is unknown
+    instances_.erase(id);
+  } else if (const auto* expired = std::get_if<TimerExpired>(&event)) {
+    enqueueTimer(id, *expired);
+  } else {
+    enqueueEvent(id, std::get<Event>(event));
+  }
+}
+
+void SimulatorHost::runPolicy(InstanceId id, Instance& instance, SimulatorTime clock, Reply& reply) {
+  const std::vector<Event> events = std::exchange(instance.pending, {});
+  try {
+    const Duration now = elapsed(instance.startedAt, clock);
+    for (const Action& action : instance.policy->onEvents(now, events)) reply.add(id, action);
+  } catch (const std::exception& error) {
+    reply.addError(id, error.what());
   }
+}
+
+Reply SimulatorHost::handle(const Batch& batch) {
+  for (const auto& [id, event] : batch.events) enqueue(id, event, batch.clock);
+  Reply reply;
+  for (auto& [id, instance] : instances_)
+    if (std::exchange(instance.isInBatch, false)) runPolicy(id, instance, batch.clock, reply);
   return reply;
 }
 
--- a/src/simulator_adapter/simulator_host.h
+++ b/src/simulator_adapter/simulator_host.h
@@ -1,8 +1,7 @@
-// Hosts the instances of one process: each batch goes to the instances by number, in order, and their actions
-// come back as one reply. Instances share nothing.
+/// @file
+/// Runs the admission policies of all instances of one simulation in one process.
 #pragma once
 
-#include <cstdint>
 #include <map>
 #include <memory>
 #include <vector>
@@ -13,22 +12,34 @@
 
 namespace rainhook::simulator {
 
-class Host {
+/// Hands the events of a batch to the instances that they concern and collects their actions, by ascending
+/// instance and in order. Instances share nothing. Not thread-safe.
+class SimulatorHost {
  public:
-  Reply answer(const Batch& batch);
+  /// Carries out one batch.
+  /// @throws ProtocolError on an event for an unknown instance or an unknown handler. An error of a single
+  ///         instance does not throw; it is reported in the reply.
+  /// @throws ConfigurationError on settings that cannot be used.
+  [[nodiscard]] Reply handle(const Batch& batch);
 
  private:
   struct Instance {
-    rainhook::DeploymentSettings facts;
-    std::uint64_t startedAt = 0;
-    std::unique_ptr<rainhook::AdmissionPolicy> decision;
-    std::vector<rainhook::Event> pending;
-    bool touched = false;
+    DeploymentSettings settings;
+    SimulatorTime startedAt{};
+    std::unique_ptr<AdmissionPolicy> policy;
+    std::vector<Event> pending;  // events of the batch in hand
+    bool isInBatch = false;      // whether the batch in hand concerns it, with or without events
   };
-  void attach(InstanceNumber number, const Attach& attach, std::uint64_t clock);
-  Instance& known(InstanceNumber number);
 
-  std::map<InstanceNumber, Instance> instances_;  // emptied by Detach
+  void attach(InstanceId id, const AttachInstance& attach, SimulatorTime clock);
+  void enqueue(InstanceId id, const SimulatorEvent& event, SimulatorTime clock);
+  void enqueueTimer(InstanceId id, const TimerExpired& expired);
+  void enqueueEvent(InstanceId id, Event event);
+  // Marks the instance as concerned by the batch in hand.
+  Instance& instanceFor(InstanceId id);
+  static void runPolicy(InstanceId id, Instance& instance, SimulatorTime clock, Reply& reply);
+
+  std::map<InstanceId, Instance> instances_;  // until DetachInstance
 };
 
 }  // namespace rainhook::simulator
--- a/src/simulator_adapter/simulator_protocol.cpp
+++ b/src/simulator_adapter/simulator_protocol.cpp
@@ -4,242 +4,292 @@
 #include <bit>
 #include <cstring>
 
+#include "simulator_adapter/simulator_codes.h"
+
 namespace rainhook::simulator {
 namespace {
 
-using namespace rainhook;
-
 static_assert(std::endian::native == std::endian::little,
               "frames are read and written in place, little-endian");
 
-class Reader {
+// The length of a text in a reply has 16 bits.
+constexpr std::size_t maxTextBytes = 65535;
+
+// On the wire, 0 stands for a request that repeats no other.
+constexpr std::uint32_t noOriginal = 0;
+
+std::string withOffset(const std::string& problem, std::optional<std::size_t> byteOffset) {
+  if (!byteOffset) return problem;
+  return "byte " + std::to_string(*byteOffset) + " of the batch: " + problem;
+}
+
+// Takes fields off the front of a batch. `field` is the field's name on the wire, for errors.
+class FieldReader {
  public:
-  explicit Reader(std::span<const std::byte> bytes) : bytes_(bytes) {}
+  explicit FieldReader(std::span<const std::byte> bytes) : bytes_(bytes) {}
 
-  bool atEnd() const { return at_ == bytes_.size(); }
-  std::size_t at() const { return at_; }
+  [[nodiscard]] bool isAtEnd() const { return offset_ == bytes_.size(); }
 
-  template <typename T>
-  T number(const char* what) {
-    need(sizeof(T), what);
-    T value;
-    std::memcpy(&value, bytes_.data() + at_, sizeof(T));
-    at_ += sizeof(T);
+  template <typename Number>
+  Number number(const char* field) {
+    requireBytes(sizeof(Number), field);
+    Number value;
+    std::memcpy(&value, bytes_.data() + offset_, sizeof(Number));
+    offset_ += sizeof(Number);
     return value;
   }
-  Duration span(const char* what) {
-    const auto value = number<std::uint64_t>(what);
-    if (value > static_cast<std::uint64_t>(Duration::max().count()))
-      fail(std::string(what) + " is out of range");
-    return Duration(static_cast<Duration::rep>(value));
-  }
-  std::string text(const char* what) {
-    const auto length = number<std::uint32_t>(what);
-    need(length, what);
-    std::string value(reinterpret_cast<const char*>(bytes_.data() + at_), length);
-    at_ += length;
-    return value;
+
+  Duration duration(const char* field) {
+    const auto nanoseconds = number<std::uint64_t>(field);
+    if (nanoseconds > static_cast<std::uint64_t>(Duration::max().count()))
+      fail(std::string(field) + " is out of range");
+    return Duration(static_cast<Duration::rep>(nanoseconds));
   }
-  [[noreturn]] void fail(const std::string& what) const {
-    throw WireError("byte " + std::to_string(at_) + " of the batch: " + what);
+
+  std::string text(const char* field) {
+    const auto length = number<std::uint32_t>(field);
+    requireBytes(length, field);
+    std::string value(length, '\0');
+    std::memcpy(value.data(), bytes_.data() + offset_, length);
+    offset_ += length;
+    return value;
   }
 
+  [[noreturn]] void fail(const std::string& problem) const { throw ProtocolError(problem, offset_); }
+
  private:
-  void need(std::size_t bytes, const char* what) const {
-    if (bytes_.size() - at_ < bytes) fail(std::string(what) + " runs past the end");
+  void requireBytes(std::size_t count, const char* field) const {
+    if (bytes_.size() - offset_ < count) fail(std::string(field) + " runs past the end");
   }
+
   std::span<const std::byte> bytes_;
-  std::size_t at_ = 0;
+  std::size_t offset_ = 0;
 };
 
-Outcome outcomeOf(Reader& in) {
-  switch (const auto status = in.number<std::uint16_t>("reason"); status) {
-    case 200:
+Outcome readOutcome(FieldReader& in) {
+  const auto reason = in.number<std::uint16_t>("reason");
+  switch (ReasonCode{reason}) {
+    case ReasonCode::completed:
       return Outcome::completed;
-    case 502:
+    case ReasonCode::failed:
       return Outcome::failed;
-    case 429:
+    case ReasonCode::rejected:
       return Outcome::rejected;
-    case 408:
+    case ReasonCode::timedOut:
       return Outcome::timedOut;
-    case 521:
+    case ReasonCode::unreachable:
       return Outcome::unreachable;
-    case 520:
+    case ReasonCode::connectionLost:
       return Outcome::connectionLost;
-    case 444:
+    case ReasonCode::cancelled:
       return Outcome::cancelled;
-    case 409:
+    case ReasonCode::superseded:
       return Outcome::superseded;
-    default:
-      in.fail("unknown reason " + std::to_string(status));
-  }
-}
-
-RequestId reqId(Reader& in) { return RequestId{in.number<std::uint32_t>("msgId")}; }
-
-RequestArrived readReq(Reader& in) {
-  constexpr unsigned hintValid = 1, isWrite = 4;
-  RequestArrived req;
-  req.id = reqId(in);
-  req.rank = in.number<float>("prio");
-  req.resourceKey = ResourceKey{in.number<std::uint64_t>("entity")};
-  const auto first = in.number<std::uint32_t>("forerunner");
-  if (first != 0) req.duplicateOf = RequestId{first};
-  req.queuedMemoryKb = in.number<float>("sizeKb");
-  const Duration hint = in.span("workHintNs");
-  const unsigned marks = in.number<std::uint8_t>("marks");
-  if (marks & hintValid) req.estimatedWork = hint;
-  req.isWrite = (marks & isWrite) != 0;
-  req.readDelay = in.span("unreadForNs");
-  req.timeRemaining = in.span("budgetNs");
-  req.tenant = TenantId{in.number<std::uint16_t>("project")};
-  req.client = ClientId{in.number<std::uint16_t>("srcPeer")};
-  req.handler = HandlerId{in.number<std::uint8_t>("type")};
-  return req;
-}
-
-WireEvent readEvent(Reader& in, std::uint8_t code) {
-  switch (code) {
-    case 16: {
-      ExecutionEnded e{reqId(in), outcomeOf(in), {}};
-      e.duration = in.span("timeTakenNs");
-      return Event{e};
-    }
-    case 17:
-      return Event{readReq(in)};
-    case 18: {
-      Attach e;
-      e.seed = in.number<std::uint64_t>("salt");
-      e.facts = in.text("facts");
-      return e;
-    }
-    case 19: {
-      Ring e;
-      e.token = in.number<std::uint32_t>("token");
-      const auto count = in.number<std::uint8_t>("metrics");
-      for (unsigned i = 0; i < count; ++i) e.gauges.push_back(in.number<float>("metrics"));
-      return e;
-    }
-    case 20:
-      return Detach{};
-    case 21:
-      return Event{DownstreamCallRequested{reqId(in)}};
-    case 22:
-      return Event{ClientDisconnected{reqId(in)}};
-    case 23:
-      return Event{ShutdownNotice{in.span("budgetNs")}};
-    case 24: {
-      DownstreamCallEnded e{reqId(in), {}, {}};
-      e.duration = in.span("timeTakenNs");
-      e.outcome = outcomeOf(in);
-      return Event{e};
-    }
-    default:
-      in.fail("unknown event code " + std::to_string(code));
-  }
-}
-
-template <typename T>
-void put(std::vector<std::byte>& out, T value) {
-  const std::size_t at = out.size();
-  out.resize(at + sizeof(T));
-  std::memcpy(out.data() + at, &value, sizeof(T));
-}
-void putSpan(std::vector<std::byte>& out, Duration span) {
-  put(out, static_cast<std::uint64_t>(std::max<Duration::rep>(span.count(), 0)));
-}
-void putText(std::vector<std::byte>& out, std::string_view text) {
-  text = text.substr(0, 65535);
-  put(out, static_cast<std::uint16_t>(text.size()));
-  for (const char c : text) out.push_back(static_cast<std::byte>(c));
+  }
+  in.fail("unknown reason " + std::to_string(reason));
+}
+
+RequestId readRequestId(FieldReader& in) { return RequestId{in.number<std::uint32_t>("msgId")}; }
+
+bool hasFlag(unsigned flags, RequestFlag flag) { return (flags & static_cast<unsigned>(flag)) != 0; }
+
+RequestArrived readRequestArrived(FieldReader& in) {
+  RequestArrived request;
+  request.id = readRequestId(in);
+  request.rank = in.number<float>("prio");
+  request.resourceKey = ResourceKey{in.number<std::uint64_t>("entity")};
+  const auto original = in.number<std::uint32_t>("forerunner");
+  if (original != noOriginal) request.duplicateOf = RequestId{original};
+  request.queuedMemoryKb = in.number<float>("sizeKb");
+  const Duration workEstimate = in.duration("workHintNs");
+  const unsigned flags = in.number<std::uint8_t>("marks");
+  if (hasFlag(flags, RequestFlag::hasWorkEstimate)) request.estimatedWork = workEstimate;
+  request.isWrite = hasFlag(flags, RequestFlag::isWrite);
+  request.readDelay = in.duration("unreadForNs");
+  request.timeRemaining = in.duration("budgetNs");
+  request.tenant = TenantId{in.number<std::uint16_t>("project")};
+  request.client = ClientId{in.number<std::uint16_t>("srcPeer")};
+  request.handler = HandlerId{in.number<std::uint8_t>("type")};
+  return request;
+}
+
+ExecutionEnded readExecutionEnded(FieldReader& in) {
+  ExecutionEnded ended;
+  ended.id = readRequestId(in);
+  ended.outcome = readOutcome(in);
+  ended.duration = in.duration("timeTakenNs");
+  return ended;
+}
+
+DownstreamCallEnded readDownstreamCallEnded(FieldReader& in) {
+  DownstreamCallEnded ended;
+  ended.id = readRequestId(in);
+  ended.duration = in.duration("timeTakenNs");
+  ended.outcome = readOutcome(in);
+  return ended;
+}
+
+AttachInstance readAttachInstance(FieldReader& in) {
+  AttachInstance attach;
+  attach.seed = in.number<std::uint64_t>("salt");
+  attach.settings = in.text("facts");
+  return attach;
+}
+
+TimerExpired readTimerExpired(FieldReader& in) {
+  TimerExpired expired;
+  expired.timer = TimerId{in.number<std::uint32_t>("token")};
+  const unsigned gauges = in.number<std::uint8_t>("metrics");
+  for (unsigned i = 0; i < gauges; ++i) expired.gaugeValues.push_back(in.number<float>("metrics"));
+  return expired;
+}
+
+SimulatorEvent readEvent(FieldReader& in, std::uint8_t code) {
+  switch (EventCode{code}) {
+    case EventCode::executionEnded:
+      return Event{readExecutionEnded(in)};
+    case EventCode::requestArrived:
+      return Event{readRequestArrived(in)};
+    case EventCode::attachInstance:
+      return readAttachInstance(in);
+    case EventCode::timerExpired:
+      return readTimerExpired(in);
+    case EventCode::detachInstance:
+      return DetachInstance{};
+    case EventCode::downstreamCallRequested:
+      return Event{DownstreamCallRequested{readRequestId(in)}};
+    case EventCode::clientDisconnected:
+      return Event{ClientDisconnected{readRequestId(in)}};
+    case EventCode::shutdownNotice:
+      return Event{ShutdownNotice{in.duration("budgetNs")}};
+    case EventCode::downstreamCallEnded:
+      return Event{readDownstreamCallEnded(in)};
+  }
+  in.fail("unknown event code " + std::to_string(code));
+}
+
+template <typename Number>
+void writeNumber(std::vector<std::byte>& out, Number value) {
+  const std::size_t offset = out.size();
+  out.resize(offset + sizeof(Number));
+  std::memcpy(out.data() + offset, &value, sizeof(Number));
+}
+
+void writeFlag(std::vector<std::byte>& out, bool value) {
+  writeNumber(out, static_cast<std::uint8_t>(value ? 1 : 0));
+}
+
+void writeDuration(std::vector<std::byte>& out, Duration duration) {
+  writeNumber(out, static_cast<std::uint64_t>(std::max<Duration::rep>(duration.count(), 0)));
+}
+
+void writeText(std::vector<std::byte>& out, std::string_view text) {
+  const std::string_view written = text.substr(0, maxTextBytes);
+  writeNumber(out, static_cast<std::uint16_t>(written.size()));
+  for (const char character : written) out.push_back(static_cast<std::byte>(character));
 }
 
 // Writes one action: its code, the instance, then the fields of its kind.
-struct ActionWriter {
-  std::vector<std::byte>& out;
-  InstanceNumber instance;
-
-  void head(std::uint8_t code) const {
-    put(out, code);
-    put(out, instance);
-  }
-  void head(std::uint8_t code, RequestId id) const {
-    head(code);
-    put(out, static_cast<std::uint32_t>(id));
-  }
-  void operator()(const StartExecution& a) const { head(80, a.id); }
-  void operator()(const ShedRequest& a) const {
-    head(81, a.id);
-    putSpan(out, a.retryAfter);
-    put(out, static_cast<std::uint8_t>(a.discourageRetry ? 1 : 0));
-  }
-  void operator()(const FailRequest& a) const { head(82, a.id); }
-  void operator()(const CancelExecution& a) const { head(83, a.id); }
-  void operator()(const CallDownstream& a) const {
-    head(84, a.id);
-    putSpan(out, a.timeout);
-  }
-  void operator()(const SkipDownstreamCall& a) const { head(85, a.id); }
-  void operator()(const RetainResult& a) const {
-    head(86, a.id);
-    putSpan(out, a.retention);
-  }
-  void operator()(const DropResult& a) const { head(87, a.id); }
-  void operator()(const AnswerFromOriginal& a) const { head(88, a.id); }
-  void operator()(const PublishHealth& a) const {
-    head(89);
-    put(out, static_cast<std::uint8_t>(a.healthy ? 1 : 0));
-    put(out, static_cast<std::uint8_t>(a.isCached ? 1 : 0));
-  }
-  void operator()(const PublishLoadSignal& a) const {
-    head(90);
-    put(out, static_cast<float>(a.value));
-  }
-  void operator()(const SetIdleConnectionTimeout& a) const {
-    head(91);
-    putSpan(out, a.timeout);
-  }
-  void operator()(const SetTimer& a) const {
-    head(92);
-    put(out, static_cast<std::uint32_t>(a.timer));
-    putSpan(out, a.delay);
-  }
-  void operator()(const rainhook::DiagnosticMessage& a) const {
-    head(93);
-    putText(out, a.text);
+class ActionWriter {
+ public:
+  ActionWriter(std::vector<std::byte>& out, InstanceId instance) : out_(out), instance_(instance) {}
+
+  void operator()(const StartExecution& action) const { writeHead(ActionCode::startExecution, action.id); }
+  void operator()(const ShedRequest& action) const {
+    writeHead(ActionCode::shedRequest, action.id);
+    writeDuration(out_, action.retryAfter);
+    writeFlag(out_, action.discourageRetry);
+  }
+  void operator()(const FailRequest& action) const { writeHead(ActionCode::failRequest, action.id); }
+  void operator()(const CancelExecution& action) const { writeHead(ActionCode::cancelExecution, action.id); }
+  void operator()(const CallDownstream& action) const {
+    writeHead(ActionCode::callDownstream, action.id);
+    writeDuration(out_, action.timeout);
+  }
+  void operator()(const SkipDownstreamCall& action) const {
+    writeHead(ActionCode::skipDownstreamCall, action.id);
+  }
+  void operator()(const RetainResult& action) const {
+    writeHead(ActionCode::retainResult, action.id);
+    writeDuration(out_, action.retention);
   }
+  void operator()(const DropResult& action) const { writeHead(ActionCode::dropResult, action.id); }
+  void operator()(const AnswerFromOriginal& action) const {
+    writeHead(ActionCode::answerFromOriginal, action.id);
+  }
+  void operator()(const PublishHealth& action) const {
+    writeHead(ActionCode::publishHealth);
+    writeFlag(out_, action.healthy);
+    writeFlag(out_, action.isCached);
+  }
+  void operator()(const PublishLoadSignal& action) const {
+    writeHead(ActionCode::publishLoadSignal);
+    writeNumber(out_, static_cast<float>(action.value));
+  }
+  void operator()(const SetIdleConnectionTimeout& action) const {
+    writeHead(ActionCode::setIdleConnectionTimeout);
+    writeDuration(out_, action.timeout);
+  }
+  void operator()(const SetTimer& action) const {
+    writeHead(ActionCode::setTimer);
+    writeNumber(out_, static_cast<std::uint32_t>(action.timer));
+    writeDuration(out_, action.delay);
+  }
+  void operator()(const DiagnosticMessage& action) const {
+    writeHead(ActionCode::diagnosticMessage);
+    writeText(out_, action.text);
+  }
+  void writeInstanceError(std::string_view problem) const {
+    writeHead(ActionCode::instanceError);
+    writeText(out_, problem);
+  }
+
+ private:
+  void writeHead(ActionCode code) const {
+    writeNumber(out_, static_cast<std::uint8_t>(code));
+    writeNumber(out_, static_cast<std::uint16_t>(instance_));
+  }
+  void writeHead(ActionCode code, RequestId id) const {
+    writeHead(code);
+    writeNumber(out_, static_cast<std::uint32_t>(id));
+  }
+
+  std::vector<std::byte>& out_;
+  InstanceId instance_;
 };
 
 }  // namespace
 
+ProtocolError::ProtocolError(const std::string& problem, std::optional<std::size_t> byteOffset)
+    : std::runtime_error(withOffset(problem, byteOffset)), byteOffset_(byteOffset) {}
+
 Batch readBatch(std::span<const std::byte> body) {
-  Reader in(body);
+  FieldReader in(body);
   Batch batch;
-  batch.clock = in.number<std::uint64_t>("the clock");
-  while (!in.atEnd()) {
+  batch.clock = SimulatorTime(in.number<std::uint64_t>("the clock"));
+  while (!in.isAtEnd()) {
     const auto code = in.number<std::uint8_t>("the event code");
-    const auto instance = in.number<InstanceNumber>("serverId");
+    const auto instance = InstanceId{in.number<std::uint16_t>("serverId")};
     batch.events.push_back({instance, readEvent(in, code)});
   }
   return batch;
 }
 
-void Reply::add(InstanceNumber instance, const Action& action) {
-  std::visit(ActionWriter{records_, instance}, action);
-  ++count_;
+void Reply::add(InstanceId instance, const Action& action) {
+  std::visit(ActionWriter(records_, instance), action);
+  ++recordCount_;
 }
 
-void Reply::fault(InstanceNumber instance, std::string_view text) {
-  ActionWriter{records_, instance}.head(94);
-  putText(records_, text);
-  ++count_;
+void Reply::addError(InstanceId instance, std::string_view problem) {
+  ActionWriter(records_, instance).writeInstanceError(problem);
+  ++recordCount_;
 }
 
 std::vector<std::byte> Reply::frame() const {
   std::vector<std::byte> out;
-  out.reserve(records_.size() + 8);
-  put(out, static_cast<std::uint32_t>(records_.size() + sizeof(count_)));
-  put(out, count_);
+  out.reserve(records_.size() + sizeof(std::uint32_t) + sizeof(recordCount_));
+  writeNumber(out, static_cast<std::uint32_t>(records_.size() + sizeof(recordCount_)));
+  writeNumber(out, recordCount_);
   out.insert(out.end(), records_.begin(), records_.end());
   return out;
 }
--- a/src/simulator_adapter/simulator_protocol.h
+++ b/src/simulator_adapter/simulator_protocol.h
@@ -1,12 +1,18 @@
-// The frames of the simulator's wire: batches of events in, replies out. Wire codes live here and nowhere
-// else.
+/// @file
+/// The frames of the simulator: batches of events in, replies with actions out. The mapping between the
+/// simulator's fields and the types of the decision module is in this module and nowhere else.
+///
+/// All numbers are little-endian. A frame is a 32-bit length and that many bytes.
 #pragma once
 
+#include <chrono>
 #include <cstddef>
 #include <cstdint>
+#include <optional>
 #include <span>
 #include <stdexcept>
 #include <string>
+#include <string_view>
 #include <variant>
 #include <vector>
 
@@ -14,48 +20,74 @@
 
 namespace rainhook::simulator {
 
-// What was wrong with the input, and at which byte of it.
-struct WireError : std::runtime_error {
-  using std::runtime_error::runtime_error;
+/// The simulator sent what the protocol does not allow.
+class ProtocolError : public std::runtime_error {
+ public:
+  /// @param byteOffset where in the batch the fault was found, if it was found while decoding
+  explicit ProtocolError(const std::string& problem, std::optional<std::size_t> byteOffset = std::nullopt);
+
+  /// Where in the batch the fault was found, if it was found while decoding.
+  [[nodiscard]] std::optional<std::size_t> byteOffset() const { return byteOffset_; }
+
+ private:
+  std::optional<std::size_t> byteOffset_;
 };
 
-using InstanceNumber = std::uint16_t;
+/// The number under which the simulator knows a server instance.
+enum class InstanceId : std::uint16_t {};
 
-struct Attach {
-  std::uint64_t seed = 0;
-  std::string facts;
+/// The simulator's clock; unsigned as on the wire.
+using SimulatorTime = std::chrono::duration<std::uint64_t, std::nano>;
+
+/// A server instance starts.
+struct AttachInstance {
+  std::uint64_t seed = 0;  ///< of its admission policy
+  std::string settings;    ///< lines of path=value, see parseSettingsText()
 };
-struct Detach {};
-struct Ring {
-  std::uint32_t token = 0;
-  std::vector<float> gauges;  // in the order of the instance's settings
+
+/// A server instance ends.
+struct DetachInstance {};
+
+/// A timer that the instance had set has expired.
+struct TimerExpired {
+  TimerId timer{};
+  std::vector<float> gaugeValues;  ///< in the order of the instance's settings
 };
-// Patience, hint and repeats are read as the wire gives them; the host maps them by the instance's settings.
-using WireEvent = std::variant<Attach, Detach, Ring, rainhook::Event>;
 
-struct Happened {
-  InstanceNumber instance = 0;
-  WireEvent event;
+/// What a batch tells of an instance. The remaining time of an arrived request is as on the wire; whether
+/// clients send it is a matter of the instance's settings, which the host knows.
+using SimulatorEvent = std::variant<AttachInstance, DetachInstance, TimerExpired, Event>;
+
+/// An event and the instance that it concerns.
+struct InstanceEvent {
+  InstanceId instance{};
+  SimulatorEvent event;
 };
 
+/// The events of one moment, in their order.
 struct Batch {
-  std::uint64_t clock = 0;
-  std::vector<Happened> events;
+  SimulatorTime clock{};
+  std::vector<InstanceEvent> events;
 };
 
-// `body` is what follows the length field.
-Batch readBatch(std::span<const std::byte> body);
+/// Decodes a batch.
+/// @param body the frame without its length
+/// @throws ProtocolError
+[[nodiscard]] Batch readBatch(std::span<const std::byte> body);
 
+/// Collects the actions of a batch and encodes them as one frame.
 class Reply {
  public:
-  void add(InstanceNumber instance, const rainhook::Action& action);
-  void fault(InstanceNumber instance, std::string_view text);
-  // The whole frame, its length field included.
-  std::vector<std::byte> frame() const;
+  /// Appends an action of an instance.
+  void add(InstanceId instance, const Action& action);
+  /// Appends that an instance failed to handle its events.
+  void addError(InstanceId instance, std::string_view problem);
+  /// The whole frame, its length included.
+  [[nodiscard]] std::vector<std::byte> frame() const;
 
  private:
   std::vector<std::byte> records_;
-  std::uint32_t count_ = 0;
+  std::uint32_t recordCount_ = 0;
 };
 
 }  // namespace rainhook::simulator
