--- a/src/commands/members_command.cpp
+++ b/src/commands/members_command.cpp
@@ -165,8 +165,9 @@
   const auto place = placeIn(given);
   const auto own = options::readOptionsFile(given["options"].as<std::string>());
   signal(SIGPIPE, SIG_IGN);
-  logging::Log log(own.log && own.log->json ? logging::Log::Form::json : logging::Log::Form::text,
-                   place.name.text);
+  logging::Log log(
+      own.logFormat() == options::LogFormat::json ? logging::Log::Form::json : logging::Log::Form::text,
+      place.name.text);
   net::Reactor reactor;
   net::BufferPool pool;
   int status = fine;
--- a/src/commands/serve_command.cpp
+++ b/src/commands/serve_command.cpp
@@ -55,9 +55,11 @@
   });
   const auto own = options::readOptionsFile(given["options"].as<std::string>());
   const auto configured = readConfigurationFile(file);
-  logging::Log log(own.log && own.log->json ? logging::Log::Form::json : logging::Log::Form::text,
-                   configured.endpoints.name);
-  for (const auto& line : options::switchedOn(own)) log.message(logging::LogCategory::start, "{}", line);
+  logging::Log log(
+      own.logFormat() == options::LogFormat::json ? logging::Log::Form::json : logging::Log::Form::text,
+      configured.endpoints.name);
+  for (const auto& line : options::describeEnabledFeatures(own))
+    log.message(logging::LogCategory::start, "{}", line);
   server.emplace(reactor, log, configured);
   if (own.membership)
     presence.emplace(reactor, log, *own.membership, *server, configured.deployment.fleet.servers,
@@ -100,7 +102,7 @@
                facts.handlerNames[i], effects[static_cast<std::size_t>(terms.idempotency)],
                millis(terms.latencyObjective), millis(terms.clientTimeout), terms.priorityWeight);
   }
-  const auto on = options::switchedOn(own);
+  const auto on = options::describeEnabledFeatures(own);
   fmt::print("switched on by our own settings: {}\n",
              on.empty() ? "nothing" : fmt::to_string(fmt::join(on, "; ")));
   if (given.count("running")) {
--- a/src/options/failover_options.h
+++ b/src/options/failover_options.h
@@ -10,7 +10,7 @@
 namespace rainhook::options {
 
 // zones, costs, in-region, beyond, margin, look, step: of a section that may hold more.
-failover::PlanTerms planTerms(Section& given);
+failover::PlanTerms planTerms(YamlSection& given);
 
 struct PlanQuestion {
   failover::PlanTerms terms;
--- /dev/null
+++ b/src/options/membership_options.cpp
@@ -0,0 +1,145 @@
+#include "options/membership_options.h"
+
+#include <fmt/format.h>
+#include <sodium.h>
+#include <sys/stat.h>
+
+#include <algorithm>
+#include <array>
+#include <cctype>
+#include <chrono>
+#include <cstddef>
+#include <filesystem>
+#include <string_view>
+#include <vector>
+
+#include "membership/message_codec.h"
+#include "membership_transport/membership_transport.h"
+
+namespace rainhook::options {
+namespace {
+
+using namespace std::chrono_literals;
+
+constexpr std::size_t keyBytes = 32;
+constexpr std::size_t maxKeyTextBytes = 64;
+constexpr std::size_t maxKeys = 2;  // the second while keys are changed
+constexpr std::size_t maxReachEntries = 4096;
+constexpr auto minProbeInterval = 50ms;
+constexpr auto maxProbeInterval = 60s;
+constexpr std::string_view anyAddress = "0.0.0.0:";
+
+using Key = std::array<unsigned char, keyBytes>;
+
+// A path is relative to the folder of the settings file, whatever the working directory is.
+std::string besideSettings(const std::string& settingsFile, const std::string& path) {
+  return (std::filesystem::path(settingsFile).parent_path() / path).string();
+}
+
+bool isIdentifierCharacter(char character) {
+  return std::isalnum(static_cast<unsigned char>(character)) != 0 || character == '.' || character == '_' ||
+         character == '-';
+}
+
+std::string readIdentifier(YamlSection& section, const std::string& key) {
+  std::string text = section.text(key);
+  if (text.size() > membership::longestWord || !std::all_of(text.begin(), text.end(), isIdentifierCharacter))
+    section.reject(key, fmt::format("'{}' is no name of letters, digits and . _ - ({} at most)", text,
+                                    membership::longestWord));
+  return text;
+}
+
+membership::Address checkedAddress(const YamlSection& section, const std::string& key,
+                                   const std::string& text) {
+  if (!membershipTransport::literal(text))
+    section.reject(key, fmt::format("'{}' is no address of the form 127.0.0.1:7101", text));
+  return membership::Address{text};
+}
+
+void checkKeyFileMode(const YamlSection& section, const std::string& file) {
+  struct stat status {};
+  if (::stat(file.c_str(), &status) != 0) section.reject("keys", fmt::format("{} can't be read", file));
+  if ((status.st_mode & S_IROTH) != 0) section.reject("keys", fmt::format("{} can be read by all", file));
+}
+
+std::string readKeyText(const YamlSection& section, const std::string& file) {
+  std::string text;
+  try {
+    text = readFileText(file);
+  } catch (const OptionsError&) {
+    section.reject("keys", fmt::format("{} can't be read", file));
+  }
+  while (!text.empty() && (text.back() == '\n' || text.back() == '\r')) text.pop_back();
+  return text;
+}
+
+// A key is 32 bytes in base64, in a file of its own that only its owner and group may read.
+Key readKey(const YamlSection& section, const std::string& file) {
+  checkKeyFileMode(section, file);
+  const std::string text = readKeyText(section, file);
+  Key key{};
+  std::size_t decodedBytes = 0;
+  const bool isDecoded = text.size() <= maxKeyTextBytes &&
+                         sodium_base642bin(key.data(), key.size(), text.data(), text.size(), nullptr,
+                                           &decodedBytes, nullptr, sodium_base64_VARIANT_ORIGINAL) == 0;
+  if (!isDecoded || decodedBytes != key.size())
+    section.reject("keys", fmt::format("{} holds no 32 bytes in base64", file));
+  return key;
+}
+
+std::vector<Key> readKeys(YamlSection& section, const std::string& settingsFile) {
+  const std::vector<std::string> files = section.textList("keys");
+  if (files.empty() || files.size() > maxKeys)
+    section.reject("keys", "names one or two files, each with a key");
+  std::vector<Key> keys;
+  keys.reserve(files.size());
+  for (const std::string& file : files) keys.push_back(readKey(section, besideSettings(settingsFile, file)));
+  if (keys.size() == maxKeys && keys[0] == keys[1]) section.reject("keys", "names one key twice");
+  return keys;
+}
+
+void readAddresses(YamlSection& section, membership::MembersPlace& settings) {
+  settings.listen = checkedAddress(section, "listen", section.text("listen"));
+  settings.advertise = checkedAddress(section, "advertise", section.text("advertise", settings.listen.text));
+  if (settings.advertise.text.starts_with(anyAddress))
+    section.reject("advertise", "is missing: others can't reach 0.0.0.0");
+}
+
+void readSeeds(YamlSection& section, membership::MembersPlace& settings) {
+  for (const std::string& text : section.textList("seeds")) {
+    const membership::Address seed = checkedAddress(section, "seeds", text);
+    if (seed == settings.listen || seed == settings.advertise)
+      section.reject("seeds", fmt::format("'{}' is this instance itself", text));
+    settings.seeds.push_back(seed);
+  }
+}
+
+void readReach(YamlSection& section, membership::MembersPlace& settings) {
+  for (const auto& [name, text] : section.textMap("reach", maxReachEntries)) {
+    if (name == settings.name.text)
+      section.reject("reach", fmt::format("names '{}', this instance itself", name));
+    settings.reach.emplace(membership::MemberName{name}, checkedAddress(section, "reach", text));
+  }
+}
+
+}  // namespace
+
+membership::MembersPlace readMembershipOptions(YamlSection section, const std::string& settingsFile) {
+  membership::MembersPlace settings;
+  settings.name = {readIdentifier(section, "name")};
+  settings.zone = {readIdentifier(section, "zone")};
+  settings.region = {readIdentifier(section, "region")};
+  settings.regionAt = section.locationOf("region");
+  readAddresses(section, settings);
+  readSeeds(section, settings);
+  settings.keys = readKeys(section, settingsFile);
+  readReach(section, settings);
+  settings.probeEvery =
+      section.duration("probe-every", settings.probeEvery, minProbeInterval, maxProbeInterval);
+  settings.state = section.text("state", "");
+  if (!settings.state.empty()) settings.state = besideSettings(settingsFile, settings.state);
+  section.rejectUnknownKeys();
+  return settings;
+}
+
+}  // namespace rainhook::options
--- /dev/null
+++ b/src/options/membership_options.h
@@ -0,0 +1,18 @@
+/// @file
+/// The section `membership` of rainhook's own settings.
+#pragma once
+
+#include <string>
+
+#include "membership/place.h"
+#include "options/yaml_section.h"
+
+namespace rainhook::options {
+
+/// Reads the section, loads the keys that it names and refuses unknown keys.
+/// @param settingsFile the file of the section; relative paths of keys and state start at its folder
+/// @throws OptionsError, also where a key file cannot be read, may be read by everyone or holds no key.
+[[nodiscard]] membership::MembersPlace readMembershipOptions(YamlSection section,
+                                                             const std::string& settingsFile);
+
+}  // namespace rainhook::options
--- a/src/options/options.h
+++ b/src/options/options.h
@@ -1,5 +1,6 @@
-// Our own settings: deploy/rainhook.yaml, named by --options or RAINHOOK_OPTIONS. What is absent is off. The
-// file is checked as a whole before anything of it is used.
+/// @file
+/// rainhook's own settings: the file deploy/rainhook.yaml, or another that --options or RAINHOOK_OPTIONS
+/// names. What is absent is off. The file is checked as a whole before anything in it is used.
 #pragma once
 
 #include <optional>
@@ -7,38 +8,45 @@
 #include <vector>
 
 #include "membership/place.h"
-#include "options/yaml_section.h"
-#include "store/bounds.h"
+#include "options/options_error.h"
+#include "options/store_options.h"
 
 namespace rainhook::options {
 
-struct StorePlace {
-  std::string folder;
-  store::StoreBounds bounds;
+/// The form of log lines.
+enum class LogFormat { text, json };
 
-  bool operator==(const StorePlace&) const = default;
-};
-
-struct LogPlace {
-  bool json = false;  // lines of JSON instead of text
+/// The section `log`.
+struct LogOptions {
+  LogFormat format = LogFormat::text;  ///< key `form`
 
-  bool operator==(const LogPlace&) const = default;
+  /// Whether all options are equal.
+  bool operator==(const LogOptions&) const = default;
 };
 
+/// All sections; one that is absent is off.
 struct Options {
-  std::optional<StorePlace> store;
-  std::optional<LogPlace> log;
-  std::optional<membership::MembersPlace> membership;
+  std::optional<StoreOptions> store;                   ///< the durable store
+  std::optional<LogOptions> log;                       ///< the log
+  std::optional<membership::MembersPlace> membership;  ///< membership among the instances
 
+  /// Whether all sections are equal.
   bool operator==(const Options&) const = default;
+
+  /// The form of log lines; text where nothing is said.
+  [[nodiscard]] LogFormat logFormat() const { return log ? log->format : LogFormat::text; }
 };
 
-// Both throw OptionsError. `file` is how messages name the text.
-Options readOptions(const std::string& text, const std::string& file);
-// An empty name means that there is none: everything is off.
-Options readOptionsFile(const std::string& file);
+/// Reads options from YAML text.
+/// @param file how errors name the text, and the base of relative paths in it
+/// @throws OptionsError
+[[nodiscard]] Options readOptions(const std::string& text, const std::string& file);
+
+/// Reads an options file. An empty name means that there is none: everything is off.
+/// @throws OptionsError, also where the file cannot be read.
+[[nodiscard]] Options readOptionsFile(const std::string& file);
 
-// What is switched on, a line each; empty where nothing is.
-std::vector<std::string> switchedOn(const Options& options);
+/// A line for each feature that the options switch on, such as for the log at start; empty where none is.
+[[nodiscard]] std::vector<std::string> describeEnabledFeatures(const Options& options);
 
 }  // namespace rainhook::options
--- a/src/options/yaml_section.cpp
+++ b/src/options/yaml_section.cpp
@@ -2,184 +2,251 @@
 
 #include <fmt/format.h>
 
+#include <algorithm>
+#include <array>
 #include <charconv>
+#include <fstream>
+#include <iterator>
 #include <optional>
 #include <string_view>
+#include <system_error>
 #include <utility>
 
 namespace rainhook::options {
 namespace {
 
-std::optional<std::uint64_t> digits(std::string_view text) {
+using std::chrono::milliseconds;
+using std::chrono::nanoseconds;
+
+struct SizeUnit {
+  std::string_view name;
+  int shift;
+};
+// In ascending order.
+constexpr std::array sizeUnits = {SizeUnit{"kB", 10}, SizeUnit{"MB", 20}, SizeUnit{"GB", 30}};
+
+struct DurationUnit {
+  std::string_view name;
+  milliseconds length;
+};
+// The first whose name ends a text counts: "ms" ends in "s" as well.
+constexpr std::array durationUnits = {DurationUnit{"ms", milliseconds(1)},
+                                      DurationUnit{"s", std::chrono::seconds(1)},
+                                      DurationUnit{"m", std::chrono::minutes(1)}};
+// Keeps the product with a unit within 64 bits.
+constexpr std::uint64_t maxDurationDigits = 1'000'000'000;
+
+std::optional<std::uint64_t> parseDigits(std::string_view text) {
   std::uint64_t number = 0;
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
-  if (text.empty() || error != std::errc{} || end != text.data() + text.size()) return std::nullopt;
+  const char* const last = text.data() + text.size();
+  const auto [end, error] = std::from_chars(text.data(), last, number);
+  if (text.empty() || error != std::errc{} || end != last) return std::nullopt;
   return number;
 }
 
-std::string sized(std::uint64_t bytes) {
-  constexpr std::pair<const char*, int> units[] = {{"GB", 30}, {"MB", 20}, {"kB", 10}};
-  for (const auto& [name, shift] : units)
-    if (bytes >> shift != 0 && (bytes >> shift) << shift == bytes)
-      return fmt::format("{} {}", bytes >> shift, name);
+std::optional<std::uint64_t> parseBytes(std::string_view text, std::uint64_t max) {
+  int shift = 0;
+  for (const SizeUnit& unit : sizeUnits) {
+    if (!text.ends_with(unit.name)) continue;
+    shift = unit.shift;
+    text.remove_suffix(unit.name.size());
+  }
+  while (shift > 0 && text.ends_with(' ')) text.remove_suffix(1);
+  const auto number = parseDigits(text);
+  if (!number || *number > (max >> shift)) return std::nullopt;
+  return *number << shift;
+}
+
+std::optional<nanoseconds> parseDuration(std::string_view text) {
+  const auto* const unit = std::find_if(durationUnits.begin(), durationUnits.end(),
+                                        [&](const DurationUnit& each) { return text.ends_with(each.name); });
+  if (unit == durationUnits.end()) return std::nullopt;
+  text.remove_suffix(unit->name.size());
+  const auto number = parseDigits(text);
+  if (!number || *number > maxDurationDigits) return std::nullopt;
+  return unit->length * *number;
+}
+
+// With the largest unit that divides it.
+std::string formatBytes(std::uint64_t bytes) {
+  for (auto unit = sizeUnits.rbegin(); unit != sizeUnits.rend(); ++unit) {
+    const std::uint64_t whole = bytes >> unit->shift;
+    if (whole != 0 && whole << unit->shift == bytes) return fmt::format("{} {}", whole, unit->name);
+  }
   return fmt::format("{} bytes", bytes);
 }
 
+milliseconds::rep millisecondsOf(nanoseconds duration) {
+  return std::chrono::duration_cast<milliseconds>(duration).count();
+}
+
 }  // namespace
 
-Section::Section(const YAML::Node& node, std::string file, std::string path)
+YAML::Node parseYaml(const std::string& text, const std::string& file) {
+  try {
+    return YAML::Load(text);
+  } catch (const YAML::ParserException& error) {
+    throw OptionsError(file, error.mark.line + 1, "", error.msg);
+  }
+}
+
+std::string readFileText(const std::string& file) {
+  std::ifstream in(file);
+  if (!in) throw OptionsError(file, 0, "", "can't be read");
+  return {std::istreambuf_iterator<char>(in), {}};
+}
+
+YAML::Node loadYamlFile(const std::string& file) { return parseYaml(readFileText(file), file); }
+
+YamlSection::YamlSection(const YAML::Node& node, std::string file, std::string path)
     : node_(node), file_(std::move(file)), path_(std::move(path)) {
   if (node_.IsNull()) node_ = YAML::Node(YAML::NodeType::Map);
-  if (!node_.IsMap())
-    throw OptionsError(fmt::format("{}:{}: {}: holds no keys", file_, node_.Mark().line + 1,
-                                   path_.empty() ? "the file" : path_));
-  std::set<std::string> seen;
-  for (const auto& pair : node_) {
-    if (!pair.first.IsScalar())
-      throw OptionsError(fmt::format("{}:{}: {}: a key is no plain word", file_, pair.first.Mark().line + 1,
-                                     path_.empty() ? "the file" : path_));
-    if (!seen.insert(pair.first.Scalar()).second) fault(pair.first.Scalar(), "is given twice");
+  if (!node_.IsMap()) throw OptionsError(file_, node_.Mark().line + 1, path_, "holds no keys");
+  std::set<std::string> keys;
+  for (const auto& entry : node_) {
+    if (!entry.first.IsScalar())
+      throw OptionsError(file_, entry.first.Mark().line + 1, path_, "a key is no plain word");
+    if (!keys.insert(entry.first.Scalar()).second) reject(entry.first.Scalar(), "is given twice");
   }
 }
 
-std::string Section::at(const std::string& key) const {
+std::string YamlSection::pathOf(const std::string& key) const {
+  return path_.empty() ? key : path_ + "." + key;
+}
+
+int YamlSection::lineOf(const std::string& key) const {
   int line = node_.Mark().line;
-  for (const auto& pair : node_)
-    if (pair.first.IsScalar() && pair.first.Scalar() == key) line = pair.first.Mark().line;
-  return fmt::format("{}:{}: {}", file_, line + 1, path(key));
+  for (const auto& entry : node_)
+    if (entry.first.IsScalar() && entry.first.Scalar() == key) line = entry.first.Mark().line;
+  return line + 1;
 }
 
-void Section::fault(const std::string& key, const std::string& what) const {
-  throw OptionsError(fmt::format("{}: {}", at(key), what));
+std::string YamlSection::locationOf(const std::string& key) const {
+  return fmt::format("{}:{}: {}", file_, lineOf(key), pathOf(key));
 }
 
-bool Section::has(const std::string& key) {
-  asked_.insert(key);
-  return std::as_const(node_)[key].IsDefined();
+void YamlSection::reject(const std::string& key, const std::string& problem) const {
+  throw OptionsError(file_, lineOf(key), pathOf(key), problem);
+}
+
+YAML::Node YamlSection::find(const std::string& key) const { return node_[key]; }
+
+bool YamlSection::has(const std::string& key) {
+  askedKeys_.insert(key);
+  return find(key).IsDefined();
 }
 
-Section Section::section(const std::string& key) {
-  if (!has(key)) fault(key, "is missing");
-  return {std::as_const(node_)[key], file_, path(key)};
+YamlSection YamlSection::section(const std::string& key) {
+  if (!has(key)) reject(key, "is missing");
+  return {find(key), file_, pathOf(key)};
 }
 
-YAML::Node Section::plain(const std::string& key) {
+YAML::Node YamlSection::scalar(const std::string& key) {
   if (!has(key)) return YAML::Node(YAML::NodeType::Undefined);
-  YAML::Node value = std::as_const(node_)[key];
-  if (!value.IsScalar()) fault(key, "is no plain value");
+  YAML::Node value = find(key);
+  if (!value.IsScalar()) reject(key, "is no plain value");
   return value;
 }
 
-std::string Section::text(const std::string& key) {
-  auto value = text(key, "");
-  if (value.empty()) fault(key, "is missing");
+std::string YamlSection::text(const std::string& key) {
+  std::string value = text(key, "");
+  if (value.empty()) reject(key, "is missing");
   return value;
 }
 
-std::string Section::text(const std::string& key, const std::string& absent) {
-  const auto value = plain(key);
-  return value.IsDefined() ? value.Scalar() : absent;
+std::string YamlSection::text(const std::string& key, const std::string& fallback) {
+  const YAML::Node value = scalar(key);
+  return value.IsDefined() ? value.Scalar() : fallback;
 }
 
-bool Section::yes(const std::string& key, bool absent) {
-  const auto value = plain(key);
-  if (!value.IsDefined()) return absent;
-  bool out = false;
-  if (!YAML::convert<bool>::decode(value, out))
-    fault(key, fmt::format("'{}' is neither true nor false", value.Scalar()));
-  return out;
+bool YamlSection::boolean(const std::string& key, bool fallback) {
+  const YAML::Node value = scalar(key);
+  if (!value.IsDefined()) return fallback;
+  bool result = false;
+  if (!YAML::convert<bool>::decode(value, result))
+    reject(key, fmt::format("'{}' is neither true nor false", value.Scalar()));
+  return result;
 }
 
-std::uint64_t Section::count(const std::string& key, std::uint64_t absent, std::uint64_t least,
-                             std::uint64_t most) {
-  const auto value = plain(key);
-  if (!value.IsDefined()) return absent;
-  const auto number = digits(value.Scalar());
-  if (!number || *number < least || *number > most)
-    fault(key, fmt::format("'{}' is no whole number from {} to {}", value.Scalar(), least, most));
+std::uint64_t YamlSection::count(const std::string& key, std::uint64_t fallback, std::uint64_t min,
+                                 std::uint64_t max) {
+  const YAML::Node value = scalar(key);
+  if (!value.IsDefined()) return fallback;
+  const auto number = parseDigits(value.Scalar());
+  if (!number || *number < min || *number > max)
+    reject(key, fmt::format("'{}' is no whole number from {} to {}", value.Scalar(), min, max));
   return *number;
 }
 
-std::uint64_t Section::bytes(const std::string& key, std::uint64_t absent, std::uint64_t least,
-                             std::uint64_t most) {
-  const auto value = plain(key);
-  if (!value.IsDefined()) return absent;
-  std::string_view text = value.Scalar();
-  int shift = 0;
-  constexpr std::pair<std::string_view, int> units[] = {{"kB", 10}, {"MB", 20}, {"GB", 30}};
-  for (const auto& [name, by] : units)
-    if (text.ends_with(name)) shift = by, text.remove_suffix(name.size());
-  while (shift > 0 && text.ends_with(' ')) text.remove_suffix(1);
-  const auto number = digits(text);
-  if (!number || *number > (most >> shift) || (*number << shift) < least)
-    fault(key, fmt::format("'{}' is no size from {} to {}", value.Scalar(), sized(least), sized(most)));
-  return *number << shift;
+std::uint64_t YamlSection::bytes(const std::string& key, std::uint64_t fallback, std::uint64_t min,
+                                 std::uint64_t max) {
+  const YAML::Node value = scalar(key);
+  if (!value.IsDefined()) return fallback;
+  const auto size = parseBytes(value.Scalar(), max);
+  if (!size || *size < min)
+    reject(key,
+           fmt::format("'{}' is no size from {} to {}", value.Scalar(), formatBytes(min), formatBytes(max)));
+  return *size;
+}
+
+nanoseconds YamlSection::duration(const std::string& key, nanoseconds fallback, nanoseconds min,
+                                  nanoseconds max) {
+  const YAML::Node value = scalar(key);
+  if (!value.IsDefined()) return fallback;
+  const auto duration = parseDuration(value.Scalar());
+  if (!duration || *duration < min || *duration > max)
+    reject(key, fmt::format("'{}' is no duration from {} ms to {} ms, such as 250ms or 1s", value.Scalar(),
+                            millisecondsOf(min), millisecondsOf(max)));
+  return *duration;
+}
+
+double YamlSection::number(const std::string& key, double fallback, double min, double max) {
+  const YAML::Node value = scalar(key);
+  return value.IsDefined() ? parseNumber(key, value.Scalar(), min, max) : fallback;
 }
 
-std::chrono::nanoseconds Section::span(const std::string& key, std::chrono::nanoseconds absent,
-                                       std::chrono::nanoseconds least, std::chrono::nanoseconds most) {
-  using std::chrono::milliseconds;
-  const auto value = plain(key);
-  if (!value.IsDefined()) return absent;
-  std::string_view text = value.Scalar();
-  milliseconds unit(0);
-  constexpr std::pair<std::string_view, milliseconds> units[] = {
-      {"ms", milliseconds(1)}, {"s", milliseconds(1000)}, {"m", milliseconds(60000)}};
-  for (const auto& [name, is] : units)
-    if (unit.count() == 0 && text.ends_with(name)) unit = is, text.remove_suffix(name.size());
-  const auto number = digits(text);
-  if (unit.count() == 0 || !number || *number > 1'000'000'000 || unit * *number < least ||
-      unit * *number > most)
-    fault(key, fmt::format("'{}' is no span from {} ms to {} ms, such as 250ms or 1s", value.Scalar(),
-                           std::chrono::duration_cast<milliseconds>(least).count(),
-                           std::chrono::duration_cast<milliseconds>(most).count()));
-  return unit * *number;
-}
-
-double Section::figure(const std::string& key, double absent, double least, double most) {
-  const auto value = plain(key);
-  return value.IsDefined() ? figureIn(key, value.Scalar(), least, most) : absent;
-}
-
-double Section::figureIn(const std::string& key, const std::string& text, double least, double most) const {
+double YamlSection::parseNumber(const std::string& key, const std::string& text, double min,
+                                double max) const {
   double number = 0;
-  const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), number);
-  if (error != std::errc{} || end != text.data() + text.size() || !(number >= least && number <= most))
-    fault(key, fmt::format("'{}' is no number from {} to {}", text, least, most));
+  const char* const last = text.data() + text.size();
+  const auto [end, error] = std::from_chars(text.data(), last, number);
+  const bool isInRange = number >= min && number <= max;  // false for what is no number, too
+  if (error != std::errc{} || end != last || !isInRange)
+    reject(key, fmt::format("'{}' is no number from {} to {}", text, min, max));
   return number;
 }
 
-std::vector<std::string> Section::texts(const std::string& key) {
+std::vector<std::string> YamlSection::textList(const std::string& key) {
   if (!has(key)) return {};
-  const YAML::Node list = std::as_const(node_)[key];
-  if (!list.IsSequence()) fault(key, "is no list");
-  std::vector<std::string> out;
-  for (const auto& one : list) {
-    if (!one.IsScalar() || one.Scalar().empty()) fault(key, "holds what is no plain value");
-    for (const auto& before : out)
-      if (before == one.Scalar()) fault(key, fmt::format("names '{}' twice", before));
-    out.push_back(one.Scalar());
+  const YAML::Node list = find(key);
+  if (!list.IsSequence()) reject(key, "is no list");
+  std::vector<std::string> texts;
+  for (const auto& item : list) {
+    if (!item.IsScalar() || item.Scalar().empty()) reject(key, "holds what is no plain value");
+    if (std::find(texts.begin(), texts.end(), item.Scalar()) != texts.end())
+      reject(key, fmt::format("names '{}' twice", item.Scalar()));
+    texts.push_back(item.Scalar());
   }
-  return out;
+  return texts;
 }
 
-std::map<std::string, std::string> Section::named(const std::string& key, std::size_t most) {
+std::map<std::string, std::string> YamlSection::textMap(const std::string& key, std::size_t maxEntries) {
   if (!has(key)) return {};
-  const YAML::Node map = std::as_const(node_)[key];
-  if (!map.IsMap()) fault(key, "holds no names");
-  std::map<std::string, std::string> out;
-  for (const auto& pair : map) {
-    if (!pair.first.IsScalar() || !pair.second.IsScalar()) fault(key, "holds what is no plain value");
-    if (!out.emplace(pair.first.Scalar(), pair.second.Scalar()).second)
-      fault(key, fmt::format("names '{}' twice", pair.first.Scalar()));
+  const YAML::Node map = find(key);
+  if (!map.IsMap()) reject(key, "holds no names");
+  std::map<std::string, std::string> texts;
+  for (const auto& entry : map) {
+    if (!entry.first.IsScalar() || !entry.second.IsScalar()) reject(key, "holds what is no plain value");
+    if (!texts.emplace(entry.first.Scalar(), entry.second.Scalar()).second)
+      reject(key, fmt::format("names '{}' twice", entry.first.Scalar()));
   }
-  if (out.size() > most) fault(key, fmt::format("names more than {}", most));
-  return out;
+  if (texts.size() > maxEntries) reject(key, fmt::format("names more than {}", maxEntries));
+  return texts;
 }
 
-void Section::end() const {
-  for (const auto& pair : node_)
-    if (!asked_.contains(pair.first.Scalar())) fault(pair.first.Scalar(), "is no known key");
+void YamlSection::rejectUnknownKeys() const {
+  for (const auto& entry : node_)
+    if (!askedKeys_.contains(entry.first.Scalar())) reject(entry.first.Scalar(), "is no known key");
 }
 
 }  // namespace rainhook::options
--- a/tests/deploy_test.cpp
+++ b/tests/deploy_test.cpp
@@ -38,7 +38,7 @@
   const auto file = root + "/deploy/rainhook.yaml";
   ASSERT_FALSE(read(file).empty());
   EXPECT_EQ(options::readOptionsFile(file), options::Options{});
-  EXPECT_TRUE(options::switchedOn(options::readOptionsFile(file)).empty());
+  EXPECT_TRUE(options::describeEnabledFeatures(options::readOptionsFile(file)).empty());
 }
 
 }  // namespace
--- a/tests/options_test.cpp
+++ b/tests/options_test.cpp
@@ -1,6 +1,8 @@
-// Our own settings file: what it may hold, and the one line for each fault.
+/// @file
+/// rainhook's own settings file: what it may hold, and the one line that each fault gives.
 #include "options/options.h"
 
+#include <gmock/gmock.h>
 #include <gtest/gtest.h>
 #include <sys/stat.h>
 #include <unistd.h>
@@ -13,130 +15,194 @@
 namespace rainhook::options {
 namespace {
 
-std::string faultOf(const std::string& text) {
+using testing::IsEmpty;
+using testing::SizeIs;
+using testing::StartsWith;
+using testing::Values;
+
+// The error line of a text, or "none".
+std::string errorOf(const std::string& text) {
   try {
-    readOptions(text, "f.yaml");
+    static_cast<void>(readOptions(text, "f.yaml"));
   } catch (const OptionsError& error) {
     return error.what();
   }
   return "none";
 }
 
-TEST(Options, NothingIsOnWhereNothingIsSaid) {
+TEST(Options, AreAllOffWhenNothingIsSaid) {
   EXPECT_EQ(readOptions("", "f"), Options{});
   EXPECT_EQ(readOptions("{}", "f"), Options{});
   EXPECT_EQ(readOptionsFile(""), Options{});
-  EXPECT_TRUE(switchedOn({}).empty());
+  EXPECT_THAT(describeEnabledFeatures({}), IsEmpty());
 }
 
-TEST(Options, TheStoreTakesItsBounds) {
-  const auto read = readOptions("store:\n  folder: here\n  disk_bytes: 64 MB\n  open_files: 7\n", "f");
-  ASSERT_TRUE(read.store);
-  EXPECT_EQ(read.store->folder, "here");
-  EXPECT_EQ(read.store->bounds.diskBytes, 64u << 20);
-  EXPECT_EQ(read.store->bounds.openFiles, 7u);
-  EXPECT_EQ(read.store->bounds.queueBytes, store::StoreBounds{}.queueBytes);
-  EXPECT_EQ(switchedOn(read).size(), 1u);
+TEST(Options, StoreTakesItsBoundsAndKeepsTheDefaultsOfOthers) {
+  const Options options = readOptions("store:\n  folder: here\n  disk_bytes: 64 MB\n  open_files: 7\n", "f");
+  ASSERT_TRUE(options.store);
+  EXPECT_EQ(options.store->folder, "here");
+  EXPECT_EQ(options.store->bounds.diskBytes, 64u << 20);
+  EXPECT_EQ(options.store->bounds.openFiles, 7u);
+  EXPECT_EQ(options.store->bounds.queueBytes, store::StoreBounds{}.queueBytes);
+  EXPECT_THAT(describeEnabledFeatures(options), SizeIs(1));
 }
 
-TEST(Options, EachFaultNamesFileLineKeyAndWhatIsWrong) {
-  EXPECT_EQ(faultOf("stroe:\n  folder: x\n"), "f.yaml:1: stroe: is no known key");
-  EXPECT_EQ(faultOf("store:\n  folder: x\n  disk: 3\n"), "f.yaml:3: store.disk: is no known key");
-  EXPECT_EQ(faultOf("store:\n  disk_bytes: 64 MB\n"), "f.yaml:2: store.folder: is missing");
-  EXPECT_EQ(faultOf("store: 3\n"), "f.yaml:1: store: holds no keys");
-  EXPECT_EQ(faultOf("store:\n  folder: [a]\n"), "f.yaml:2: store.folder: is no plain value");
-  EXPECT_EQ(faultOf("store:\n  folder: x\n  open_files: -1\n"),
-            "f.yaml:3: store.open_files: '-1' is no whole number from 2 to 4096");
-  EXPECT_EQ(faultOf("store:\n  folder: x\n  disk_bytes: 1 TB\n"),
-            "f.yaml:3: store.disk_bytes: '1 TB' is no size from 256 kB to 1024 GB");
-  EXPECT_EQ(faultOf("store:\n  folder: x\n  folder: y\n"), "f.yaml:3: store.folder: is given twice");
-  EXPECT_EQ(faultOf("store:\n  folder: x\n  disk_bytes: 1 MB\n"),
-            "f.yaml:2: store.segment_bytes: is over an eighth of disk_bytes");
-  EXPECT_EQ(faultOf("a: [b\n").substr(0, 7), "f.yaml:");
-  EXPECT_THROW(readOptionsFile("/nowhere/at/all.yaml"), OptionsError);
+TEST(Options, LogIsTextUnlessJsonIsAskedFor) {
+  EXPECT_EQ(Options{}.logFormat(), LogFormat::text);
+  EXPECT_EQ(readOptions("log:\n  form: text\n", "f").logFormat(), LogFormat::text);
+  EXPECT_EQ(readOptions("log:\n  form: json\n", "f").logFormat(), LogFormat::json);
+  EXPECT_EQ(errorOf("log:\n  form: xml\n"), "f.yaml:2: log.form: 'xml' is neither text nor json");
 }
 
-// Settings of membership beside a key of their own.
+struct FaultyText {
+  std::string text;
+  std::string error;
+};
+
+class FaultyOptions : public testing::TestWithParam<FaultyText> {};
+
+TEST_P(FaultyOptions, NameFileLineKeyAndProblem) { EXPECT_EQ(errorOf(GetParam().text), GetParam().error); }
+
+INSTANTIATE_TEST_SUITE_P(
+    OneFaultEach, FaultyOptions,
+    Values(FaultyText{"stroe:\n  folder: x\n", "f.yaml:1: stroe: is no known key"},
+           FaultyText{"store:\n  folder: x\n  disk: 3\n", "f.yaml:3: store.disk: is no known key"},
+           FaultyText{"store:\n  disk_bytes: 64 MB\n", "f.yaml:2: store.folder: is missing"},
+           FaultyText{"store: 3\n", "f.yaml:1: store: holds no keys"},
+           FaultyText{"store:\n  folder: [a]\n", "f.yaml:2: store.folder: is no plain value"},
+           FaultyText{"store:\n  folder: x\n  open_files: -1\n",
+                      "f.yaml:3: store.open_files: '-1' is no whole number from 2 to 4096"},
+           FaultyText{"store:\n  folder: x\n  disk_bytes: 1 TB\n",
+                      "f.yaml:3: store.disk_bytes: '1 TB' is no size from 256 kB to 1024 GB"},
+           FaultyText{"store:\n  folder: x\n  folder: y\n", "f.yaml:3: store.folder: is given twice"},
+           FaultyText{"store:\n  folder: x\n  disk_bytes: 1 MB\n",
+                      "f.yaml:2: store.segment_bytes: is over an eighth of disk_bytes"}));
+
+TEST(OptionsError, HoldsItsPartsForAFaultOfSyntaxAndForAFileThatIsNotThere) {
+  EXPECT_THAT(errorOf("a: [b\n"), StartsWith("f.yaml:"));
+  try {
+    static_cast<void>(readOptionsFile("/nowhere/at/all.yaml"));
+    ADD_FAILURE() << "no error";
+  } catch (const OptionsError& error) {
+    EXPECT_EQ(error.file(), "/nowhere/at/all.yaml");
+    EXPECT_EQ(error.line(), 0);
+    EXPECT_EQ(error.key(), "");
+    EXPECT_EQ(error.problem(), "can't be read");
+    EXPECT_STREQ(error.what(), "/nowhere/at/all.yaml:0: the file: can't be read");
+  }
+}
+
+// Settings of membership, in a folder that holds a good key, a short one and one that everyone may read.
 class MembershipOptions : public testing::Test {
  protected:
   MembershipOptions() {
-    char name[] = "/tmp/rainhook-options-XXXXXX";
-    folder_ = ::mkdtemp(name);
-    key("key", "AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8=\n", 0600);
-    key("short", "AAECAwQFBgc=\n", 0600);
-    key("open", "AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8=\n", 0644);
+    std::string name = "/tmp/rainhook-options-XXXXXX";
+    folder_ = ::mkdtemp(name.data());
+    writeKey("key", "AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8=\n", 0600);
+    writeKey("short", "AAECAwQFBgc=\n", 0600);
+    writeKey("open", "AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8=\n", 0644);
   }
   ~MembershipOptions() override { std::filesystem::remove_all(folder_); }
-  void key(const std::string& name, const std::string& text, mode_t mode) const {
-    std::ofstream(folder_ + "/" + name) << text;
-    ::chmod((folder_ + "/" + name).c_str(), mode);
-  }
+
   Options read(const std::string& more) const {
     return readOptions("membership:\n  name: a1\n  zone: z\n  region: r\n" + more, folder_ + "/f.yaml");
   }
-  // The fault without the folder.
-  std::string fault(const std::string& more) const {
+  // The error line without the folder, or "none".
+  std::string errorOf(const std::string& more) const {
     try {
-      read(more);
+      static_cast<void>(read(more));
     } catch (const OptionsError& error) {
-      std::string out = error.what();
-      for (auto at = out.find(folder_ + "/"); at != std::string::npos; at = out.find(folder_ + "/"))
-        out.erase(at, folder_.size() + 1);
-      return out;
+      return withoutFolder(error.what());
     }
     return "none";
   }
+
   std::string folder_;
-  const std::string fine_ = "  listen: 127.0.0.11:7101\n  keys: [key]\n";
+  inline static const std::string listenAndKeys_ = "  listen: 127.0.0.11:7101\n  keys: [key]\n";
+
+ private:
+  void writeKey(const std::string& name, const std::string& text, mode_t mode) const {
+    std::ofstream(folder_ + "/" + name) << text;
+    ::chmod((folder_ + "/" + name).c_str(), mode);
+  }
+  std::string withoutFolder(std::string text) const {
+    const std::string prefix = folder_ + "/";
+    for (auto at = text.find(prefix); at != std::string::npos; at = text.find(prefix))
+      text.erase(at, prefix.size());
+    return text;
+  }
 };
 
 TEST_F(MembershipOptions, AreTakenAsStated) {
-  const auto got = read(
-      fine_ + "  seeds: [\"127.0.0.12:7101\"]\n  reach: {b1: \"127.0.1.2:9001\"}\n  probe-every: 250ms\n");
-  ASSERT_TRUE(got.membership);
-  EXPECT_EQ(got.membership->name.text, "a1");
-  EXPECT_EQ(got.membership->advertise.text, "127.0.0.11:7101");
-  EXPECT_EQ(got.membership->seeds.size(), 1u);
-  EXPECT_EQ(got.membership->reach.at({"b1"}).text, "127.0.1.2:9001");
-  EXPECT_EQ(got.membership->probeEvery, std::chrono::milliseconds(250));
-  EXPECT_EQ(got.membership->keys[0][31], 31);
-  EXPECT_EQ(switchedOn(got).size(), 1u);
-  EXPECT_EQ(got.membership->state, "");
-  EXPECT_EQ(read(fine_ + "  state: kept\n").membership->state, folder_ + "/kept");  // beside the file
-  EXPECT_EQ(read(fine_ + "  state: /var/kept\n").membership->state, "/var/kept");
+  const Options options =
+      read(listenAndKeys_ +
+           "  seeds: [\"127.0.0.12:7101\"]\n  reach: {b1: \"127.0.1.2:9001\"}\n  probe-every: 250ms\n");
+  ASSERT_TRUE(options.membership);
+  EXPECT_EQ(options.membership->name.text, "a1");
+  EXPECT_EQ(options.membership->advertise.text, "127.0.0.11:7101");
+  EXPECT_THAT(options.membership->seeds, SizeIs(1));
+  EXPECT_EQ(options.membership->reach.at({"b1"}).text, "127.0.1.2:9001");
+  EXPECT_EQ(options.membership->probeEvery, std::chrono::milliseconds(250));
+  EXPECT_EQ(options.membership->keys[0][31], 31);
+  EXPECT_THAT(describeEnabledFeatures(options), SizeIs(1));
+  EXPECT_EQ(options.membership->state, "");
+}
+
+TEST_F(MembershipOptions, StateFolderIsBesideTheFileUnlessItsPathIsAbsolute) {
+  EXPECT_EQ(read(listenAndKeys_ + "  state: kept\n").membership->state, folder_ + "/kept");
+  EXPECT_EQ(read(listenAndKeys_ + "  state: /var/kept\n").membership->state, "/var/kept");
 }
 
-TEST_F(MembershipOptions, EachFaultNamesFileLineAndKey) {
-  EXPECT_EQ(fault("  listen: here:7101\n  keys: [key]\n"),
-            "f.yaml:5: membership.listen: 'here:7101' is no address of the form 127.0.0.1:7101");
-  EXPECT_EQ(fault("  listen: 127.0.0.1:70000\n  keys: [key]\n"),
-            "f.yaml:5: membership.listen: '127.0.0.1:70000' is no address of the form 127.0.0.1:7101");
-  EXPECT_EQ(fault("  listen: 127.0.0.11:7101\n  keys: [short]\n"),
-            "f.yaml:6: membership.keys: short holds no 32 bytes in base64");
-  EXPECT_EQ(fault("  listen: 127.0.0.11:7101\n  keys: [open]\n"),
-            "f.yaml:6: membership.keys: open can be read by all");
-  EXPECT_EQ(fault("  listen: 127.0.0.11:7101\n  keys: [none]\n"),
-            "f.yaml:6: membership.keys: none can't be read");
-  EXPECT_EQ(fault("  listen: 127.0.0.11:7101\n"),
-            "f.yaml:2: membership.keys: names one or two files, each with a key");
-  EXPECT_EQ(fault(fine_ + "  seeds: [\"127.0.0.11:7101\"]\n"),
-            "f.yaml:7: membership.seeds: '127.0.0.11:7101' is this instance itself");
-  EXPECT_EQ(fault(fine_ + "  seeds: [\"127.0.0.12:7101\", \"127.0.0.12:7101\"]\n"),
-            "f.yaml:7: membership.seeds: names '127.0.0.12:7101' twice");
-  EXPECT_EQ(fault(fine_ + "  reach: {b: \"127.0.0.1:1\", b: \"127.0.0.1:2\"}\n"),
-            "f.yaml:7: membership.reach: names 'b' twice");
-  EXPECT_EQ(fault(fine_ + "  reach: {a1: \"127.0.0.1:1\"}\n"),
-            "f.yaml:7: membership.reach: names 'a1', this instance itself");
-  EXPECT_EQ(
-      fault(fine_ + "  probe-every: 10ms\n"),
-      "f.yaml:7: membership.probe-every: '10ms' is no span from 50 ms to 60000 ms, such as 250ms or 1s");
-  EXPECT_EQ(fault(fine_ + "  probe-every: 1\n"),
-            "f.yaml:7: membership.probe-every: '1' is no span from 50 ms to 60000 ms, such as 250ms or 1s");
-  EXPECT_EQ(fault(fine_ + "  colour: red\n"), "f.yaml:7: membership.colour: is no known key");
-  EXPECT_EQ(fault("  listen: 0.0.0.0:7101\n  keys: [key]\n"),
-            "f.yaml:2: membership.advertise: is missing: others can't reach 0.0.0.0");
+class FaultyMembershipOptions : public MembershipOptions, public testing::WithParamInterface<FaultyText> {};
+
+TEST_P(FaultyMembershipOptions, NameFileLineKeyAndProblem) {
+  EXPECT_EQ(errorOf(GetParam().text), GetParam().error);
 }
 
+INSTANTIATE_TEST_SUITE_P(
+    AddressesAndKeys, FaultyMembershipOptions,
+    Values(FaultyText{"  listen: here:7101\n  keys: [key]\n",
+                      "f.yaml:5: membership.listen: 'here:7101' is no address of the form 127.0.0.1:7101"},
+           FaultyText{
+               "  listen: 127.0.0.1:70000\n  keys: [key]\n",
+               "f.yaml:5: membership.listen: '127.0.0.1:70000' is no address of the form 127.0.0.1:7101"},
+           FaultyText{"  listen: 0.0.0.0:7101\n  keys: [key]\n",
+                      "f.yaml:2: membership.advertise: is missing: others can't reach 0.0.0.0"},
+           FaultyText{"  listen: 127.0.0.11:7101\n  keys: [short]\n",
+                      "f.yaml:6: membership.keys: short holds no 32 bytes in base64"},
+           FaultyText{"  listen: 127.0.0.11:7101\n  keys: [open]\n",
+                      "f.yaml:6: membership.keys: open can be read by all"},
+           FaultyText{"  listen: 127.0.0.11:7101\n  keys: [none]\n",
+                      "f.yaml:6: membership.keys: none can't be read"},
+           FaultyText{"  listen: 127.0.0.11:7101\n",
+                      "f.yaml:2: membership.keys: names one or two files, each with a key"}));
+
+// With a good address and key, so that the seventh line is at fault.
+class FaultyMembershipExtras : public FaultyMembershipOptions {};
+
+TEST_P(FaultyMembershipExtras, NameFileLineKeyAndProblem) {
+  EXPECT_EQ(errorOf(listenAndKeys_ + GetParam().text), GetParam().error);
+}
+
+INSTANTIATE_TEST_SUITE_P(
+    SeedsReachAndInterval, FaultyMembershipExtras,
+    Values(FaultyText{"  seeds: [\"127.0.0.11:7101\"]\n",
+                      "f.yaml:7: membership.seeds: '127.0.0.11:7101' is this instance itself"},
+           FaultyText{"  seeds: [\"127.0.0.12:7101\", \"127.0.0.12:7101\"]\n",
+                      "f.yaml:7: membership.seeds: names '127.0.0.12:7101' twice"},
+           FaultyText{"  reach: {b: \"127.0.0.1:1\", b: \"127.0.0.1:2\"}\n",
+                      "f.yaml:7: membership.reach: names 'b' twice"},
+           FaultyText{"  reach: {a1: \"127.0.0.1:1\"}\n",
+                      "f.yaml:7: membership.reach: names 'a1', this instance itself"},
+           FaultyText{
+               "  probe-every: 10ms\n",
+               "f.yaml:7: membership.probe-every: '10ms' is no duration from 50 ms to 60000 ms, such as "
+               "250ms or 1s"},
+           FaultyText{"  probe-every: 1\n",
+                      "f.yaml:7: membership.probe-every: '1' is no duration from 50 ms to 60000 ms, such as "
+                      "250ms or 1s"},
+           FaultyText{"  colour: red\n", "f.yaml:7: membership.colour: is no known key"}));
+
 TEST(PlanQuestion, EachFaultNamesFileLineAndKey) {
   const std::string file = ::testing::TempDir() + "rainhook-zones-" + std::to_string(::getpid()) + ".yaml";
   const auto fault = [&](const std::string& text) -> std::string {
