--- a/src/commands/commands.h
+++ b/src/commands/commands.h
@@ -1,35 +1,45 @@
-// The sub-commands, a file a group. Each takes the words behind its name and gives the status to end with.
+/// @file
+/// The sub-commands of `rainhook`, a file for each group, and what they end with.
 #pragma once
 
-#include <boost/program_options.hpp>
 #include <stdexcept>
 #include <string>
 #include <vector>
 
 namespace rainhook::commands {
 
-enum Status { fine = 0, cannotServe = 1, absent = 1, misused = 2, damaged = 3, faulty = 4 };
+/// What the program ends with; documented for users, so that the numbers stay. Not scoped, since a command
+/// returns it as the plain number.
+enum ExitStatus : int {
+  exitSuccess = 0,
+  exitFailure = 1,     ///< it cannot do its work, as where an address is taken
+  exitNotFound = 1,    ///< what was asked for is not there
+  exitUsageError = 2,  ///< the command line, the configuration or the options cannot be used
+  exitDamaged = 3,     ///< a store holds damaged data
+  exitStoreError = 4,  ///< a store cannot be opened, read or written
+};
 
-using Words = std::vector<std::string>;
+/// The words of a command line that follow the name of the program or the command.
+using Arguments = std::vector<std::string>;
 
-// The command line is wrong; main says so and ends with `misused`.
-struct Misuse : std::runtime_error {
+/// The command line cannot be used; main prints it and ends with exitUsageError.
+class UsageError : public std::runtime_error {
+ public:
   using std::runtime_error::runtime_error;
 };
 
-// Reads the words by these options, in any order; words that stand alone are, in turn, the values of the
-// options named in `alone`, and no more may stand. Throws Misuse.
-boost::program_options::variables_map read(const Words& words,
-                                           const boost::program_options::options_description& options,
-                                           const std::vector<const char*>& alone = {});
-// The value of a variable of the environment, empty where it is absent.
-std::string fromEnvironment(const char* name);
-
-int serve(const Words& words);
-int check(const Words& words);
-int store(const Words& words);
-int witness(const Words& words);
-int members(const Words& words);
-int failover(const Words& words);
+/// Runs a server until SIGTERM or SIGINT.
+/// @throws ConfigurationError, options::OptionsError, as check() does, and UsageError, as all commands do.
+int serve(const Arguments& arguments);
+/// Says what a configuration and the options hold.
+int check(const Arguments& arguments);
+/// Looks into a store, checks it or changes it.
+int store(const Arguments& arguments);
+/// Runs a member that does not serve.
+int witness(const Arguments& arguments);
+/// Says who is a member, as a running instance sees it.
+int members(const Arguments& arguments);
+/// Computes the plan by which zones take over from each other.
+int failover(const Arguments& arguments);
 
 }  // namespace rainhook::commands
--- a/src/commands/failover_command.cpp
+++ b/src/commands/failover_command.cpp
@@ -4,7 +4,7 @@
 #include <iostream>
 #include <nlohmann/json.hpp>
 
-#include "commands/commands.h"
+#include "commands/command_line.h"
 #include "options/failover_options.h"
 
 namespace rainhook::commands {
@@ -49,21 +49,21 @@
 
 }  // namespace
 
-int failover(const Words& words) {
+int failover(const Arguments& words) {
   po::options_description options("options of failover");
   options.add_options()("json", po::bool_switch(), "as JSON")(
       "command", po::value<std::string>()->default_value(""), "plan")(
       "file", po::value<std::string>()->default_value(""), "plan: the file, also as the word behind it")(
       "help", "this page");
-  const auto given = read(words, options, {"command", "file"});
+  const auto given = parseArguments(words, options, {"command", "file"});
   const auto command = given["command"].as<std::string>(), file = given["file"].as<std::string>();
-  if (given.count("help") || command == "help") return std::cout << usage << options, fine;
+  if (given.count("help") || command == "help") return std::cout << usage << options, exitSuccess;
   if (command != "plan")
-    throw Misuse(command.empty() ? "failover: no command is given"
-                                 : "unknown command 'failover " + command + "'");
-  if (file.empty()) throw Misuse("failover plan: the file is missing");
+    throw UsageError(command.empty() ? "failover: no command is given"
+                                     : "unknown command 'failover " + command + "'");
+  if (file.empty()) throw UsageError("failover plan: the file is missing");
   const Plan plan = planned(options::readPlanQuestion(file));
-  if (given["json"].as<bool>()) return std::cout << written(plan).dump(2) << '\n', fine;
+  if (given["json"].as<bool>()) return std::cout << written(plan).dump(2) << '\n', exitSuccess;
   fmt::print("{:<14} {:<11} {:>6} {:>10}  {:<40} {}\n", "zone", "state", "fill", "proven/s",
              "traffic goes to", "why");
   for (const auto& [zone, is] : plan.zones) {
@@ -74,7 +74,7 @@
     fmt::print("{:<14} {:<11} {:>6.2f} {:>10.1f}  {:<40} {}\n", zone.text, nameOf(is.state), is.fill,
                is.proven, to, is.why);
   }
-  return fine;
+  return exitSuccess;
 }
 
 }  // namespace rainhook::commands
--- a/src/commands/members_command.cpp
+++ b/src/commands/members_command.cpp
@@ -10,7 +10,7 @@
 #include <random>
 #include <thread>
 
-#include "commands/commands.h"
+#include "commands/command_line.h"
 #include "membership_transport/membership_transport.h"
 #include "options/options.h"
 #include "server/incarnation_store.h"
@@ -25,7 +25,7 @@
 po::options_description described(const char* title) {
   po::options_description out(title);
   out.add_options()(
-      "options", po::value<std::string>()->default_value(fromEnvironment("RAINHOOK_OPTIONS")),
+      "options", po::value<std::string>()->default_value(environmentVariable("RAINHOOK_OPTIONS")),
       "our own settings, with a section membership; where absent the file that RAINHOOK_OPTIONS names")(
       "help", "this page");
   return out;
@@ -33,7 +33,7 @@
 
 membership::MembersPlace placeIn(const po::variables_map& given) {
   const auto own = options::readOptionsFile(given["options"].as<std::string>());
-  if (!own.membership) throw Misuse("the settings have no section membership");
+  if (!own.membership) throw UsageError("the settings have no section membership");
   return *own.membership;
 }
 
@@ -55,14 +55,15 @@
  public:
   Asking(const membership::MembersPlace& place, const std::string& at) : seal_(place.keys, drawn()) {
     const auto where = membershipTransport::literal(at);
-    if (!where) throw Misuse(fmt::format("members: '{}' is no address of the form 127.0.0.1:7101", at));
+    if (!where) throw UsageError(fmt::format("members: '{}' is no address of the form 127.0.0.1:7101", at));
     where_ = *where;
   }
   json answer(const json& question) {
     Poco::Net::StreamSocket socket;
     socket.connect(where_, patience);
     socket.setReceiveTimeout(patience);
-    const auto out = membershipTransport::framed(seal_.sealed(membershipTransport::question + question.dump()));
+    const auto out =
+        membershipTransport::framed(seal_.sealed(membershipTransport::question + question.dump()));
     for (std::size_t sent = 0; sent < out.size();)
       sent +=
           static_cast<std::size_t>(socket.sendBytes(out.data() + sent, static_cast<int>(out.size() - sent)));
@@ -104,13 +105,13 @@
 
 int table(Asking& asking, bool asJson) {
   const auto told = asking.answer({{"what", "table"}});
-  if (asJson) return std::cout << told.at("members").dump(2) << '\n', fine;
+  if (asJson) return std::cout << told.at("members").dump(2) << '\n', exitSuccess;
   fmt::print("{:<16} {:<21} {:<12} {:<10} {:<8} {:>5} {:<9} {}\n", "name", "address", "zone", "region",
              "state", "inc", "reachable", "phase");
   for (const auto& member : told.at("members")) fmt::print("{}\n", rowOf(member));
   if (told.at("doubtful").get<bool>())
     fmt::print("{} says that its view is in doubt\n", told.at("asked").get<std::string>());
-  return fine;
+  return exitSuccess;
 }
 
 int watch(Asking& asking) {
@@ -131,7 +132,7 @@
 
 int zones(Asking& asking, bool asJson) {
   const auto told = asking.answer({{"what", "zones"}}).at("zones");
-  if (asJson) return std::cout << told.dump(2) << '\n', fine;
+  if (asJson) return std::cout << told.dump(2) << '\n', exitSuccess;
   const auto line = [](const auto&... part) {
     fmt::print("{:<12} {:<10} {:>7} {:>7} {:>5} {:>5} {:>7} {:>7} {:>8} {:>8} {:>5} {:>9} {}\n", part...);
   };
@@ -146,22 +147,23 @@
          fmt::format("{:.2f}", zone.at("held_back").get<double>()), count("oldest_ms"),
          zone.at("silent").get<bool>() ? "silent" : "");
   }
-  return fine;
+  return exitSuccess;
 }
 
 int explain(Asking& asking, const std::string& name) {
   const auto lines = asking.answer({{"what", "explain"}, {"name", name}}).at("lines");
-  if (lines.empty()) throw Misuse("members: nobody is known under the name " + name);
+  if (lines.empty()) throw UsageError("members: nobody is known under the name " + name);
   for (const auto& line : lines) fmt::print("{}\n", line.get<std::string>());
-  return fine;
+  return exitSuccess;
 }
 
 }  // namespace
 
-int witness(const Words& words) {
+int witness(const Arguments& words) {
   const auto options = described("options of witness");
-  const auto given = read(words, options);
-  if (given.count("help")) return std::cout << "usage: rainhook witness --options FILE\n\n" << options, fine;
+  const auto given = parseArguments(words, options);
+  if (given.count("help"))
+    return std::cout << "usage: rainhook witness --options FILE\n\n" << options, exitSuccess;
   const auto place = placeIn(given);
   const auto own = options::readOptionsFile(given["options"].as<std::string>());
   signal(SIGPIPE, SIG_IGN);
@@ -170,7 +172,7 @@
       place.name.text);
   net::Reactor reactor;
   net::BufferPool pool;
-  int status = fine;
+  int status = exitSuccess;
   net::Reactor::Timer ending;
   std::optional<membershipTransport::MembershipTransport> members;
   reactor.onSignals({SIGTERM, SIGINT}, [&](int) {
@@ -182,20 +184,20 @@
   members.emplace(reactor, pool, log, place, kept.open(), drawn(), [&](const membership::Change& change) {
     if (change.what == membership::Change::What::astray) {
       fmt::print(stderr, "rainhook: {}\n", server::astray(place, change.who));
-      status = misused;
+      status = exitUsageError;
       return reactor.stop();
     }
     if (change.what != membership::Change::What::refused) return;
     fmt::print(stderr, "rainhook: the name {} is held by the living instance at {}\n", place.name.text,
                change.who.address.text);
-    status = cannotServe;
+    status = exitFailure;
     reactor.stop();
   });
   try {
     members->open();
   } catch (const Poco::Exception& error) {
     fmt::print(stderr, "rainhook: can't listen at {}: {}\n", place.listen.text, error.displayText());
-    return cannotServe;
+    return exitFailure;
   }
   kept.follow(*members);
   membership::Digest observer;
@@ -206,20 +208,20 @@
   return status;
 }
 
-int members(const Words& words) {
+int members(const Arguments& words) {
   auto options = described("options of members");
   options.add_options()("at", po::value<std::string>(),
                         "the instance to ask; where absent the one of the settings")(
       "json", po::bool_switch(), "as a JSON array")("command", po::value<std::string>()->default_value(""),
                                                     "watch, zones or explain")(
       "name", po::value<std::string>()->default_value(""), "explain: the member, also as the word behind it");
-  const auto given = read(words, options, {"command", "name"});
+  const auto given = parseArguments(words, options, {"command", "name"});
   const auto command = given["command"].as<std::string>(), name = given["name"].as<std::string>();
-  if (given.count("help") || command == "help") return std::cout << usage << options, fine;
+  if (given.count("help") || command == "help") return std::cout << usage << options, exitSuccess;
   if (!command.empty() && command != "watch" && command != "explain" && command != "zones")
-    throw Misuse("unknown command 'members " + command + "'");
+    throw UsageError("unknown command 'members " + command + "'");
   if ((command == "explain") != !name.empty())
-    throw Misuse(name.empty() ? "members explain: the name is missing" : "members: no name is wanted");
+    throw UsageError(name.empty() ? "members explain: the name is missing" : "members: no name is wanted");
   const auto place = placeIn(given);
   Asking asking(place, given.count("at") ? given["at"].as<std::string>() : place.advertise.text);
   try {
@@ -232,7 +234,7 @@
   } catch (const json::exception&) {
     fmt::print(stderr, "rainhook: members: the answer can't be read: another release?\n");
   }
-  return absent;
+  return exitNotFound;
 }
 
 }  // namespace rainhook::commands
--- a/src/commands/serve_command.cpp
+++ b/src/commands/serve_command.cpp
@@ -1,15 +1,15 @@
-// serve and check: a real server, and what its configuration and our own settings hold.
+/// @file
+/// The command `serve`: a real server, which may be a member among others.
 #include <Poco/Exception.h>
 #include <fmt/format.h>
-#include <fmt/ranges.h>
 #include <signal.h>
 
+#include <cstdint>
 #include <cstdio>
-#include <iostream>
 #include <optional>
 #include <random>
 
-#include "commands/commands.h"
+#include "commands/command_line.h"
 #include "configuration/server_configuration.h"
 #include "logging/log.h"
 #include "net/reactor.h"
@@ -20,98 +20,64 @@
 namespace rainhook::commands {
 namespace {
 
-namespace po = boost::program_options;
-
-po::options_description common(const char* title) {
-  po::options_description options(title);
-  options.add_options()("config", po::value<std::string>()->default_value(fromEnvironment("GW_CONFIG")),
-                        "the configuration, a JSON file; where absent the one that GW_CONFIG names")(
-      "options", po::value<std::string>()->default_value(fromEnvironment("RAINHOOK_OPTIONS")),
-      "our own settings, a YAML file; where absent the one that RAINHOOK_OPTIONS names, or none")(
-      "help", "this page");
-  return options;
+std::uint64_t randomNumber() {
+  std::random_device device;
+  const std::uint64_t high = device();
+  return (high << 32) | device();
 }
 
-int page(const char* command, const po::options_description& options) {
-  std::cout << "usage: rainhook " << command << " [options]\n\n" << options;
-  return fine;
+logging::Log::Form logForm(options::LogFormat format) {
+  return format == options::LogFormat::json ? logging::Log::Form::json : logging::Log::Form::text;
 }
 
-}  // namespace
+// False, after a message on standard error, where the address cannot be had.
+template <typename Service>
+bool openAt(Service& service, const std::string& address) {
+  try {
+    service.open();
+    return true;
+  } catch (const Poco::Exception& error) {
+    fmt::print(stderr, "rainhook: can't listen at {}: {}\n", address, error.displayText());
+    return false;
+  }
+}
 
-int serve(const Words& words) {
-  const auto options = common("options of serve");
-  const auto given = read(words, options);
-  if (given.count("help")) return page("serve", options);
-  const auto file = given["config"].as<std::string>();
+int runServer(const std::string& configurationFile, const std::string& optionsFile) {
   signal(SIGPIPE, SIG_IGN);
   net::Reactor reactor;
-  std::optional<server::RequestServer> server;  // a signal that comes before it is there waits in the reactor
-  std::optional<server::MembershipService> presence;
+  std::optional<server::RequestServer> server;
+  std::optional<server::MembershipService> membership;
+  // Signals wait in the reactor until it runs; by then the server is there.
   reactor.onSignals({SIGTERM, SIGINT, SIGHUP}, [&](int signal) {
-    if (signal == SIGHUP) return server->reloadFrom(file);
+    if (signal == SIGHUP) return server->reloadFrom(configurationFile);
     server->leave();
-    if (presence) presence->leave();
+    if (membership) membership->leave();
   });
-  const auto own = options::readOptionsFile(given["options"].as<std::string>());
-  const auto configured = readConfigurationFile(file);
-  logging::Log log(
-      own.logFormat() == options::LogFormat::json ? logging::Log::Form::json : logging::Log::Form::text,
-      configured.endpoints.name);
-  for (const auto& line : options::describeEnabledFeatures(own))
-    log.message(logging::LogCategory::start, "{}", line);
-  server.emplace(reactor, log, configured);
-  if (own.membership)
-    presence.emplace(reactor, log, *own.membership, *server, configured.deployment.fleet.servers,
-                     (std::uint64_t{std::random_device{}()} << 32) | std::random_device{}());
-  std::string at = configured.endpoints.listen;
-  try {
-    server->open();
-    if (presence) at = own.membership->listen.text, presence->open();
-  } catch (const Poco::Exception& error) {
-    fmt::print(stderr, "rainhook: can't listen at {}: {}\n", at, error.displayText());
-    return cannotServe;
-  }
+  const options::Options options = options::readOptionsFile(optionsFile);
+  const ServerConfiguration configuration = readConfigurationFile(configurationFile);
+  logging::Log log(logForm(options.logFormat()), configuration.endpoints.name);
+  for (const std::string& feature : options::describeEnabledFeatures(options))
+    log.message(logging::LogCategory::start, "{}", feature);
+  server.emplace(reactor, log, configuration);
+  if (options.membership)
+    membership.emplace(reactor, log, *options.membership, *server, configuration.deployment.fleet.servers,
+                       randomNumber());
+  if (!openAt(*server, configuration.endpoints.listen)) return exitFailure;
+  if (membership && !openAt(*membership, options.membership->listen.text)) return exitFailure;
   reactor.run();
-  return fine;
+  return exitSuccess;
 }
 
-int check(const Words& words) {
-  auto options = common("options of check");
-  options.add_options()("running", po::value<std::string>(),
-                        "the configuration of a running server: says what a reload of it would not take");
-  const auto given = read(words, options);
-  if (given.count("help")) return page("check", options);
-  const auto own = options::readOptionsFile(given["options"].as<std::string>());
-  const auto configured = readConfigurationFile(given["config"].as<std::string>());
-  const auto& [place, facts, fixed] = configured;
-  const auto millis = [](Duration span) {
-    return std::chrono::duration_cast<std::chrono::milliseconds>(span).count();
-  };
-  const auto orNone = [](const std::string& address) { return address.empty() ? "none" : address; };
-  fmt::print("{} listens at {}; engine {}, list {}, next tier {}\n", place.name, place.listen, place.engine,
-             orNone(place.registry), orNone(place.downstream));
-  fmt::print("limits: {} descriptors, {} MB; {} ms from the notice to leave to the stop\n",
-             place.maxDescriptors, place.memoryMb, millis(place.shutdownTimeout));
-  fmt::print("{} cores, {:.0f} kB for reqs, {} customers\n", facts.machine.cores, facts.machine.memoryKb,
-             facts.tenantNames.size());
-  constexpr const char* effects[] = {"replayable", "uniqued", "non-replayable"};
-  for (std::size_t i = 0; i < facts.handlerPolicies.size(); ++i) {
-    const HandlerPolicy& terms = facts.handlerPolicies[i];
-    fmt::print("handler {}: {}, response target {} ms, client timeout {} ms, value {}\n",
-               facts.handlerNames[i], effects[static_cast<std::size_t>(terms.idempotency)],
-               millis(terms.latencyObjective), millis(terms.clientTimeout), terms.priorityWeight);
-  }
-  const auto on = options::describeEnabledFeatures(own);
-  fmt::print("switched on by our own settings: {}\n",
-             on.empty() ? "nothing" : fmt::to_string(fmt::join(on, "; ")));
-  if (given.count("running")) {
-    const auto left =
-        restartRequiredChanges(readConfigurationFile(given["running"].as<std::string>()), configured);
-    fmt::print("a reload (SIGHUP) of a server with {} would take {}\n", given["running"].as<std::string>(),
-               left.empty() ? "all of it" : fmt::format("all but {}", fmt::join(left, ", ")));
+}  // namespace
+
+int serve(const Arguments& arguments) {
+  const auto options = configurationOptions("options of serve");
+  const auto values = parseArguments(arguments, options);
+  if (values.count("help") > 0) {
+    printUsage("serve", options);
+    return exitSuccess;
   }
-  return fine;
+  return runServer(values["config"].as<std::string>(), values["options"].as<std::string>());
 }
 
 }  // namespace rainhook::commands
--- a/src/commands/store_command.cpp
+++ b/src/commands/store_command.cpp
@@ -14,7 +14,7 @@
 #include <random>
 #include <sstream>
 
-#include "commands/commands.h"
+#include "commands/command_line.h"
 #include "options/options.h"
 #include "store/posix_disk.h"
 #include "store/store.h"
@@ -51,7 +51,7 @@
   po::options_description out("options of store");
   out.add_options()("dir", po::value<std::string>(),
                     "the store's folder; made by put and load where it is absent")(
-      "options", po::value<std::string>()->default_value(fromEnvironment("RAINHOOK_OPTIONS")),
+      "options", po::value<std::string>()->default_value(environmentVariable("RAINHOOK_OPTIONS")),
       "our own settings, for the store's bounds, and for its folder where --dir is absent")(
       "command", po::value<std::string>(), "what to do, as the first word")(
       "key", po::value<std::string>(), "the key, also as the word behind the command")(
@@ -74,7 +74,7 @@
     const auto own = options::readOptionsFile(given["options"].as<std::string>());
     if (own.store) folder_ = own.store->folder, bounds_ = own.store->bounds;
     if (given.count("dir")) folder_ = given["dir"].as<std::string>();
-    if (folder_.empty()) throw Misuse("store: --dir is missing");
+    if (folder_.empty()) throw UsageError("store: --dir is missing");
   }
 
   const std::string& folder() const { return folder_; }
@@ -88,7 +88,7 @@
   }
 
   std::string key() const {
-    if (!given_.count("key")) throw Misuse("store: the key is missing");
+    if (!given_.count("key")) throw UsageError("store: the key is missing");
     return given_["key"].as<std::string>();
   }
 
@@ -96,7 +96,7 @@
     if (!given_.count("for")) return store::forever;
     const auto wanted = given_["for"].as<std::uint64_t>();
     constexpr std::uint64_t most = std::uint64_t{100} * 366 * 24 * 3600;
-    if (wanted == 0 || wanted > most) throw Misuse("store: --for takes 1 to 3162240000 seconds");
+    if (wanted == 0 || wanted > most) throw UsageError("store: --for takes 1 to 3162240000 seconds");
     return now() + std::chrono::seconds(wanted);
   }
 
@@ -149,16 +149,16 @@
   }
   store.settle();
   Session::must(last);
-  return fine;
+  return exitSuccess;
 }
 
 int get(Session& session) {
   const auto key = session.key();
   const auto got = session.store().get(key);
   Session::must(got.outcome);
-  if (!got.value) return absent;
+  if (!got.value) return exitNotFound;
   std::cout << *got.value << std::flush;
-  return fine;
+  return exitSuccess;
 }
 
 int erase(Session& session) {
@@ -168,7 +168,7 @@
   session.take([&] { return store.erase(key, [&](const Outcome& outcome) { last = outcome; }); });
   store.settle();
   Session::must(last);
-  return fine;
+  return exitSuccess;
 }
 
 // All rows, a page at a time.
@@ -197,7 +197,7 @@
     std::cout << '\n';
   });
   std::cout << std::flush;
-  return fine;
+  return exitSuccess;
 }
 
 int stats(Session& session) {
@@ -212,7 +212,7 @@
       {"failed_syncs", s.failedSyncs},
   };
   for (const auto& [name, value] : all) fmt::print("{}={}\n", name, value);
-  return fine;
+  return exitSuccess;
 }
 
 int verify(const Session& session) {
@@ -227,7 +227,7 @@
     fmt::print("damage: {} at {}, {} bytes: {}\n", row.file, row.offset, row.bytes, row.what);
   fmt::print("{} segments, {} records, {} bytes, {} damaged places\n", found.segments, found.records,
              found.bytes, found.damage.size());
-  return found.damage.empty() ? fine : damaged;
+  return found.damage.empty() ? exitSuccess : exitDamaged;
 }
 
 int compact(Session& session) {
@@ -238,7 +238,7 @@
   store.settle();
   Session::must(last);
   fmt::print("{} bytes before, {} after\n", before, store.figures().book.folderBytes);
-  return fine;
+  return exitSuccess;
 }
 
 int snapshot(Session& session, const std::string& to) {
@@ -247,7 +247,7 @@
   Session::must(store.snapshot(std::make_unique<store::PosixDisk>(to), [&](const Outcome& o) { last = o; }));
   store.settle();
   Session::must(last);
-  return fine;
+  return exitSuccess;
 }
 
 std::string base64(const std::string& bytes) {
@@ -276,11 +276,11 @@
 
 int dump(Session& session) {
   Store& store = session.store();
-  int status = fine;
+  int status = exitSuccess;
   rows(store, true, [&](const Page::Row& row) {
     const auto got = store.get(row.key);
     if (!got.value) {
-      if (!got.outcome.ok()) fmt::print(stderr, "store: {}\n", got.outcome.what), status = damaged;
+      if (!got.outcome.ok()) fmt::print(stderr, "store: {}\n", got.outcome.what), status = exitDamaged;
       return;
     }
     nlohmann::json line{{"key", base64(row.key)}, {"value", base64(*got.value)}};
@@ -314,19 +314,19 @@
   store.settle();
   Session::must(last);
   fmt::print("{} entries are on the disk\n", taken);
-  return fine;
+  return exitSuccess;
 }
 
 }  // namespace
 
-int store(const Words& words) {
-  const auto given = read(words, described(), {"command", "key"});
+int store(const Arguments& words) {
+  const auto given = parseArguments(words, described(), {"command", "key"});
   const auto command = given.count("command") ? given["command"].as<std::string>() : std::string();
   if (words.empty() || given.count("help") || command == "help") {
     std::cout << usage << described();
-    return words.empty() ? misused : fine;
+    return words.empty() ? exitUsageError : exitSuccess;
   }
-  if (command.empty()) throw Misuse("store: no command is given");
+  if (command.empty()) throw UsageError("store: no command is given");
   Session session(given);
   try {
     if (command == "put") return put(session, given["lines"].as<bool>());
@@ -338,13 +338,13 @@
     if (command == "compact") return compact(session);
     if (command == "dump") return dump(session);
     if (command == "load") return load(session);
-    if (command == "snapshot" && !given.count("to")) throw Misuse("store snapshot: --to is missing");
+    if (command == "snapshot" && !given.count("to")) throw UsageError("store snapshot: --to is missing");
     if (command == "snapshot") return snapshot(session, given["to"].as<std::string>());
   } catch (const Failed& fault) {
     fmt::print(stderr, "rainhook: store: {}\n", fault.what());
-    return faulty;
+    return exitStoreError;
   }
-  throw Misuse("unknown command 'store " + command + "'");
+  throw UsageError("unknown command 'store " + command + "'");
 }
 
 }  // namespace rainhook::commands
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,41 +1,26 @@
-// The command line: which command is meant, and how a fault ends.
+/// @file
+/// The program `rainhook`: finds the command that is meant, runs it, and turns errors into a message and an
+/// exit status.
 #include <fmt/format.h>
 
+#include <algorithm>
+#include <array>
 #include <cstdio>
-#include <cstdlib>
+#include <exception>
+#include <string>
+#include <string_view>
 
 #include "commands/commands.h"
-#include "configuration/server_configuration.h"
-#include "options/options.h"
-
-namespace rainhook::commands {
-
-namespace po = boost::program_options;
-
-po::variables_map read(const Words& words, const po::options_description& options,
-                       const std::vector<const char*>& alone) {
-  po::positional_options_description inTurn;
-  for (const char* name : alone) inTurn.add(name, 1);
-  po::variables_map given;
-  try {
-    po::store(po::command_line_parser(words).options(options).positional(inTurn).run(), given);
-    po::notify(given);
-  } catch (const po::error& error) {
-    throw Misuse(error.what());
-  }
-  return given;
-}
-
-std::string fromEnvironment(const char* name) {
-  const char* value = std::getenv(name);
-  return value ? value : "";
-}
+#include "configuration/configuration_error.h"
+#include "options/options_error.h"
 
 namespace {
 
+using namespace rainhook::commands;
+
 constexpr const char* usage = R"(usage: rainhook COMMAND [options]
 
-  serve    serve until told to leave (SIGTERM or SIGINT)
+  serve    serve until SIGTERM or SIGINT
   check    say what a configuration and our own settings hold, or what is wrong with them
   store    look into a store, check it, change it
   witness  be a member among the servers without serving: an observer
@@ -45,46 +30,62 @@
   help     this page, or with a command's name that command's options
 )";
 
-using Does = int (*)(const Words&);
-Does commandOf(const std::string& word) {
-  const std::pair<const char*, Does> all[] = {{"serve", serve},     {"check", check},
-                                              {"store", store},     {"witness", witness},
-                                              {"members", members}, {"failover", failover}};
-  for (const auto& [name, does] : all)
-    if (word == name) return does;
-  return nullptr;
+struct Command {
+  std::string_view name;
+  int (*run)(const Arguments&);
+};
+constexpr std::array commands = {Command{"serve", serve},     Command{"check", check},
+                                 Command{"store", store},     Command{"witness", witness},
+                                 Command{"members", members}, Command{"failover", failover}};
+
+// Null where there is no such command.
+const Command* findCommand(const std::string& name) {
+  const auto* const found =
+      std::find_if(commands.begin(), commands.end(), [&](const Command& each) { return each.name == name; });
+  return found == commands.end() ? nullptr : found;
 }
 
-int run(const Words& words) {
-  const std::string command = words.empty() ? "" : words.front();
-  const Words rest(words.empty() ? words.end() : words.begin() + 1, words.end());
-  if (command == "help" || command == "--help" || command == "-h") {
-    if (rest.empty() || !commandOf(rest.front())) return fmt::print("{}", usage), fine;
-    return run({rest.front(), "--help"});
-  }
-  if (const auto does = commandOf(command)) return does(rest);
-  if (command != "version")
-    throw Misuse(command.empty() ? "no command is given" : "unknown command '" + command + "'");
+int help(const Arguments& arguments) {
+  const Command* command = arguments.empty() ? nullptr : findCommand(arguments.front());
+  if (command != nullptr) return command->run({"--help"});
+  fmt::print("{}", usage);
+  return exitSuccess;
+}
+
+int version() {
   fmt::print("rainhook {}\n", RAINHOOK_VERSION);
-  return fine;
+  return exitSuccess;
+}
+
+int runCommand(const Arguments& arguments) {
+  if (arguments.empty() || arguments.front().empty()) throw UsageError("no command is given");
+  const std::string& name = arguments.front();
+  const Arguments rest(arguments.begin() + 1, arguments.end());
+  if (name == "help" || name == "--help" || name == "-h") return help(rest);
+  if (name == "version") return version();
+  const Command* command = findCommand(name);
+  if (command == nullptr) throw UsageError("unknown command '" + name + "'");
+  return command->run(rest);
+}
+
+int fail(const std::exception& error, ExitStatus status) {
+  fmt::print(stderr, "rainhook: {}\n", error.what());
+  return status;
 }
 
 }  // namespace
-}  // namespace rainhook::commands
 
 int main(int count, char** words) {
-  using namespace rainhook;
   try {
-    return commands::run({words + 1, words + count});
-  } catch (const commands::Misuse& error) {
+    return runCommand({words + 1, words + count});
+  } catch (const UsageError& error) {
     fmt::print(stderr, "rainhook: {}; try 'rainhook help'\n", error.what());
-  } catch (const ConfigurationError& error) {
-    fmt::print(stderr, "rainhook: {}\n", error.what());
-  } catch (const options::OptionsError& error) {
-    fmt::print(stderr, "rainhook: {}\n", error.what());
+    return exitUsageError;
+  } catch (const rainhook::ConfigurationError& error) {
+    return fail(error, exitUsageError);
+  } catch (const rainhook::options::OptionsError& error) {
+    return fail(error, exitUsageError);
   } catch (const std::exception& error) {
-    fmt::print(stderr, "rainhook: {}\n", error.what());
-    return commands::cannotServe;
+    return fail(error, exitFailure);
   }
-  return commands::misused;
 }
--- a/src/options/yaml_section.cpp
+++ b/src/options/yaml_section.cpp
@@ -8,6 +8,7 @@
 #include <fstream>
 #include <iterator>
 #include <optional>
+#include <ranges>
 #include <string_view>
 #include <system_error>
 #include <utility>
@@ -69,9 +70,9 @@
 
 // With the largest unit that divides it.
 std::string formatBytes(std::uint64_t bytes) {
-  for (auto unit = sizeUnits.rbegin(); unit != sizeUnits.rend(); ++unit) {
-    const std::uint64_t whole = bytes >> unit->shift;
-    if (whole != 0 && whole << unit->shift == bytes) return fmt::format("{} {}", whole, unit->name);
+  for (const SizeUnit& unit : sizeUnits | std::views::reverse) {
+    const std::uint64_t whole = bytes >> unit.shift;
+    if (whole != 0 && whole << unit.shift == bytes) return fmt::format("{} {}", whole, unit.name);
   }
   return fmt::format("{} bytes", bytes);
 }
