--- a/src/commands/failover_command.cpp
+++ b/src/commands/failover_command.cpp
@@ -6,7 +6,7 @@
 #include <nlohmann/json.hpp>
 #include <string>
 
-#include "commands/commands.h"
+#include "commands/command_line.h"
 #include "failover/failover_planner.h"
 #include "options/failover_options.h"
 
@@ -134,29 +134,29 @@
 
 }  // namespace
 
-int failover(const Words& words) {
+int failover(const Arguments& words) {
   po::options_description options("options of failover");
   options.add_options()("json", po::bool_switch(), "as JSON")(
       "command", po::value<std::string>()->default_value(""), "plan")(
       "file", po::value<std::string>()->default_value(""), "plan: the file, also as the word behind it")(
       "help", "this page");
-  const po::variables_map given = read(words, options, {"command", "file"});
+  const po::variables_map given = parseArguments(words, options, {"command", "file"});
   const auto command = given["command"].as<std::string>();
   const auto file = given["file"].as<std::string>();
   if (given.count("help") > 0 || command == "help") {
     std::cout << usage << options;
-    return fine;
+    return exitSuccess;
   }
-  if (command.empty()) throw Misuse("failover: no command is given");
-  if (command != "plan") throw Misuse("unknown command 'failover " + command + "'");
-  if (file.empty()) throw Misuse("failover plan: the file is missing");
+  if (command.empty()) throw UsageError("failover: no command is given");
+  if (command != "plan") throw UsageError("unknown command 'failover " + command + "'");
+  if (file.empty()) throw UsageError("failover plan: the file is missing");
 
   const FailoverPlan plan = computePlan(options::readPlanningScenario(file));
   if (given["json"].as<bool>())
     std::cout << toJson(plan).dump(2) << '\n';
   else
     printTable(plan);
-  return fine;
+  return exitSuccess;
 }
 
 }  // namespace rainhook::commands
