--- a/src/decision/admission_controller.cpp
+++ b/src/decision/admission_controller.cpp
@@ -176,7 +176,7 @@
 void AdmissionController::onEvent(const ShutdownNotice& event) {
   drain_.onShutdownNotice(now_, event.timeRemaining);
   emit(PublishHealth{.healthy = false, .isCached = true});
-  emit(DiagnosticMessage{"leaving: health withdrawn, held " + std::to_string(queue_.size())});
+  emit(DiagnosticMessage{"draining: health withdrawn, queued " + std::to_string(queue_.size())});
 }
 
 void AdmissionController::onEvent(const DownstreamQuotaChanged& event) {
