--- a/src/decision/admission_controller.cpp
+++ b/src/decision/admission_controller.cpp
@@ -25,11 +25,6 @@
 constexpr Duration minCallTimeout = 1ms;
 /// Cores that are busier than this are not idle.
 constexpr double idleUtilization = 0.85;
-/// Part of the time to spare that requests may spend in the queue.
-constexpr double queueShareOfSlack = 0.3;
-constexpr double minTolerableSeconds = 0.05;
-/// Without pressure, an execution is believed to take only this part of the estimate.
-constexpr double benefitOfDoubt = 0.5;
 /// From this excess on, reading gets a core of its own.
 constexpr double longReadDelaySeconds = 0.3;
 /// Calls slower than this are not retried: it would only add to the load.
@@ -43,7 +38,8 @@
 AdmissionController::AdmissionController(const PolicySettings& settings)
     : settings_(settings),
       limiter_(settings.machine.cores),
-      serviceTimes_(settings.handlers),
+      serviceTimes_(settings_.handlers),
+      timing_(settings_.handlers, serviceTimes_),
       memory_(settings.machine),
       executionCeiling_(settings.machine),
       callBudget_(settings.downstream),
@@ -81,7 +77,7 @@
 // Events.
 
 void AdmissionController::onEvent(const RequestArrived& event) {
-  const RequestRecord request = makeRecord(event);
+  const RequestRecord request = timing_.makeRecord(event, now_);
   overload_.recordArrival();
   memory_.reserve(event.queuedMemoryKb);
   requests_.add(request);
@@ -89,24 +85,6 @@
   readDelays_.recordArrival(event.readDelay, policyOf(request).clientTimeout);
 }
 
-RequestRecord AdmissionController::makeRecord(const RequestArrived& arrival) {
-  const HandlerPolicy& policy = settings_.handlers[indexOf(arrival.handler)];
-  RequestRecord request{.arrival = arrival};
-  request.arrivedAt = now_ - arrival.readDelay;
-  Duration deadline = request.arrivedAt + policy.clientTimeout;
-  Duration attemptAge = 0s;
-  if (arrival.timeRemaining) {
-    deadline = now_ + *arrival.timeRemaining;
-    attemptAge = attemptAges_.estimateAge(*arrival.timeRemaining + arrival.readDelay, policy.clientTimeout);
-  }
-  request.deadline = std::max(now_, deadline);
-  const Duration workAllowance =
-      fromSeconds(policy.objectiveWorkFactor * serviceTimes_.executionSeconds(arrival));
-  const Duration target = request.arrivedAt + policy.latencyObjective + workAllowance - attemptAge;
-  request.target = std::min(target, request.deadline);
-  return request;
-}
-
 void AdmissionController::onEvent(const ExecutionEnded& event) {
   RequestRecord* request = requests_.find(event.id);
   if (!request) return;
@@ -210,7 +188,7 @@
 
 void AdmissionController::processRequests(Duration elapsed) {
   const double ceiling = executionCeiling_.maxExecutions(now_);
-  const double tolerableSeconds = tolerableQueueSeconds();
+  const double tolerableSeconds = timing_.tolerableQueueSeconds();
   limiter_.update(now_);
   limiter_.clampTo(ceiling);
 
@@ -369,17 +347,8 @@
 
 // What the path asks.
 
-/// Whether the request could not be answered in time even if it started now, judged by what executions and
-/// calls take at present. Without pressure a doubtful one is tried, and one that still earns when late.
 bool AdmissionController::isTooLate(const RequestRecord& request) const {
-  const HandlerPolicy& policy = policyOf(request);
-  const bool isPressed = overload_.isUnderPressure();
-  const double executionSeconds =
-      (isPressed ? 1 : benefitOfDoubt) * serviceTimes_.executionSeconds(request.arrival);
-  const Duration expected =
-      fromSeconds(executionSeconds + serviceTimes_.downstreamSeconds(request.arrival.handler));
-  if (now_ + expected <= request.target) return false;
-  return isPressed || policy.lateWeight <= 0 || now_ + expected > request.deadline;
+  return timing_.isTooLate(request, now_, overload_.isUnderPressure());
 }
 
 /// Whether an execution only keeps others from the cores: past its target, and late earns nothing.
@@ -420,19 +389,6 @@
   return total;
 }
 
-/// How long requests may wait in the queue: a part of the time to spare of the handler that has the least.
-double AdmissionController::tolerableQueueSeconds() const {
-  double minSlackSeconds = 1e9;
-  for (std::size_t index = 0; index < settings_.handlers.size(); ++index) {
-    const HandlerId handler{static_cast<std::uint8_t>(index)};
-    const double slackSeconds = toSeconds(settings_.handlers[index].latencyObjective) -
-                                serviceTimes_.executionSeconds(handler) -
-                                serviceTimes_.downstreamSeconds(handler);
-    minSlackSeconds = std::min(minSlackSeconds, slackSeconds);
-  }
-  return std::max(queueShareOfSlack * minSlackSeconds, minTolerableSeconds);
-}
-
 // Duplicates.
 
 /// A duplicate of a keyed request that may have been executed, or of a read in progress, waits for its
--- a/src/decision/admission_controller.h
+++ b/src/decision/admission_controller.h
@@ -9,7 +9,6 @@
 #include "decision/active_requests.h"
 #include "decision/admission_policy.h"
 #include "decision/admission_queue.h"
-#include "decision/attempt_age_estimator.h"
 #include "decision/concurrency_limiter.h"
 #include "decision/deduplication_index.h"
 #include "decision/downstream_call_budget.h"
@@ -21,6 +20,7 @@
 #include "decision/overload_detector.h"
 #include "decision/read_delay_estimator.h"
 #include "decision/request_record.h"
+#include "decision/request_timing.h"
 #include "decision/service_time_estimator.h"
 
 namespace rainhook {
@@ -54,7 +54,6 @@
   void onEvent(const TimerFired& event);
   void onEvent(const DownstreamQuotaChanged& event);
   void onEvent(const ExecutionEngineStarted& event);
-  [[nodiscard]] RequestRecord makeRecord(const RequestArrived& arrival);
   void learnFromExecution(const RequestRecord& request);
   void requeueCancelled(RequestRecord& request);
   [[nodiscard]] bool hasIdleCores(const TimerFired& gauges) const;
@@ -79,7 +78,6 @@
   [[nodiscard]] bool mayRaiseLimit() const;
   [[nodiscard]] double executionLimit() const;
   [[nodiscard]] double queuedWorkSeconds(bool callsWait) const;
-  [[nodiscard]] double tolerableQueueSeconds() const;
 
   [[nodiscard]] bool awaitOriginal(RequestRecord& request);
   [[nodiscard]] bool retainForDuplicates(const RequestRecord& request);
@@ -98,13 +96,13 @@
   const PolicySettings settings_;
   ConcurrencyLimiter limiter_;
   ServiceTimeEstimator serviceTimes_;
+  RequestTiming timing_;
   MemoryBudget memory_;
   ExecutionCeiling executionCeiling_;
   DownstreamCallBudget callBudget_;
   DeduplicationIndex deduplication_;
   OverloadDetector overload_;
   ReadDelayEstimator readDelays_;
-  AttemptAgeEstimator attemptAges_;
   IdleConnectionTuner idleConnections_;
   LoadSignalEncoder loadSignal_;
   DrainState drain_;
