--- a/src/decision/concurrency_limiter.h
+++ b/src/decision/concurrency_limiter.h
@@ -11,7 +11,7 @@
 /// Moves the limit on concurrent executions towards the lowest latency, one step per interval by the rules of
 /// `fuzzyStep`.
 ///
-/// Where docs/design.md departs from the published controller it says so.
+/// docs/design.md lists the departures from the published controller.
 class ConcurrencyLimiter {
  public:
   /// The limit starts at the number of cores and never falls below it.
