--- a/src/test_doubles/fake_downstream.cpp
+++ b/src/test_doubles/fake_downstream.cpp
@@ -1,64 +1,89 @@
 #include "test_doubles/fake_downstream.h"
 
 #include <algorithm>
+#include <cstddef>
 #include <utility>
 
 namespace rainhook::testDoubles {
+namespace {
 
 using namespace std::chrono_literals;
 
-Next::Next(std::chrono::milliseconds takes) : takes_(takes) {
-  thread_ = std::thread([this] { run(); });
+constexpr std::chrono::milliseconds recordingInterval = 100ms;
+constexpr int pollTimeoutMs = 1;
+constexpr std::string_view headEnd = "\r\n\r\n";
+constexpr std::string_view lengthField = "Content-Length: ";
+constexpr const char* reply = "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+
+double secondsOf(Clock::duration duration) { return std::chrono::duration<double>(duration).count(); }
+
+// The size of the first request, head and body; nothing while it is not whole.
+std::optional<std::size_t> requestSize(const std::string& received) {
+  const std::size_t head = received.find(headEnd);
+  const std::size_t length = received.find(lengthField);
+  if (head == std::string::npos || length == std::string::npos) return std::nullopt;
+  const std::size_t size = head + headEnd.size() + std::stoul(received.substr(length + lengthField.size()));
+  if (received.size() < size) return std::nullopt;
+  return size;
 }
-Next::~Next() {
-  over_ = true;
-  thread_.join();
-  for (const auto& [fd, talk] : talks_) ::close(fd);
+
+}  // namespace
+
+FakeDownstream::FakeDownstream(std::chrono::milliseconds callDuration)
+    : callDuration_(callDuration), thread_([this](const std::stop_token& stop) { run(stop); }) {}
+
+std::vector<double> FakeDownstream::averageOpenCalls() const {
+  const std::lock_guard lock(mutex_);
+  return averageOpenCalls_;
 }
 
-std::vector<double> Next::inHand() const {
+void FakeDownstream::recordOpenCalls(Clock::time_point now) {
+  const auto openCalls = std::count_if(connections_.begin(), connections_.end(),
+                                       [](const auto& entry) { return entry.second.replyDue.has_value(); });
+  callSeconds_ += secondsOf(now - std::exchange(recordedUntil_, now)) * static_cast<double>(openCalls);
+  const auto intervals = static_cast<std::size_t>((now - startedAt_) / recordingInterval);
   const std::lock_guard lock(mutex_);
-  return inHand_;
+  if (averageOpenCalls_.size() >= intervals) return;
+  averageOpenCalls_.resize(intervals, 0);
+  averageOpenCalls_.back() = std::exchange(callSeconds_, 0) / secondsOf(recordingInterval);
 }
 
-void Next::run() {
-  const auto began = Clock::now();
-  auto then = began;
-  double sum = 0;  // call-seconds in this tenth
-  while (!over_) {
-    std::vector<pollfd> on{{listener_.fd(), POLLIN, 0}};
-    for (const auto& [fd, talk] : talks_) on.push_back({fd, POLLIN, 0});
-    ::poll(on.data(), on.size(), 1);
-    const auto now = Clock::now();
-    const auto busy =
-        std::count_if(talks_.begin(), talks_.end(), [](const auto& t) { return t.second.due.has_value(); });
-    sum += std::chrono::duration<double>(now - std::exchange(then, now)).count() * static_cast<double>(busy);
-    const auto tenth = static_cast<std::size_t>((now - began) / 100ms);
-    if (const std::lock_guard lock(mutex_); inHand_.size() < tenth) {
-      inHand_.resize(tenth, 0);
-      inHand_.back() = std::exchange(sum, 0) / 0.1;
-    }
-    for (std::size_t i = 1; i < on.size(); ++i) {
-      if (on[i].revents == 0) continue;
-      Talk& talk = talks_.at(on[i].fd);
-      if (!receive(on[i].fd, talk.in)) {  // given up by closing
-        ::close(on[i].fd);
-        talks_.erase(on[i].fd);
-        continue;
-      }
-      const auto head = talk.in.find("\r\n\r\n"), length = talk.in.find("Content-Length: ");
-      if (talk.due || head == std::string::npos || length == std::string::npos) continue;
-      const auto whole = head + 4 + std::stoul(talk.in.substr(length + 16));
-      if (talk.in.size() < whole) continue;
-      talk.in.erase(0, whole);
-      talk.due = now + takes_;
-      ++calls_;
+bool FakeDownstream::readCall(Connection& connection, Clock::time_point now) {
+  if (!receiveAvailable(connection.socket.get(), connection.received)) return false;
+  if (connection.replyDue) return true;
+  if (const auto size = requestSize(connection.received)) {
+    connection.received.erase(0, *size);
+    connection.replyDue = now + callDuration_;
+    ++callCount_;
+  }
+  return true;
+}
+
+void FakeDownstream::sendReplies(Clock::time_point now) {
+  for (auto& [fd, connection] : connections_) {
+    if (!connection.replyDue || *connection.replyDue > now) continue;
+    connection.replyDue.reset();
+    sendAll(fd, reply);
+  }
+}
+
+void FakeDownstream::run(const std::stop_token& stop) {
+  while (!stop.stop_requested()) {
+    std::vector<pollfd> polled{{listener_.fd(), POLLIN, 0}};
+    for (const auto& [fd, connection] : connections_) polled.push_back({fd, POLLIN, 0});
+    ::poll(polled.data(), polled.size(), pollTimeoutMs);
+    const Clock::time_point now = Clock::now();
+    recordOpenCalls(now);
+    for (std::size_t i = 1; i < polled.size(); ++i) {
+      const int fd = polled[i].fd;
+      if (polled[i].revents != 0 && !readCall(connections_.at(fd), now)) connections_.erase(fd);
     }
-    for (auto& [fd, talk] : talks_)
-      if (talk.due && *talk.due <= now)
-        talk.due.reset(), send(fd, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok");
-    if ((on[0].revents & POLLIN) != 0)
-      if (const int fd = listener_.accept(); fd >= 0) talks_[fd];
+    sendReplies(now);
+    if ((polled[0].revents & POLLIN) == 0) continue;
+    FileDescriptor accepted = listener_.accept();
+    if (!accepted.isOpen()) continue;
+    const int fd = accepted.get();
+    connections_[fd].socket = std::move(accepted);
   }
 }
 
--- a/src/test_doubles/fake_downstream.h
+++ b/src/test_doubles/fake_downstream.h
@@ -1,11 +1,14 @@
-// A stand-in for the next tier, shared by all servers: answers each call after a fixed time, and says how
-// many calls it had in hand at most, by the time that each was there.
+/// @file
+/// A fake of the downstream service.
 #pragma once
 
 #include <atomic>
+#include <chrono>
+#include <cstdint>
 #include <map>
 #include <mutex>
 #include <optional>
+#include <stop_token>
 #include <string>
 #include <thread>
 #include <vector>
@@ -14,30 +17,43 @@
 
 namespace rainhook::testDoubles {
 
-class Next {
+/// An HTTP service that all servers share: answers each call after a fixed time and records how many calls
+/// were open. Runs on a thread of its own; its public members may be used from any thread.
+class FakeDownstream {
  public:
-  explicit Next(std::chrono::milliseconds takes);
-  ~Next();
-  const std::string& address() const { return listener_.address(); }
-  // Calls in hand, on average over each tenth of a second so far.
-  std::vector<double> inHand() const;
-  std::uint64_t calls() const { return calls_; }
+  /// Starts to listen.
+  explicit FakeDownstream(std::chrono::milliseconds callDuration);
+
+  /// Where it listens.
+  [[nodiscard]] const std::string& address() const { return listener_.address(); }
+  /// The average number of open calls in each tenth of a second since the start.
+  [[nodiscard]] std::vector<double> averageOpenCalls() const;
+  /// How many calls have arrived.
+  [[nodiscard]] std::uint64_t callCount() const { return callCount_; }
 
  private:
-  struct Talk {
-    std::string in;
-    std::optional<Clock::time_point> due;
+  struct Connection {
+    FileDescriptor socket;
+    std::string received;
+    std::optional<Clock::time_point> replyDue;  // set while a call is open
   };
-  void run();
 
-  const std::chrono::milliseconds takes_;
-  Listener listener_;
-  std::map<int, Talk> talks_;
+  void run(const std::stop_token& stop);
+  void recordOpenCalls(Clock::time_point now);
+  // False at the end of the connection, by which a call is given up.
+  bool readCall(Connection& connection, Clock::time_point now);
+  void sendReplies(Clock::time_point now);
+
+  const std::chrono::milliseconds callDuration_;
+  const Clock::time_point startedAt_ = Clock::now();
+  LoopbackListener listener_;
+  std::map<int, Connection> connections_;  // by descriptor; until the peer closes
+  Clock::time_point recordedUntil_ = startedAt_;
+  double callSeconds_ = 0;  // in the interval that has not ended
   mutable std::mutex mutex_;
-  std::vector<double> inHand_;
-  std::atomic<std::uint64_t> calls_{0};
-  std::atomic<bool> over_{false};
-  std::thread thread_;
+  std::vector<double> averageOpenCalls_;  // guarded by mutex_
+  std::atomic<std::uint64_t> callCount_{0};
+  std::jthread thread_;  // the last member: it ends before the others do
 };
 
 }  // namespace rainhook::testDoubles
--- a/src/test_doubles/fake_engine.cpp
+++ b/src/test_doubles/fake_engine.cpp
@@ -1,132 +1,177 @@
 #include "test_doubles/fake_engine.h"
 
 #include <algorithm>
+#include <array>
 #include <nlohmann/json.hpp>
 
 #include "codec/json_lines.h"
 
 namespace rainhook::testDoubles {
+namespace {
 
 using namespace std::chrono_literals;
 using nlohmann::json;
 
-namespace {
-
-// Well beyond the callers' whole time: what waits longer at its call is a run of nobody's.
-constexpr auto callsWait = 5s;
+// Well beyond the clients' whole time: what waits longer at its call is an execution that nobody waits for.
+constexpr auto maxCallWait = 5s;
+constexpr auto hangingPause = 1ms;
+constexpr int idlePollTimeoutMs = 10;
+constexpr int busyPollTimeoutMs = 1;
+constexpr double cores = 2;  // what it says of its load goes by these
 
 }  // namespace
 
-Engine::Engine(std::chrono::milliseconds work, bool calls, bool cold)
-    : work_(work), calls_(calls), cold_(cold) {
-  thread_ = std::thread([this] { run(); });
-}
-Engine::~Engine() {
-  over_ = true;
-  thread_.join();
-  if (link_ >= 0) ::close(link_);
-}
+FakeEngine::FakeEngine(Behavior behavior)
+    : behavior_(behavior), thread_([this](const std::stop_token& stop) { run(stop); }) {}
 
-std::map<std::string, int> Engine::launches() const {
+std::map<std::string, int> FakeEngine::startCounts() const {
   const std::lock_guard lock(mutex_);
-  return launches_;
+  return startCounts_;
 }
 
-std::vector<std::pair<Clock::duration, std::size_t>> Engine::running() const {
+std::vector<FakeEngine::ConcurrencySample> FakeEngine::concurrencyHistory() const {
   const std::lock_guard lock(mutex_);
-  return counts_;
+  return concurrencyHistory_;
 }
 
-void Engine::count() {
+void FakeEngine::recordConcurrency() {
   const std::lock_guard lock(mutex_);
-  counts_.emplace_back(Clock::now() - startedAt_, running_.size());
+  concurrencyHistory_.push_back({Clock::now() - startedAt_, executions_.size()});
 }
 
-void Engine::say(const std::string& line) {
-  if (link_ >= 0) send(link_, line);
+void FakeEngine::send(const json& message) {
+  if (connection_.isOpen()) sendAll(connection_.get(), codec::jsonLines::writeLine(message));
 }
 
-void Engine::run() {
-  while (!over_) {
-    if (hangs_) {  // what comes meanwhile stays in the socket, and is read once it goes on
-      std::this_thread::sleep_for(1ms);
+void FakeEngine::run(const std::stop_token& stop) {
+  while (!stop.stop_requested()) {
+    if (isHanging_) {  // what arrives meanwhile stays in the socket, and is read later
+      std::this_thread::sleep_for(hangingPause);
       continue;
     }
-    pollfd on[2] = {{listener_.fd(), POLLIN, 0}, {link_, POLLIN, 0}};
-    ::poll(on, link_ >= 0 ? 2 : 1, due_.empty() ? 10 : 1);
-    if ((on[0].revents & POLLIN) != 0) {
-      if (link_ >= 0) ::close(link_);
-      link_ = listener_.accept(), in_.clear();
-    } else if (link_ >= 0 && on[1].revents != 0) {
-      if (!receive(link_, in_)) ::close(std::exchange(link_, -1));
-      for (auto end = in_.find('\n'); end != std::string::npos; end = in_.find('\n')) {
-        heard(in_.substr(0, end));
-        in_.erase(0, end + 1);
-      }
-    }
-    while (!due_.empty() && due_.top().at <= Clock::now()) {
-      const Due due = due_.top();
-      due_.pop();
-      if (due.halts) {  // its request is over: what still waits at its call ends there
-        const auto it = running_.find(due.name);
-        if (it == running_.end() || it->second != 1) continue;
-        running_.erase(it);
-        count();
-        say(codec::jsonLines::writeLine({{"msg", "outcome"},
-                                         {"serial", ++notices_},
-                                         {"call", due.name},
-                                         {"how", "halted"},
-                                         {"duration", work_.count()},
-                                         {"blob", ""}}));
-      } else if (due.ends) {
-        running_.erase(due.name);
-        count();
-        say(codec::jsonLines::writeLine({{"msg", "outcome"},
-                                         {"serial", ++notices_},
-                                         {"call", due.name},
-                                         {"how", "ok"},
-                                         {"duration", work_.count()},
-                                         {"blob", codec::jsonLines::toBase64("done")}}));
-      } else if (calls_) {
-        running_[due.name] = 1;
-        say(codec::jsonLines::writeLine({{"msg", "request"},
-                                         {"serial", ++notices_},
-                                         {"call", due.name},
-                                         {"blob", codec::jsonLines::toBase64("call")}}));
-        due_.push({due.at + callsWait, due.name, false, true});
-      } else {
-        due_.push({due.at + work_ / 2, due.name, true, false});
-      }
-    }
+    pollSockets();
+    carryOutDueSteps();
   }
 }
 
-void Engine::heard(const std::string& line) {
-  const auto said = json::parse(line, nullptr, false);
-  if (!said.is_object()) return;
-  const auto what = said.value("msg", "");
-  const auto name = said.value("call", "");
-  if (what == "subscribe")
-    say(codec::jsonLines::writeLine(
-        {{"msg", "greeting"},
-         {"how", cold_ ? "cold" : "warm"},
-         {"duration", std::chrono::duration<double, std::milli>(Clock::now() - startedAt_).count()}}));
-  if (what == "sample")
-    say(codec::jsonLines::writeLine(
-        {{"msg", "sampled"},
-         {"cookie", said["cookie"]},
-         {"stats", {std::min(1.0, static_cast<double>(running_.size()) / 2), running_.size(), 0.1, 1}}}));
-  if (what == "launch" && !running_.contains(name)) {
-    running_[name] = 0;
-    count();
-    due_.push({Clock::now() + work_ / 2, name, false, false});
-    const std::lock_guard lock(mutex_);
-    ++launches_[name];
+void FakeEngine::pollSockets() {
+  std::array<pollfd, 2> polled = {pollfd{listener_.fd(), POLLIN, 0}, pollfd{connection_.get(), POLLIN, 0}};
+  ::poll(polled.data(), connection_.isOpen() ? 2 : 1, steps_.empty() ? idlePollTimeoutMs : busyPollTimeoutMs);
+  if ((polled[0].revents & POLLIN) != 0) {
+    connection_.reset();
+    connection_ = listener_.accept();
+    received_.clear();
+  } else if (connection_.isOpen() && polled[1].revents != 0) {
+    readCommands();
   }
-  if ((what == "deliver" || what == "forgo") && running_.contains(name) && running_[name] == 1) {
-    running_[name] = 2;
-    due_.push({Clock::now() + work_ / 2, name, true, false});
+}
+
+void FakeEngine::readCommands() {
+  if (!receiveAvailable(connection_.get(), received_)) connection_.reset();
+  for (auto end = received_.find('\n'); end != std::string::npos; end = received_.find('\n')) {
+    onCommand(received_.substr(0, end));
+    received_.erase(0, end + 1);
   }
 }
 
+void FakeEngine::carryOutDueSteps() {
+  while (!steps_.empty() && steps_.top().due <= Clock::now()) {
+    const Step step = steps_.top();
+    steps_.pop();
+    carryOut(step);
+  }
+}
+
+void FakeEngine::carryOut(const Step& step) {
+  switch (step.kind) {
+    case StepKind::reachCall:
+      return reachCall(step);
+    case StepKind::finish:
+      return finish(step);
+    case StepKind::abandonCall:
+      return abandonCall(step);
+  }
+}
+
+void FakeEngine::reachCall(const Step& step) {
+  if (!behavior_.callsDownstream) {
+    steps_.push({step.due + behavior_.workDuration / 2, step.execution, StepKind::finish});
+    return;
+  }
+  executions_[step.execution] = Phase::atCall;
+  send({{"msg", "request"},
+        {"serial", ++notifications_},
+        {"call", step.execution},
+        {"blob", codec::jsonLines::toBase64("call")}});
+  steps_.push({step.due + maxCallWait, step.execution, StepKind::abandonCall});
+}
+
+// The request is over by then: what still waits at its call ends there.
+void FakeEngine::abandonCall(const Step& step) {
+  if (!isAtCall(step.execution)) return;
+  executions_.erase(step.execution);
+  recordConcurrency();
+  sendOutcome(step.execution, "halted", "");
+}
+
+void FakeEngine::finish(const Step& step) {
+  executions_.erase(step.execution);
+  recordConcurrency();
+  sendOutcome(step.execution, "ok", "done");
+}
+
+void FakeEngine::sendOutcome(const std::string& execution, const char* how, const std::string& result) {
+  send({{"msg", "outcome"},
+        {"serial", ++notifications_},
+        {"call", execution},
+        {"how", how},
+        {"duration", behavior_.workDuration.count()},
+        {"blob", codec::jsonLines::toBase64(result)}});
+}
+
+void FakeEngine::onCommand(const std::string& line) {
+  const json command = json::parse(line, nullptr, false);
+  if (!command.is_object()) return;
+  const std::string kind = command.value("msg", "");
+  const std::string execution = command.value("call", "");
+  if (kind == "subscribe") sendHandshake();
+  if (kind == "sample") sendGauges(command["cookie"]);
+  if (kind == "launch") start(execution);
+  if (kind == "deliver" || kind == "forgo") resume(execution);
+}
+
+void FakeEngine::sendHandshake() {
+  const std::chrono::duration<double, std::milli> age = Clock::now() - startedAt_;
+  send({{"msg", "greeting"}, {"how", behavior_.startsCold ? "cold" : "warm"}, {"duration", age.count()}});
+}
+
+void FakeEngine::sendGauges(const json& cookie) {
+  const double utilization = std::min(1.0, static_cast<double>(executions_.size()) / cores);
+  constexpr double memoryUtilization = 0.1;
+  constexpr int openConnections = 1;
+  send({{"msg", "sampled"},
+        {"cookie", cookie},
+        {"stats", {utilization, executions_.size(), memoryUtilization, openConnections}}});
+}
+
+void FakeEngine::start(const std::string& execution) {
+  if (executions_.contains(execution)) return;
+  executions_[execution] = Phase::beforeCall;
+  recordConcurrency();
+  steps_.push({Clock::now() + behavior_.workDuration / 2, execution, StepKind::reachCall});
+  const std::lock_guard lock(mutex_);
+  ++startCounts_[execution];
+}
+
+void FakeEngine::resume(const std::string& execution) {
+  if (!isAtCall(execution)) return;
+  executions_[execution] = Phase::afterCall;
+  steps_.push({Clock::now() + behavior_.workDuration / 2, execution, StepKind::finish});
+}
+
+bool FakeEngine::isAtCall(const std::string& execution) const {
+  const auto found = executions_.find(execution);
+  return found != executions_.end() && found->second == Phase::atCall;
+}
+
 }  // namespace rainhook::testDoubles
--- a/src/test_doubles/open_loop_client.cpp
+++ b/src/test_doubles/open_loop_client.cpp
@@ -1,118 +1,147 @@
 #include "test_doubles/open_loop_client.h"
 
+#include <fmt/format.h>
+
+#include <cstddef>
 #include <utility>
 
 #include "codec/thrift.h"
 
 namespace rainhook::testDoubles {
+namespace {
 
-using namespace std::chrono_literals;
+using codec::thrift::Kind;
 using codec::thrift::Type;
 
-Caller::Caller(std::string address, std::string handler, std::chrono::milliseconds each,
-               std::chrono::milliseconds budget, int number)
-    : address_(std::move(address)),
-      handler_(std::move(handler)),
-      each_(each),
-      budget_(budget),
-      caller_(number) {
-  thread_ = std::thread([this] { run(); });
+constexpr std::size_t maxOpenRequests = 32;  // on a connection, by the protocol
+constexpr std::size_t maxFrameBytes = 1 << 20;
+constexpr int pollTimeoutMs = 1;
+constexpr std::int16_t fieldsField = 1;
+constexpr std::int16_t bodyField = 2;
+constexpr std::int16_t resultField = 0;  // of a reply
+
+std::string requestName(int clientNumber, std::uint64_t request) {
+  return fmt::format("{:04x}{:012x}", static_cast<unsigned>(clientNumber), request);
 }
-Caller::~Caller() {
-  over_ = true;
-  if (thread_.joinable()) thread_.join();
-  if (fd_ >= 0) ::close(fd_);
+
+std::string unixMilliseconds() {
+  const auto now = std::chrono::system_clock::now().time_since_epoch();
+  return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(now).count());
+}
+
+codec::thrift::Fields requestFields(const OpenLoopClient::Options& options, const std::string& name) {
+  return {{"method", options.handler},
+          {"rid", name},
+          {"t0", unixMilliseconds()},
+          {"peer", std::to_string(options.clientNumber)},
+          {"acct", "acme"},
+          {"mem", "24.5"},
+          {"prio", "0.5000"},
+          {"budget", std::to_string(options.timeout.count())}};
 }
 
-void Caller::end() {
-  ending_ = true;
+std::string requestFrame(std::int32_t sequence, const codec::thrift::Fields& fields) {
+  return codec::thrift::Writer(Kind::call, "call", sequence)
+      .field(fieldsField, Type::map)
+      .fields(fields)
+      .field(bodyField, Type::text)
+      .text("body")
+      .stop()
+      .whole();
+}
+
+bool isResult(const codec::thrift::Message& message) {
+  bool hasResult = false;
+  codec::thrift::Reader(message.body).structure([&](std::int16_t field, Type, codec::thrift::Reader&) {
+    hasResult = message.kind == Kind::reply && field == resultField;
+    return false;
+  });
+  return hasResult;
+}
+
+}  // namespace
+
+OpenLoopClient::OpenLoopClient(Options options)
+    : options_(std::move(options)), thread_([this](const std::stop_token& stop) { run(stop); }) {}
+
+void OpenLoopClient::stopAndWait() {
+  isStopping_ = true;
   if (thread_.joinable()) thread_.join();
 }
 
-std::map<std::string, Caller::Sent> Caller::history() const {
+std::map<std::string, OpenLoopClient::RequestRecord> OpenLoopClient::history() const {
   const std::lock_guard lock(mutex_);
   return history_;
 }
 
-void Caller::broke() {
+void OpenLoopClient::onConnectionLost() {
   const std::lock_guard lock(mutex_);
-  for (const auto& [number, name] : open_) history_[name].broken = true;
-  open_.clear(), in_.clear();
-  if (fd_ >= 0) ::close(std::exchange(fd_, -1));
+  for (const auto& [sequence, name] : openRequests_) history_[name].isConnectionLost = true;
+  openRequests_.clear();
+  received_.clear();
+  connection_.reset();
 }
 
-void Caller::run() {
-  auto next = Clock::now();
-  std::uint64_t count = 0;
-  for (auto until = Clock::time_point::max(); !over_ && Clock::now() < until;) {
-    if (ending_ && until == Clock::time_point::max()) until = Clock::now() + budget_ * 3 / 2;
-    if (ending_ && open_.empty()) return;
-    const auto now = Clock::now();
-    if (!ending_ && now >= next) {
-      next += each_;
-      if (fd_ < 0) {
-        fd_ = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-        const auto at = addressOf(address_);
-        number_ = 0;
-        if (::connect(fd_, plain(at), sizeof at) != 0) ::close(std::exchange(fd_, -1));
-      }
-      // The protocol allows 32 open on a connection; what is beyond is not sent, nor counted.
-      if (fd_ >= 0 && open_.size() < 32) {
-        char name[17];
-        std::snprintf(name, sizeof name, "%04x%012llx", static_cast<unsigned>(caller_),
-                      static_cast<unsigned long long>(++count));
-        const auto millis = std::chrono::duration_cast<std::chrono::milliseconds>(
-            std::chrono::system_clock::now().time_since_epoch());
-        const codec::thrift::Fields fields{{"method", handler_},
-                                           {"rid", name},
-                                           {"t0", std::to_string(millis.count())},
-                                           {"peer", std::to_string(caller_)},
-                                           {"acct", "acme"},
-                                           {"mem", "24.5"},
-                                           {"prio", "0.5000"},
-                                           {"budget", std::to_string(budget_.count())}};
-        {
-          const std::lock_guard lock(mutex_);
-          history_[name].at = now;
-        }
-        open_[++number_] = name;
-        if (!send(fd_, codec::thrift::Writer(codec::thrift::Kind::call, "call", number_)
-                           .field(1, Type::map)
-                           .fields(fields)
-                           .field(2, Type::text)
-                           .text("body")
-                           .stop()
-                           .whole()))
-          broke();
-      }
-    }
-    pollfd on{fd_, POLLIN, 0};
-    ::poll(&on, fd_ >= 0 ? 1 : 0, 1);
-    if (fd_ < 0 || on.revents == 0) continue;
-    if (!receive(fd_, in_)) broke();
-    answered(in_);
+void OpenLoopClient::connect() {
+  const sockaddr_in address = parseSocketAddress(options_.address);
+  connection_ = makeStreamSocket();
+  lastSequence_ = 0;
+  if (::connect(connection_.get(), asSockaddr(address), sizeof address) != 0) connection_.reset();
+}
+
+void OpenLoopClient::sendRequest(Clock::time_point now) {
+  if (!connection_.isOpen()) connect();
+  // What the protocol does not allow is not sent, nor counted.
+  if (!connection_.isOpen() || openRequests_.size() >= maxOpenRequests) return;
+  const std::string name = requestName(options_.clientNumber, ++lastRequest_);
+  const codec::thrift::Fields fields = requestFields(options_, name);
+  {
+    const std::lock_guard lock(mutex_);
+    history_[name].sentAt = now;
   }
+  openRequests_[++lastSequence_] = name;
+  if (!sendAll(connection_.get(), requestFrame(lastSequence_, fields))) onConnectionLost();
 }
 
-void Caller::answered(std::string& in) {
-  for (auto frame = codec::thrift::readFrame(in, 1 << 20); frame;
-       frame = codec::thrift::readFrame(in, 1 << 20)) {
-    const auto message = codec::thrift::readMessage(frame->content);
+void OpenLoopClient::receiveAnswers() {
+  pollfd polled{connection_.get(), POLLIN, 0};
+  ::poll(&polled, connection_.isOpen() ? 1 : 0, pollTimeoutMs);
+  if (!connection_.isOpen() || polled.revents == 0) return;
+  if (!receiveAvailable(connection_.get(), received_)) onConnectionLost();
+  readAnswers();
+}
+
+void OpenLoopClient::readAnswers() {
+  while (const auto frame = codec::thrift::readFrame(received_, maxFrameBytes)) {
+    const codec::thrift::Message message = codec::thrift::readMessage(frame->content);
     const std::lock_guard lock(mutex_);
-    if (const auto it = open_.find(message.sequence);
-        it != open_.end() && message.kind != codec::thrift::Kind::oneway) {
-      Sent& sent = history_[it->second];
-      ++sent.answers;
-      sent.took = std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - sent.at);
-      codec::thrift::Reader(message.body).structure([&](std::int16_t kind, Type, codec::thrift::Reader&) {
-        sent.done = message.kind == codec::thrift::Kind::reply && kind == 0;
-        return false;
-      });
-      open_.erase(it);
-    } else if (message.kind == codec::thrift::Kind::reply) {  // a second answer, or one to nobody
-      ++history_["unasked"].answers;
+    const auto open = openRequests_.find(message.sequence);
+    if (open != openRequests_.end() && message.kind != Kind::oneway) {
+      RequestRecord& request = history_[open->second];
+      ++request.answers;
+      request.latency = std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - request.sentAt);
+      request.isCompleted = isResult(message);
+      openRequests_.erase(open);
+    } else if (message.kind == Kind::reply) {
+      ++unrequestedAnswers_;
+    }
+    received_.erase(0, frame->size);
+  }
+}
+
+void OpenLoopClient::run(const std::stop_token& stop) {
+  Clock::time_point nextRequest = Clock::now();
+  Clock::time_point waitEnd = Clock::time_point::max();
+  while (!stop.stop_requested() && Clock::now() < waitEnd) {
+    const Clock::time_point now = Clock::now();
+    if (isStopping_) {
+      if (openRequests_.empty()) return;
+      if (waitEnd == Clock::time_point::max()) waitEnd = now + options_.timeout * 3 / 2;
+    } else if (now >= nextRequest) {
+      nextRequest += options_.interval;
+      sendRequest(now);
     }
-    in.erase(0, frame->size);
+    receiveAnswers();
   }
 }
 
--- a/src/test_doubles/open_loop_client.h
+++ b/src/test_doubles/open_loop_client.h
@@ -1,10 +1,13 @@
-// An open-loop caller: sends a req each so often to one server, whatever becomes of those before, and keeps a
-// history of what was sent and how each was answered. When its connection breaks it opens another.
+/// @file
+/// A client that sends requests at a fixed rate, as open-loop load generators do.
 #pragma once
 
 #include <atomic>
+#include <chrono>
+#include <cstdint>
 #include <map>
 #include <mutex>
+#include <stop_token>
 #include <string>
 #include <thread>
 
@@ -12,36 +15,57 @@
 
 namespace rainhook::testDoubles {
 
-class Caller {
+/// Sends a request to one server in each interval, whatever becomes of those before, and records how each was
+/// answered. When its connection is lost it opens another. Runs on a thread of its own; its public members
+/// may be used from any thread.
+class OpenLoopClient {
  public:
-  struct Sent {
-    Clock::time_point at{};
-    int answers = 0;
-    bool done = false, broken = false;  // broken: its connection broke before the answer
-    std::chrono::milliseconds took{0};
+  /// What it sends.
+  struct Options {
+    std::string address;                   ///< of the server
+    std::string handler;                   ///< that all requests name
+    std::chrono::milliseconds interval{};  ///< between two requests
+    std::chrono::milliseconds timeout{};   ///< that each request states
+    int clientNumber = 0;                  ///< under which servers know it; part of the requests' names
   };
-  Caller(std::string address, std::string handler, std::chrono::milliseconds each,
-         std::chrono::milliseconds budget, int number);
-  ~Caller();
-  // Sends no more, and waits for the answers of what was sent, at most a budget and a half.
-  void end();
-  std::map<std::string, Sent> history() const;
+  /// What became of a request.
+  struct RequestRecord {
+    Clock::time_point sentAt{};            ///< when it was handed to the socket
+    int answers = 0;                       ///< one is right
+    bool isCompleted = false;              ///< whether it was answered with a result
+    bool isConnectionLost = false;         ///< whether the connection was lost before the answer
+    std::chrono::milliseconds latency{0};  ///< until the answer
+  };
+
+  /// Starts to send.
+  explicit OpenLoopClient(Options options);
+
+  /// Sends no more, and waits for the answers of what was sent, at most one and a half timeouts.
+  void stopAndWait();
+  /// What became of each request, by its name.
+  [[nodiscard]] std::map<std::string, RequestRecord> history() const;
+  /// How many answers arrived that no open request had asked for, as where one is answered twice.
+  [[nodiscard]] int unrequestedAnswers() const { return unrequestedAnswers_; }
 
  private:
-  void run();
-  void broke();
-  void answered(std::string& in);
-
-  const std::string address_, handler_;
-  const std::chrono::milliseconds each_, budget_;
-  const int caller_;
-  int fd_ = -1, number_ = 0;
-  std::string in_;
-  std::map<int, std::string> open_;  // by number on this connection
+  void run(const std::stop_token& stop);
+  void connect();
+  void sendRequest(Clock::time_point now);
+  void receiveAnswers();
+  void readAnswers();
+  void onConnectionLost();
+
+  const Options options_;
+  FileDescriptor connection_;
+  std::int32_t lastSequence_ = 0;  // on this connection
+  std::uint64_t lastRequest_ = 0;
+  std::string received_;
+  std::map<std::int32_t, std::string> openRequests_;  // names by their sequence on this connection
   mutable std::mutex mutex_;
-  std::map<std::string, Sent> history_;
-  std::atomic<bool> ending_{false}, over_{false};
-  std::thread thread_;
+  std::map<std::string, RequestRecord> history_;  // guarded by mutex_
+  std::atomic<int> unrequestedAnswers_{0};
+  std::atomic<bool> isStopping_{false};
+  std::jthread thread_;  // the last member: it ends before the others do
 };
 
 }  // namespace rainhook::testDoubles
--- a/src/test_doubles/socket_helpers.h
+++ b/src/test_doubles/socket_helpers.h
@@ -1,4 +1,6 @@
-// Sockets of the stand-ins: plain, on loopback, each stand-in on a thread of its own that waits in poll.
+/// @file
+/// Sockets of the test doubles: blocking sockets on loopback; each double has a thread of its own that waits
+/// in poll.
 #pragma once
 
 #include <arpa/inet.h>
@@ -7,62 +9,116 @@
 #include <sys/socket.h>
 #include <unistd.h>
 
+#include <array>
+#include <cerrno>
 #include <chrono>
+#include <cstddef>
+#include <cstdint>
 #include <stdexcept>
 #include <string>
+#include <utility>
 
 namespace rainhook::testDoubles {
 
+/// The clock of all test doubles.
 using Clock = std::chrono::steady_clock;
 
-inline sockaddr_in addressOf(const std::string& text) {
-  sockaddr_in out{};
-  const auto colon = text.rfind(':');
-  out.sin_family = AF_INET;
-  out.sin_port = htons(static_cast<std::uint16_t>(std::stoi(text.substr(colon + 1))));
-  ::inet_pton(AF_INET, text.substr(0, colon).c_str(), &out.sin_addr);
-  return out;
+/// The socket address of `a.b.c.d:port`.
+[[nodiscard]] inline sockaddr_in parseSocketAddress(const std::string& text) {
+  sockaddr_in address{};
+  const std::size_t colon = text.rfind(':');
+  address.sin_family = AF_INET;
+  address.sin_port = htons(static_cast<std::uint16_t>(std::stoi(text.substr(colon + 1))));
+  ::inet_pton(AF_INET, text.substr(0, colon).c_str(), &address.sin_addr);
+  return address;
 }
-inline const sockaddr* plain(const sockaddr_in& address) {
+
+/// The form in which system calls take an address.
+[[nodiscard]] inline const sockaddr* asSockaddr(const sockaddr_in& address) {
   return reinterpret_cast<const sockaddr*>(&address);
 }
 
-// Listens at a port that the system names.
-class Listener {
+/// Owns a file descriptor and closes it.
+class FileDescriptor {
+ public:
+  /// Owns nothing where `fd` is negative.
+  explicit FileDescriptor(int fd = -1) : fd_(fd) {}
+  ~FileDescriptor() { reset(); }
+  FileDescriptor(const FileDescriptor&) = delete;
+  FileDescriptor& operator=(const FileDescriptor&) = delete;
+  /// Takes the descriptor over.
+  FileDescriptor(FileDescriptor&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
+  /// Closes its own descriptor and takes the other one over.
+  FileDescriptor& operator=(FileDescriptor&& other) noexcept {
+    if (this != &other) reset(std::exchange(other.fd_, -1));
+    return *this;
+  }
+
+  /// The descriptor, negative where there is none.
+  [[nodiscard]] int get() const { return fd_; }
+  /// Whether there is one.
+  [[nodiscard]] bool isOpen() const { return fd_ >= 0; }
+  /// Closes what is owned and owns another.
+  void reset(int fd = -1) {
+    if (fd_ >= 0) ::close(fd_);
+    fd_ = fd;
+  }
+
+ private:
+  int fd_;
+};
+
+/// A stream socket, closed in processes that are started later.
+[[nodiscard]] inline FileDescriptor makeStreamSocket() {
+  return FileDescriptor(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
+}
+
+/// Listens on loopback at a port that the system chooses.
+class LoopbackListener {
  public:
-  Listener() : fd_(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0)) {
-    sockaddr_in at = addressOf("127.0.0.1:0");
-    socklen_t size = sizeof at;
-    if (::bind(fd_, plain(at), sizeof at) != 0 || ::listen(fd_, 64) != 0 ||
-        ::getsockname(fd_, reinterpret_cast<sockaddr*>(&at), &size) != 0)
-      throw std::runtime_error("a stand-in can't listen");
-    address_ = "127.0.0.1:" + std::to_string(ntohs(at.sin_port));
+  /// @throws std::runtime_error
+  LoopbackListener() : socket_(makeStreamSocket()) {
+    constexpr int backlog = 64;
+    sockaddr_in address = parseSocketAddress("127.0.0.1:0");
+    socklen_t size = sizeof address;
+    if (::bind(socket_.get(), asSockaddr(address), sizeof address) != 0 ||
+        ::listen(socket_.get(), backlog) != 0 ||
+        ::getsockname(socket_.get(), reinterpret_cast<sockaddr*>(&address), &size) != 0)
+      throw std::runtime_error("a test double can't listen");
+    address_ = "127.0.0.1:" + std::to_string(ntohs(address.sin_port));
   }
-  ~Listener() { ::close(fd_); }
-  Listener(const Listener&) = delete;
-  Listener& operator=(const Listener&) = delete;
-  int fd() const { return fd_; }
-  int accept() const { return ::accept4(fd_, nullptr, nullptr, SOCK_CLOEXEC); }
-  const std::string& address() const { return address_; }
+
+  /// The listening socket.
+  [[nodiscard]] int fd() const { return socket_.get(); }
+  /// The next connection; not open where there is none.
+  [[nodiscard]] FileDescriptor accept() const {
+    return FileDescriptor(::accept4(socket_.get(), nullptr, nullptr, SOCK_CLOEXEC));
+  }
+  /// `127.0.0.1:port`
+  [[nodiscard]] const std::string& address() const { return address_; }
 
  private:
-  const int fd_;
+  FileDescriptor socket_;
   std::string address_;
 };
 
-inline bool send(int fd, const std::string& bytes) {
-  for (std::size_t done = 0; done < bytes.size();) {
-    const auto size = ::send(fd, bytes.data() + done, bytes.size() - done, MSG_NOSIGNAL);
+/// Sends all bytes; false where the connection is lost.
+inline bool sendAll(int fd, const std::string& bytes) {
+  std::size_t sent = 0;
+  while (sent < bytes.size()) {
+    const ssize_t size = ::send(fd, bytes.data() + sent, bytes.size() - sent, MSG_NOSIGNAL);
     if (size <= 0) return false;
-    done += static_cast<std::size_t>(size);
+    sent += static_cast<std::size_t>(size);
   }
   return true;
 }
-// What is there; false at the end of the connection.
-inline bool receive(int fd, std::string& bytes) {
-  char part[8192];
-  const auto size = ::recv(fd, part, sizeof part, MSG_DONTWAIT);
-  if (size > 0) bytes.append(part, static_cast<std::size_t>(size));
+
+/// Appends what has arrived; false at the end of the connection.
+[[nodiscard]] inline bool receiveAvailable(int fd, std::string& bytes) {
+  constexpr std::size_t maxBytes = 8192;
+  std::array<char, maxBytes> buffer{};
+  const ssize_t size = ::recv(fd, buffer.data(), buffer.size(), MSG_DONTWAIT);
+  if (size > 0) bytes.append(buffer.data(), static_cast<std::size_t>(size));
   return size > 0 || (size < 0 && (errno == EAGAIN || errno == EWOULDBLOCK));
 }
 
--- a/tests/fleet/crossing_test.cpp
+++ b/tests/fleet/crossing_test.cpp
@@ -24,13 +24,15 @@
 class Program {
  public:
   Program(int stopMs, int sockets, std::chrono::milliseconds work = 30ms)
-      : engine_(std::make_unique<testDoubles::Engine>(work, false)) {
+      : engine_(std::make_unique<testDoubles::FakeEngine>(
+            testDoubles::FakeEngine::Behavior{.workDuration = work})) {
     nlohmann::json settings = Peers().settings;
     settings["domain"]["below"] = "none", settings["domain"]["classCalls"] = {false, false};
     config_["agent"] = engine_->address();
     begin(stopMs, sockets, settings);
   }
-  Program(std::unique_ptr<testDoubles::Engine> engine, const std::string& next, const nlohmann::json& settings)
+  Program(std::unique_ptr<testDoubles::FakeEngine> engine, const std::string& next,
+          const nlohmann::json& settings)
       : engine_(std::move(engine)) {
     config_["agent"] = engine_->address(), config_["backend"] = next;
     begin(3000, 256, settings);
@@ -73,7 +75,7 @@
   }
   Balancer balancer() { return Balancer(Poco::Net::StreamSocket(Poco::Net::SocketAddress(address_))); }
   Process& process() { return *process_; }
-  const testDoubles::Engine& engine() const { return *engine_; }
+  const testDoubles::FakeEngine& engine() const { return *engine_; }
   std::string file() const { return folder_ + "/config.json"; }
   std::string text() const { return config_.dump(); }
 
@@ -92,7 +94,7 @@
   }
   void write() const { std::ofstream(file()) << text(); }
 
-  std::unique_ptr<testDoubles::Engine> engine_;
+  std::unique_ptr<testDoubles::FakeEngine> engine_;
   nlohmann::json config_;
   std::string folder_, address_;
   std::unique_ptr<Process> process_;
@@ -127,7 +129,7 @@
   auto clients = asking(w, 24);
   w.process().wake();
   EXPECT_EQ(answered(clients), 24);
-  for (const auto& [name, times] : w.engine().launches()) EXPECT_EQ(times, 1) << name;
+  for (const auto& [name, times] : w.engine().startCounts()) EXPECT_EQ(times, 1) << name;
 }
 
 // The notice comes while more connections wait to be accepted than one turn takes, each with a whole req.
@@ -404,12 +406,14 @@
   const auto allowed = [&](std::chrono::duration<double> age) {
     return cores * (1 + (multiple - 1) * (coldFrom + (1 - coldFrom) * std::min(1.0, age / warmWithin)));
   };
-  testDoubles::Next next(10s);
+  testDoubles::FakeDownstream next(10s);
   std::vector<std::unique_ptr<Program>> fleet;
   std::vector<Balancer> callers;
   for (std::size_t i = 0; i < size; ++i) {
-    fleet.push_back(std::make_unique<Program>(std::make_unique<testDoubles::Engine>(2ms, true, true),
-                                              next.address(), settings));
+    fleet.push_back(
+        std::make_unique<Program>(std::make_unique<testDoubles::FakeEngine>(testDoubles::FakeEngine::Behavior{
+                                      .workDuration = 2ms, .callsDownstream = true, .startsCold = true}),
+                                  next.address(), settings));
     fleet.back()->ready();
     callers.push_back(fleet.back()->balancer());
     for (int number = 1; number <= 30; ++number)
@@ -421,7 +425,7 @@
   double allowedInAll = 0;
   for (const auto& program : fleet) {
     std::size_t here = 0;
-    for (const auto& [age, running] : program->engine().running()) {
+    for (const auto& [age, running] : program->engine().concurrencyHistory()) {
       EXPECT_LE(static_cast<double>(running), allowed(age));
       if (age < watched) here = std::max(here, running);
     }
@@ -429,7 +433,7 @@
   }
   EXPECT_GT(begun, size * static_cast<std::size_t>(cores));  // it is no empty promise
   EXPECT_LE(static_cast<double>(begun), allowedInAll);
-  for (const double inHand : next.inHand()) EXPECT_LE(inHand, allowedInAll);
+  for (const double inHand : next.averageOpenCalls()) EXPECT_LE(inHand, allowedInAll);
   std::cout << begun << " begun at most by " << size << " servers, " << allowedInAll << " allowed\n";
 }
 
--- a/tests/fleet/relays.cpp
+++ b/tests/fleet/relays.cpp
@@ -23,7 +23,7 @@
 using Clock = std::chrono::steady_clock;
 using Pair = std::pair<std::size_t, std::size_t>;
 
-using testDoubles::plain;
+using testDoubles::asSockaddr;
 
 struct Relays::Work {
   struct Link {
@@ -86,7 +86,7 @@
       while (!late.empty() && late.top().at <= Clock::now()) {
         const Late& next = late.top();
         next.datagram ? static_cast<void>(::sendto(next.fd, next.bytes.data(), next.bytes.size(), 0,
-                                                   plain(next.target), sizeof next.target))
+                                                   asSockaddr(next.target), sizeof next.target))
                       : write(next.fd, next.bytes);
         late.pop();
       }
@@ -120,7 +120,7 @@
     const int near = ::accept4(link.listener, nullptr, nullptr, SOCK_CLOEXEC);
     if (near < 0) return;
     const int far = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
-    if (::connect(far, plain(link.target), sizeof link.target) != 0) {
+    if (::connect(far, asSockaddr(link.target), sizeof link.target) != 0) {
       ::close(near), ::close(far);
       return;
     }
@@ -180,16 +180,16 @@
   const std::lock_guard lock(work_->mutex);
   Work::Link& link = work_->links[{from, to}];
   link.pair = {from, to};
-  link.target = testDoubles::addressOf(address);
+  link.target = testDoubles::parseSocketAddress(address);
   // A port that is free for both; the system names one for the first.
   for (int attempt = 0; attempt < 100; ++attempt) {
-    sockaddr_in at = testDoubles::addressOf("127.0.0.1:0");
+    sockaddr_in at = testDoubles::parseSocketAddress("127.0.0.1:0");
     link.datagrams = ::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
     link.listener = ::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0);
     socklen_t size = sizeof at;
-    if (::bind(link.datagrams, plain(at), sizeof at) == 0 &&
+    if (::bind(link.datagrams, asSockaddr(at), sizeof at) == 0 &&
         ::getsockname(link.datagrams, reinterpret_cast<sockaddr*>(&at), &size) == 0 &&
-        ::bind(link.listener, plain(at), sizeof at) == 0 && ::listen(link.listener, 16) == 0) {
+        ::bind(link.listener, asSockaddr(at), sizeof at) == 0 && ::listen(link.listener, 16) == 0) {
       work_->byFd[link.datagrams] = work_->byFd[link.listener] = link.pair;
       work_->watch(link.datagrams), work_->watch(link.listener);
       return "127.0.0.1:" + std::to_string(ntohs(at.sin_port));
@@ -202,7 +202,7 @@
 void Relays::lead(std::size_t to, const std::string& address) {
   const std::lock_guard lock(work_->mutex);
   for (auto& [pair, link] : work_->links)
-    if (pair.second == to) link.target = testDoubles::addressOf(address);
+    if (pair.second == to) link.target = testDoubles::parseSocketAddress(address);
 }
 
 void Relays::set(std::size_t from, std::size_t to, const Fault& fault) {
--- a/tests/fleet/serve_test.cpp
+++ b/tests/fleet/serve_test.cpp
@@ -1,8 +1,10 @@
-// Servers that are members, with stand-ins for what they speak with: what a member says of its work, and the
-// share of the dependency, through splits and kills, while callers send.
+/// @file
+/// Servers that are members, with fakes of what they speak with: what a member publishes of its work, and the
+/// quota of the downstream service, through network splits and kills, while clients send.
 #include <gtest/gtest.h>
 
 #include <algorithm>
+#include <cmath>
 #include <iostream>
 #include <numeric>
 
@@ -15,10 +17,15 @@
 namespace {
 
 using namespace std::chrono_literals;
-using testDoubles::Caller, testDoubles::Engine, testDoubles::Next;
+using testDoubles::FakeDownstream;
+using testDoubles::FakeEngine;
+using testDoubles::OpenLoopClient;
 
-nlohmann::json settings(int servers, double callsOut) {
-  auto out = nlohmann::json::parse(R"({
+constexpr milliseconds clientTimeout = 2s;
+constexpr milliseconds answerGrace = 500ms;  // beyond the client's timeout, on a busy machine
+
+nlohmann::json settings(int servers, double callQuota) {
+  auto settings = nlohmann::json::parse(R"({
     "classes": [{"name": "score", "aimNs": 800000000, "hardLimitNs": 2000000000, "effect": "free", "lateWorth": 0.2}],
     "orgs": [{"name": "acme"}],
     "domain": {"cores": 4, "memoryKb": 50000.0, "runFactor": 4.0, "below": "shared", "classCalls": [true],
@@ -26,157 +33,208 @@
                "tellsGone": true, "gauges": ["cpu_busy", "runnable", "mem_used", "sockets"]},
     "invariants": {"answerSlackNs": 60000000, "stopSendingWithinNs": 500000000, "fallMultiple": 8.0, "fallNs": 1500000000},
     "limits": {"retryAfter": true, "maxRetryAfterNs": 1000000000}})");
-  out["servers"] = servers;
-  out["domain"]["callsOut"] = callsOut;
-  return out;
+  settings["servers"] = servers;
+  settings["domain"]["callsOut"] = callQuota;
+  return settings;
 }
 
-// Servers with an engine each, one next tier for all, and a caller each.
-class Serving : public Fleet {
+// A share of the downstream quota that a server took.
+struct QuotaShare {
+  std::int64_t at = 0;  // by the clock of histories
+  double share = 0;
+};
+
+// What became of the requests of all clients.
+struct RequestTotals {
+  std::size_t requests = 0;
+  std::size_t completed = 0;
+  std::size_t unanswered = 0;  // or answered more than once, too late, or without having been asked
+};
+
+// Servers with a fake engine and a client each, and one fake downstream service for all.
+class ServingFleet : public Fleet {
  public:
-  Serving(std::size_t count, std::uint64_t seed, int servers, double callsOut) : Fleet(count, 3, seed) {
+  static constexpr std::size_t nobody = static_cast<std::size_t>(-1);
+
+  // `statedServers` and `callQuota` are what the settings say: how many servers share how many calls each.
+  ServingFleet(std::size_t count, std::uint64_t seed, int statedServers, double callQuota)
+      : Fleet(count, 3, seed) {
     for (std::size_t i = 0; i < count; ++i) {
-      engines.push_back(std::make_unique<Engine>(40ms, true));
+      engines.push_back(
+          std::make_unique<FakeEngine>(FakeEngine::Behavior{.workDuration = 40ms, .callsDownstream = true}));
       serves(i, {{"agent", engines[i]->address()},
                  {"roster", ""},
-                 {"backend", next.address()},
+                 {"backend", downstream.address()},
                  {"stop_ms", 1500},
                  {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 256}}},
-                 {"settings", settings(servers, callsOut)}});
+                 {"settings", settings(statedServers, callQuota)}});
     }
     startAll();
     EXPECT_TRUE(until([&] { return agreed(); }));
   }
-  // Each takes its share of so many.
-  bool sharesOf(double all) {
+  ~ServingFleet() {
+    for (const auto& breach : breaches()) ADD_FAILURE() << breach;
+    if (!testing::Test::HasFailure()) return;
+    keep();
+    std::cerr << "logs: " << folder() << std::endl;
+  }
+
+  // Waits until each server takes its part of a sum of shares.
+  bool waitForEqualShares(double sum) {
+    constexpr double tolerance = 0.01;
+    const double part = sum / static_cast<double>(size());
     return until([&] {
       for (std::size_t i = 0; i < size(); ++i)
-        if (std::abs(lastShare(i) - all / static_cast<double>(size())) > 0.01) return false;
+        if (std::abs(lastShare(i) - part) > tolerance) return false;
       return true;
     });
   }
-  ~Serving() {
-    for (const auto& breach : breaches()) ADD_FAILURE() << breach;
-    if (testing::Test::HasFailure()) keep(), std::cerr << "logs: " << folder() << std::endl;
-  }
-  void call(milliseconds each) {
+  void startClients(milliseconds interval) {
     for (std::size_t i = 0; i < size(); ++i)
-      callers.push_back(std::make_unique<Caller>(front(i), "score", each, 2s, static_cast<int>(i + 1)));
+      clients.push_back(
+          std::make_unique<OpenLoopClient>(OpenLoopClient::Options{.address = front(i),
+                                                                   .handler = "score",
+                                                                   .interval = interval,
+                                                                   .timeout = clientTimeout,
+                                                                   .clientNumber = static_cast<int>(i + 1)}));
   }
-  // Rule 1, for every req that was sent: one answer by its due time, unless its connection broke with its
-  // server; a process that was stopped answers once it wakes, still once.
-  std::size_t lost(std::size_t stopped) {
-    std::size_t out = 0;
-    for (std::size_t i = 0; i < callers.size(); ++i)
-      for (const auto& [name, sent] : callers[i]->history()) {
-        out += !sent.broken && (sent.answers != 1 || (sent.took > 2s + 500ms && i != stopped));
-        done += sent.done, all += 1;
+  void stopClients() {
+    for (auto& client : clients) client->stopAndWait();
+  }
+  // Rule 1, for every request that was sent: one answer by its deadline, unless its connection was lost with
+  // its server; a process that was paused answers once it goes on, still once.
+  RequestTotals requestTotals(std::size_t pausedServer) const {
+    RequestTotals totals;
+    for (std::size_t i = 0; i < clients.size(); ++i) {
+      for (const auto& [name, request] : clients[i]->history()) {
+        const bool isLate = request.latency > clientTimeout + answerGrace && i != pausedServer;
+        if (!request.isConnectionLost && (request.answers != 1 || isLate)) ++totals.unanswered;
+        if (request.isCompleted) ++totals.completed;
+        ++totals.requests;
       }
-    return out;
+      totals.unanswered += static_cast<std::size_t>(clients[i]->unrequestedAnswers());
+    }
+    return totals;
   }
-  // Rule 2: no req was launched twice.
-  std::size_t twice() const {
-    std::size_t out = 0;
+  // Rule 2: no request was executed twice.
+  std::size_t executedTwice() const {
+    std::size_t count = 0;
     for (const auto& engine : engines)
-      for (const auto& [name, times] : engine->launches()) out += times > 1;
-    return out;
+      for (const auto& [name, starts] : engine->startCounts())
+        if (starts > 1) ++count;
+    return count;
   }
-  double lastShare(std::size_t i) {
-    history(i);
-    return shares(i).empty() ? -1 : shares(i).back().second;
+  double lastShare(std::size_t server) {
+    const auto taken = shares(server);
+    return taken.empty() ? -1 : taken.back().share;
   }
-  // Of each process: when it took which share.
-  std::vector<std::pair<std::int64_t, double>> shares(std::size_t i) {
-    std::vector<std::pair<std::int64_t, double>> out;
-    for (const auto& seen : history(i).all)
-      if (seen.event == "share") out.emplace_back(seen.at, seen.share);
-    return out;
+  std::vector<QuotaShare> shares(std::size_t server) {
+    std::vector<QuotaShare> taken;
+    for (const auto& seen : history(server).all)
+      if (seen.event == "share") taken.push_back({seen.at, seen.share});
+    return taken;
   }
-  Next next{50ms};
-  std::vector<std::unique_ptr<Engine>> engines;
-  std::vector<std::unique_ptr<Caller>> callers;
-  std::size_t done = 0, all = 0;
+  // Cuts the links between servers of even and of odd number.
+  void splitInHalves() {
+    cut([](std::size_t from, std::size_t to) { return from % 2 != to % 2; });
+  }
+
+  FakeDownstream downstream{50ms};
+  std::vector<std::unique_ptr<FakeEngine>> engines;
+  std::vector<std::unique_ptr<OpenLoopClient>> clients;
 };
 
-std::string phaseOf(Fleet& w, std::size_t by, std::size_t of, const char* what = "phase") {
-  const auto [status, said] = w.command({"members", "--json", "--options", w.options(by)});
-  if (status != 0) return "no answer: " + said;
-  for (const auto& row : nlohmann::json::parse(said))
-    if (row.at("name") == Fleet::name(of)) return row.at(what).get<std::string>();
+// A field of a member's record as another one sees it.
+std::string memberField(Fleet& fleet, std::size_t viewer, std::size_t member, const char* field) {
+  const auto [status, output] = fleet.command({"members", "--json", "--options", fleet.options(viewer)});
+  if (status != 0) return "no answer: " + output;
+  for (const auto& row : nlohmann::json::parse(output))
+    if (row.at("name") == Fleet::name(member)) return row.at(field).get<std::string>();
   return "absent";
 }
 
-TEST(FleetServe, AHungEngineIsAliveAndUnfit) {
-  Serving w(3, 1, 3, 2);
-  EXPECT_TRUE(w.until([&] { return phaseOf(w, 0, 1) == "serving"; }));
-  w.engines[1]->hang(true);
-  EXPECT_TRUE(w.until([&] { return phaseOf(w, 0, 1) == "unfit"; }));
-  EXPECT_EQ(phaseOf(w, 0, 1, "state"), "alive");
-  w.engines[1]->hang(false);
-  EXPECT_TRUE(w.until([&] { return phaseOf(w, 0, 1) == "serving"; }));
-  w.process(2).terminate();
-  EXPECT_TRUE(w.until([&] { return phaseOf(w, 0, 2, "state") == "left"; }));
-  EXPECT_EQ(w.process(2).waitFor(10s), 0);
-  w.start(2);
-  EXPECT_TRUE(w.until([&] { return w.agreed(); }));
+// The largest average over a second of values that are averages over a tenth each.
+double maxOverOneSecond(const std::vector<double>& tenths) {
+  constexpr std::ptrdiff_t tenthsPerSecond = 10;
+  double max = 0;
+  for (auto end = tenths.begin() + std::min<std::ptrdiff_t>(tenthsPerSecond, std::ssize(tenths));
+       end != tenths.end(); ++end)
+    max = std::max(max, std::accumulate(end - tenthsPerSecond, end, 0.0) / tenthsPerSecond);
+  return max;
+}
+
+TEST(FleetServe, MemberIsAliveAndUnfitWhileItsEngineHangs) {
+  ServingFleet fleet(3, 1, 3, 2);
+  EXPECT_TRUE(fleet.until([&] { return memberField(fleet, 0, 1, "phase") == "serving"; }));
+  fleet.engines[1]->setHanging(true);
+  EXPECT_TRUE(fleet.until([&] { return memberField(fleet, 0, 1, "phase") == "unfit"; }));
+  EXPECT_EQ(memberField(fleet, 0, 1, "state"), "alive");
+  fleet.engines[1]->setHanging(false);
+  EXPECT_TRUE(fleet.until([&] { return memberField(fleet, 0, 1, "phase") == "serving"; }));
+  fleet.process(2).terminate();
+  EXPECT_TRUE(fleet.until([&] { return memberField(fleet, 0, 2, "state") == "left"; }));
+  EXPECT_EQ(fleet.process(2).waitFor(10s), 0);
+  fleet.start(2);
+  EXPECT_TRUE(fleet.until([&] { return fleet.agreed(); }));
 }
 
-// Six servers where the parts are stated for four, two calls each: eight in all. Halves, a kill and a stop
+// Six servers where the settings state four, two calls each: eight in all. Halves, a kill and a pause
 // meanwhile.
-TEST(FleetServe, CallsInHandStayWithinTheDependencyThroughASplit) {
-  constexpr double capacity = 8;
-  Serving w(6, 2, 4, 2);
-  w.boundShares(4);
-  EXPECT_TRUE(w.sharesOf(4));
-  w.call(20ms);
-  w.pass(3s);
-  w.cut([](auto a, auto b) { return a % 2 != b % 2; });
-  w.pass(5s);
-  w.kill(4);
-  w.stop(3);
-  w.pass(4s);
-  w.wake(3);
-  w.heal();
-  w.start(4);
-  EXPECT_TRUE(w.until([&] { return w.agreed(); }));
-  w.pass(2s);
-  for (auto& caller : w.callers) caller->end();
-  const auto inHand = w.next.inHand();
-  double most = 0;
-  for (std::size_t i = 10; i < inHand.size(); ++i)
-    most = std::max(most, std::accumulate(inHand.begin() + static_cast<std::ptrdiff_t>(i - 10),
-                                          inHand.begin() + static_cast<std::ptrdiff_t>(i), 0.0) /
-                              10);
-  EXPECT_LE(most, capacity);
-  EXPECT_GT(w.next.calls(), 200u);
-  EXPECT_EQ(w.lost(3), 0u);
-  EXPECT_EQ(w.twice(), 0u);
-  EXPECT_GT(w.done, 100u);
-  std::cout << "most calls in hand over a second " << most << " of " << capacity << ", done " << w.done
-            << " of " << w.all << '\n';
+TEST(FleetServe, OpenCallsStayWithinTheQuotaThroughASplit) {
+  constexpr double quota = 8;
+  constexpr std::size_t killed = 4;
+  constexpr std::size_t paused = 3;
+  ServingFleet fleet(6, 2, 4, 2);
+  fleet.boundShares(4);
+  EXPECT_TRUE(fleet.waitForEqualShares(4));
+  fleet.startClients(20ms);
+  fleet.pass(3s);
+  fleet.splitInHalves();
+  fleet.pass(5s);
+  fleet.kill(killed);
+  fleet.stop(paused);
+  fleet.pass(4s);
+  fleet.wake(paused);
+  fleet.heal();
+  fleet.start(killed);
+  EXPECT_TRUE(fleet.until([&] { return fleet.agreed(); }));
+  fleet.pass(2s);
+  fleet.stopClients();
+  const double maxOpenCalls = maxOverOneSecond(fleet.downstream.averageOpenCalls());
+  const RequestTotals totals = fleet.requestTotals(paused);
+  EXPECT_LE(maxOpenCalls, quota);
+  EXPECT_GT(fleet.downstream.callCount(), 200u);
+  EXPECT_EQ(totals.unanswered, 0u);
+  EXPECT_EQ(fleet.executedTwice(), 0u);
+  EXPECT_GT(totals.completed, 100u);
+  std::cout << "most open calls over a second " << maxOpenCalls << " of " << quota << ", completed "
+            << totals.completed << " of " << totals.requests << '\n';
 }
 
-// A notice to leave that only one half hears of: all that was read is answered, and once the halves meet it
-// has left for all.
-TEST(FleetServe, ADrainInASplitLosesNothingAndIsKnownToAllAfterIt) {
-  Serving w(6, 3, 4, 2);
-  w.boundShares(4);
-  EXPECT_TRUE(w.sharesOf(4));
-  w.call(20ms);
-  w.cut([](auto a, auto b) { return a % 2 != b % 2; });
-  w.pass(w.every() * 10);
-  EXPECT_EQ(w.terminate(3), 0);
-  const auto left = [&](std::initializer_list<std::size_t> views) {
-    return std::all_of(views.begin(), views.end(), [&](auto by) { return w.state(by, 3) == "left"; });
+// A shutdown notice that only one half learns of: all that was read is answered, and once the halves meet the
+// server has left for all.
+TEST(FleetServe, DrainInASplitLosesNothingAndIsKnownToAllAfterIt) {
+  constexpr std::size_t leaving = 3;
+  ServingFleet fleet(6, 3, 4, 2);
+  fleet.boundShares(4);
+  EXPECT_TRUE(fleet.waitForEqualShares(4));
+  fleet.startClients(20ms);
+  fleet.splitInHalves();
+  fleet.pass(fleet.every() * 10);
+  EXPECT_EQ(fleet.terminate(leaving), 0);
+  const auto hasLeftFor = [&](std::initializer_list<std::size_t> viewers) {
+    return std::all_of(viewers.begin(), viewers.end(),
+                       [&](std::size_t viewer) { return fleet.state(viewer, leaving) == "left"; });
   };
-  EXPECT_TRUE(w.until([&] { return left({1, 5}); }));
-  w.pass(w.every() * 30);
-  w.heal();
-  EXPECT_TRUE(w.until([&] { return w.agreed() && left({0, 1, 2, 4, 5}); }));
-  for (auto& caller : w.callers) caller->end();
-  EXPECT_EQ(w.lost(w.size()), 0u);
-  EXPECT_EQ(w.twice(), 0u);
-  EXPECT_GT(w.done, 100u);
+  EXPECT_TRUE(fleet.until([&] { return hasLeftFor({1, 5}); }));
+  fleet.pass(fleet.every() * 30);
+  fleet.heal();
+  EXPECT_TRUE(fleet.until([&] { return fleet.agreed() && hasLeftFor({0, 1, 2, 4, 5}); }));
+  fleet.stopClients();
+  const RequestTotals totals = fleet.requestTotals(ServingFleet::nobody);
+  EXPECT_EQ(totals.unanswered, 0u);
+  EXPECT_EQ(fleet.executedTwice(), 0u);
+  EXPECT_GT(totals.completed, 100u);
 }
 
 }  // namespace
