--- a/src/commands/serve_command.cpp
+++ b/src/commands/serve_command.cpp
@@ -2,8 +2,8 @@
 /// The command `serve`: a real server, which may be a member among others.
 #include <Poco/Exception.h>
 #include <fmt/format.h>
-#include <signal.h>
 
+#include <csignal>
 #include <cstdint>
 #include <cstdio>
 #include <optional>
@@ -43,7 +43,7 @@
 }
 
 int runServer(const std::string& configurationFile, const std::string& optionsFile) {
-  signal(SIGPIPE, SIG_IGN);
+  std::signal(SIGPIPE, SIG_IGN);
   net::Reactor reactor;
   std::optional<server::RequestServer> server;
   std::optional<server::MembershipService> membership;
--- a/src/configuration/deployment_settings.h
+++ b/src/configuration/deployment_settings.h
@@ -41,6 +41,8 @@
 [[nodiscard]] DeploymentSettings readDeploymentSettings(SettingsMap settings);
 
 /// The event of a timer with the gauges measured at its time.
+/// @param timer the timer that has fired
+/// @param gauges what each of the values measures
 /// @param values in the order of `gauges`; there may be fewer, or none where nothing was measured
 [[nodiscard]] TimerFired timerFired(TimerId timer, std::span<const double> values,
                                     const std::vector<LoadGauge>& gauges);
--- a/src/configuration/server_configuration.h
+++ b/src/configuration/server_configuration.h
@@ -27,10 +27,10 @@
 /// The parts of a configuration that a running server keeps until its restart, each as its JSON text; empty
 /// where the part is absent.
 struct RestartOnlyValues {
-  std::string name;
-  std::string listen;
-  std::string limits;
-  std::string settings;
+  std::string name;      ///< key `name`
+  std::string listen;    ///< key `listen`
+  std::string limits;    ///< key `limits`
+  std::string settings;  ///< key `settings`
 };
 
 /// What a server is started with.
--- a/src/configuration/settings_reader.h
+++ b/src/configuration/settings_reader.h
@@ -48,6 +48,7 @@
     Value value;            ///< its meaning here
   };
 
+  /// @param values the settings to read
   /// @param source how errors name the input, such as "settings"
   SettingsReader(SettingsMap values, std::string source);
 
@@ -80,6 +81,8 @@
   }
 
   /// Throws the ConfigurationError of a value that is not what its path holds.
+  /// @param path the path of the value
+  /// @param value the value as it stands
   /// @param expected what it should be, such as "a number"
   [[noreturn]] void reject(const std::string& path, std::string_view value, const char* expected) const;
 
--- a/src/options/membership_options.h
+++ b/src/options/membership_options.h
@@ -10,6 +10,7 @@
 namespace rainhook::options {
 
 /// Reads the section, loads the keys that it names and refuses unknown keys.
+/// @param section the section `membership`
 /// @param settingsFile the file of the section; relative paths of keys and state start at its folder
 /// @throws OptionsError, also where a key file cannot be read, may be read by everyone or holds no key.
 [[nodiscard]] membership::MembersPlace readMembershipOptions(YamlSection section,
--- a/src/options/options.h
+++ b/src/options/options.h
@@ -38,6 +38,7 @@
 };
 
 /// Reads options from YAML text.
+/// @param text the YAML
 /// @param file how errors name the text, and the base of relative paths in it
 /// @throws OptionsError
 [[nodiscard]] Options readOptions(const std::string& text, const std::string& file);
--- a/src/options/yaml_section.h
+++ b/src/options/yaml_section.h
@@ -17,6 +17,7 @@
 namespace rainhook::options {
 
 /// Parses YAML text.
+/// @param text the YAML
 /// @param file how errors name the text
 /// @throws OptionsError on a fault of syntax.
 [[nodiscard]] YAML::Node parseYaml(const std::string& text, const std::string& file);
--- a/src/simulator_adapter/simulator_protocol.h
+++ b/src/simulator_adapter/simulator_protocol.h
@@ -23,6 +23,7 @@
 /// The simulator sent what the protocol does not allow.
 class ProtocolError : public std::runtime_error {
  public:
+  /// @param problem    what is wrong
   /// @param byteOffset where in the batch the fault was found, if it was found while decoding
   explicit ProtocolError(const std::string& problem, std::optional<std::size_t> byteOffset = std::nullopt);
 
@@ -50,7 +51,7 @@
 
 /// A timer that the instance had set has expired.
 struct TimerExpired {
-  TimerId timer{};
+  TimerId timer{};                 ///< the timer, by the number that the instance gave it
   std::vector<float> gaugeValues;  ///< in the order of the instance's settings
 };
 
@@ -60,14 +61,14 @@
 
 /// An event and the instance that it concerns.
 struct InstanceEvent {
-  InstanceId instance{};
-  SimulatorEvent event;
+  InstanceId instance{};  ///< the one that it concerns
+  SimulatorEvent event;   ///< what happened
 };
 
 /// The events of one moment, in their order.
 struct Batch {
-  SimulatorTime clock{};
-  std::vector<InstanceEvent> events;
+  SimulatorTime clock{};              ///< the moment
+  std::vector<InstanceEvent> events;  ///< in the order in which they happened
 };
 
 /// Decodes a batch.
--- a/tests/deploy_test.cpp
+++ b/tests/deploy_test.cpp
@@ -1,4 +1,7 @@
-// What the operators' standing test asks of `build` and `run`, kept from the sources and the built server.
+/// @file
+/// What the operators' standing test asks of `build` and `run` in deploy/balancer.toml, held against the
+/// sources and the built server.
+#include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
 #include <array>
@@ -12,33 +15,48 @@
 namespace rainhook {
 namespace {
 
-const std::string root = RAINHOOK_SOURCES;
+using testing::HasSubstr;
+using testing::IsEmpty;
 
-std::string read(const std::string& file) {
+const std::string sourceFolder = RAINHOOK_SOURCES;
+
+std::string readFile(const std::string& file) {
   std::ifstream in(file);
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
-TEST(Deploy, TheServerIsLinkedDynamicallyAgainstTheCLibrary) {
-  std::string text;
-  FILE* out = ::popen("ldd " RAINHOOK_PROGRAM, "r");
-  ASSERT_NE(out, nullptr);
+struct CommandResult {
+  int status = -1;  // as pclose gives it
+  std::string output;
+};
+
+CommandResult runCommand(const char* command) {
+  CommandResult result;
+  FILE* output = ::popen(command, "r");
+  if (output == nullptr) return result;
   std::array<char, 4096> part{};
-  while (std::fgets(part.data(), part.size(), out)) text += part.data();
-  EXPECT_EQ(::pclose(out), 0);
-  EXPECT_NE(text.find("libc.so.6 => /"), std::string::npos) << text;
+  while (std::fgets(part.data(), part.size(), output) != nullptr) result.output += part.data();
+  result.status = ::pclose(output);
+  return result;
+}
+
+TEST(Deploy, ServerIsLinkedDynamicallyAgainstTheCLibrary) {
+  const CommandResult result = runCommand("ldd " RAINHOOK_PROGRAM);
+  ASSERT_EQ(result.status, 0);
+  EXPECT_THAT(result.output, HasSubstr("libc.so.6 => /"));
 }
 
-TEST(Deploy, RunIsOneExecAndNamesNoSettingsOfOurOwn) {
-  const auto deploy = read(root + "/deploy/balancer.toml");
-  EXPECT_NE(deploy.find("\nrun = \"exec build/rainhook serve\"\n"), std::string::npos) << deploy;
+TEST(Deploy, RunIsOneExecAndNamesNoOptionsFile) {
+  EXPECT_THAT(readFile(sourceFolder + "/deploy/balancer.toml"),
+              HasSubstr("\nrun = \"exec build/rainhook serve\"\n"));
 }
 
-TEST(Deploy, EverySectionOfOurOwnSettingsIsOff) {
-  const auto file = root + "/deploy/rainhook.yaml";
-  ASSERT_FALSE(read(file).empty());
-  EXPECT_EQ(options::readOptionsFile(file), options::Options{});
-  EXPECT_TRUE(options::describeEnabledFeatures(options::readOptionsFile(file)).empty());
+TEST(Deploy, EveryFeatureOfTheOptionsFileIsOff) {
+  const std::string file = sourceFolder + "/deploy/rainhook.yaml";
+  ASSERT_FALSE(readFile(file).empty());
+  const options::Options options = options::readOptionsFile(file);
+  EXPECT_EQ(options, options::Options{});
+  EXPECT_THAT(describeEnabledFeatures(options), IsEmpty());
 }
 
 }  // namespace
