--- a/src/configuration/server_configuration.h
+++ b/src/configuration/server_configuration.h
@@ -18,7 +18,7 @@
   std::string engine;              ///< the execution engine
   std::string registry;            ///< the endpoint registry; empty where there is none
   std::string downstream;          ///< the downstream service; empty where nothing is called
-  Seed seed{};                     ///< of the admission policy
+  Seed seed{};                     ///< of random choices, such as when a report is due
   Duration shutdownTimeout{};      ///< from the shutdown notice to the end of the process
   std::size_t maxDescriptors = 0;  ///< limit of file descriptors
   int memoryMb = 0;                ///< limit of memory, in MB
--- a/src/options/failover_options.cpp
+++ b/src/options/failover_options.cpp
@@ -2,66 +2,121 @@
 
 #include <fmt/format.h>
 
+#include <cstddef>
+#include <utility>
+
 namespace rainhook::options {
+namespace {
 
+using failover::FailoverSettings;
+using failover::FleetObservation;
+using failover::OperatorOverrides;
+using failover::RegionName;
 using failover::ZoneName;
+using failover::ZoneObservation;
 using namespace std::chrono_literals;
 
-failover::PlanTerms planTerms(YamlSection& given) {
-  failover::PlanTerms out;
-  for (const auto& [zone, region] : given.textMap("zones", 64)) {
-    if (zone.empty() || region.empty()) given.reject("zones", fmt::format("zone '{}' is in no region", zone));
-    out.zones.emplace(ZoneName{zone}, failover::RegionName{region});
+constexpr std::size_t maxZones = 64;
+constexpr std::size_t maxCosts = 4096;
+constexpr double maxCost = 1000;
+constexpr double maxMargin = 0.9;
+constexpr double leastStep = 0.01;
+constexpr std::uint64_t maxSteps = 10000;
+constexpr std::uint64_t maxMembers = 100000;
+constexpr double maxRate = 1e9;
+
+void readZones(YamlSection& section, FailoverSettings& settings) {
+  for (const auto& [zone, region] : section.textMap("zones", maxZones)) {
+    if (zone.empty() || region.empty())
+      section.reject("zones", fmt::format("zone '{}' is in no region", zone));
+    settings.zones.emplace(ZoneName{zone}, RegionName{region});
   }
-  if (out.zones.empty()) given.reject("zones", "names no zone; each zone stands there with its region");
-  for (const auto& [pair, text] : given.textMap("costs", 4096)) {
-    const auto space = pair.find(' ');
-    const ZoneName from{pair.substr(0, space)}, to{space == std::string::npos ? "" : pair.substr(space + 1)};
-    for (const auto& zone : {from, to})
-      if (!out.zones.contains(zone))
-        given.reject("costs", fmt::format("'{}' is no pair of stated zones, such as \"a b\"", pair));
-    if (from == to) given.reject("costs", fmt::format("'{}' is one zone twice", pair));
-    if (out.costs.contains({to, from})) given.reject("costs", fmt::format("names '{}' both ways", pair));
-    out.costs[{from, to}] = given.parseNumber("costs", text, 0, 1000);
+  if (settings.zones.empty())
+    section.reject("zones", "names no zone; each zone stands there with its region");
+}
+
+/// Splits "a b" and checks that both are zones of the settings.
+std::pair<ZoneName, ZoneName> readZonePair(const YamlSection& section, const FailoverSettings& settings,
+                                           const std::string& text) {
+  const std::size_t space = text.find(' ');
+  const ZoneName origin{text.substr(0, space)};
+  const ZoneName target{space == std::string::npos ? "" : text.substr(space + 1)};
+  for (const ZoneName& zone : {origin, target})
+    if (!settings.zones.contains(zone))
+      section.reject("costs", fmt::format("'{}' is no pair of stated zones, such as \"a b\"", text));
+  if (origin == target) section.reject("costs", fmt::format("'{}' is one zone twice", text));
+  return {origin, target};
+}
+
+void readCosts(YamlSection& section, FailoverSettings& settings) {
+  for (const auto& [pair, cost] : section.textMap("costs", maxCosts)) {
+    const auto [origin, target] = readZonePair(section, settings, pair);
+    if (settings.costs.contains({target, origin}))
+      section.reject("costs", fmt::format("names '{}' both ways", pair));
+    settings.costs[{origin, target}] = section.parseNumber("costs", cost, 0, maxCost);
   }
-  out.inRegion = given.number("in-region", out.inRegion, 0, 1000);
-  out.beyond = given.number("beyond", out.beyond, 0, 1000);
-  if (out.beyond < out.inRegion) given.reject("beyond", "costs less than a way within the region");
-  out.margin = given.number("margin", out.margin, 0, 0.9);
-  out.step = given.number("step", out.step, 0.01, 1);
-  out.look = given.duration("look", out.look, 200ms, 10min);
-  return out;
 }
 
-PlanQuestion readPlanQuestion(const std::string& file) {
-  YamlSection given(loadYamlFile(file), file, "");
-  PlanQuestion out;
-  out.terms = planTerms(given);
-  const auto known = [&](const std::string& key, const std::string& zone) {
-    if (!out.terms.zones.contains(ZoneName{zone}))
-      given.reject(key, fmt::format("'{}' is no stated zone", zone));
-  };
-  for (const auto& zone : given.textList("drained"))
-    known("drained", zone), out.orders.drained.insert({zone});
-  out.orders.held = given.boolean("held", false);
-  out.looks = given.count("looks", out.looks, 1, 10000);
-  if (given.has("figures")) {
-    YamlSection all = given.section("figures");
-    for (const auto& [zone, region] : out.terms.zones) {
-      if (!all.has(zone.text)) continue;
-      YamlSection one = all.section(zone.text);
-      failover::ZoneFigures& of = out.seen.zones[zone];
-      of.members = one.count("members", 1, 0, 100000);
-      of.read = one.number("read", 0, 0, 1e9), of.done = one.number("done", 0, 0, 1e9);
-      of.running = one.number("running", 0, 0, 1e9), of.limit = one.number("limit", 0, 0, 1e9);
-      of.heldBack = one.number("held-back", 0, 0, 1);
-      of.age = one.duration("age", 0ms, 0ms, 24h), of.silent = one.boolean("silent", false);
-      one.rejectUnknownKeys();
-    }
-    all.rejectUnknownKeys();
+OperatorOverrides readOverrides(YamlSection& section, const FailoverSettings& settings) {
+  OperatorOverrides overrides;
+  for (const std::string& name : section.textList("drained")) {
+    const ZoneName zone{name};
+    if (!settings.zones.contains(zone))
+      section.reject("drained", fmt::format("'{}' is no stated zone", name));
+    overrides.drainedZones.insert(zone);
   }
-  given.rejectUnknownKeys();
-  return out;
+  overrides.isFrozen = section.boolean("held", false);
+  return overrides;
+}
+
+ZoneObservation readZoneObservation(YamlSection section) {
+  ZoneObservation observation;
+  observation.liveMembers = section.count("members", 1, 0, maxMembers);
+  observation.arrivalRate = section.number("read", 0, 0, maxRate);
+  observation.completionRate = section.number("done", 0, 0, maxRate);
+  observation.executing = section.number("running", 0, 0, maxRate);
+  observation.concurrencyLimit = section.number("limit", 0, 0, maxRate);
+  observation.queueingRatio = section.number("held-back", 0, 0, 1);
+  observation.dataAge = section.duration("age", 0ms, 0ms, 24h);
+  observation.isUnreachable = section.boolean("silent", false);
+  section.rejectUnknownKeys();
+  return observation;
+}
+
+FleetObservation readFleetObservation(YamlSection section, const FailoverSettings& settings) {
+  FleetObservation observation;
+  for (const auto& [zone, region] : settings.zones)
+    if (section.has(zone.text)) observation.zones[zone] = readZoneObservation(section.section(zone.text));
+  section.rejectUnknownKeys();
+  return observation;
+}
+
+}  // namespace
+
+FailoverSettings readFailoverSettings(YamlSection& section) {
+  FailoverSettings settings;
+  readZones(section, settings);
+  readCosts(section, settings);
+  settings.sameRegionCost = section.number("in-region", settings.sameRegionCost, 0, maxCost);
+  settings.crossRegionCost = section.number("beyond", settings.crossRegionCost, 0, maxCost);
+  if (settings.crossRegionCost < settings.sameRegionCost)
+    section.reject("beyond", "costs less than a way within the region");
+  settings.capacityMargin = section.number("margin", settings.capacityMargin, 0, maxMargin);
+  settings.maxStep = section.number("step", settings.maxStep, leastStep, 1);
+  settings.stepInterval = section.duration("look", settings.stepInterval, 200ms, 10min);
+  return settings;
+}
+
+PlanningScenario readPlanningScenario(const std::string& file) {
+  YamlSection section(loadYamlFile(file), file, "");
+  PlanningScenario scenario;
+  scenario.settings = readFailoverSettings(section);
+  scenario.overrides = readOverrides(section, scenario.settings);
+  scenario.steps = section.count("looks", scenario.steps, 1, maxSteps);
+  if (section.has("figures"))
+    scenario.observation = readFleetObservation(section.section("figures"), scenario.settings);
+  section.rejectUnknownKeys();
+  return scenario;
 }
 
 }  // namespace rainhook::options
--- a/src/simulator_adapter/simulator_host.cpp
+++ b/src/simulator_adapter/simulator_host.cpp
@@ -10,10 +10,14 @@
 
 std::string nameOf(InstanceId id) { return "instance " + std::to_string(static_cast<std::uint16_t>(id)); }
 
-std::unique_ptr<AdmissionPolicy> makePolicy(Seed seed, const DeploymentSettings& settings) {
-  return makeAdmissionPolicy(seed, settings.machine, settings.handlerPolicies, settings.downstream,
-                             settings.protocolLimits, settings.signaling, settings.resultSharing,
-                             settings.fleet);
+std::unique_ptr<AdmissionPolicy> makePolicy(const DeploymentSettings& settings) {
+  return makeAdmissionPolicy({.machine = settings.machine,
+                              .handlers = settings.handlerPolicies,
+                              .downstream = settings.downstream,
+                              .limits = settings.protocolLimits,
+                              .signaling = settings.signaling,
+                              .sharing = settings.resultSharing,
+                              .fleet = settings.fleet});
 }
 
 // The instance's time of its policy; wraps as the simulator's clock does.
@@ -27,7 +31,7 @@
   Instance instance;
   instance.settings = readDeploymentSettings(parseSettingsText(attach.settings));
   instance.startedAt = clock;
-  instance.policy = makePolicy(Seed{attach.seed}, instance.settings);
+  instance.policy = makePolicy(instance.settings);
   instance.isInBatch = true;
   instances_.insert_or_assign(id, std::move(instance));
 }
--- a/src/simulator_adapter/simulator_protocol.h
+++ b/src/simulator_adapter/simulator_protocol.h
@@ -42,7 +42,7 @@
 
 /// A server instance starts.
 struct AttachInstance {
-  std::uint64_t seed = 0;  ///< of its admission policy
+  std::uint64_t seed = 0;  ///< drawn by the simulator; the admission policy makes no random choices
   std::string settings;    ///< lines of path=value, see parseSettingsText()
 };
 
--- a/tests/options_test.cpp
+++ b/tests/options_test.cpp
@@ -203,12 +203,12 @@
                       "250ms or 1s"},
            FaultyText{"  colour: red\n", "f.yaml:7: membership.colour: is no known key"}));
 
-TEST(PlanQuestion, EachFaultNamesFileLineAndKey) {
+TEST(PlanningScenario, EachFaultNamesFileLineAndKey) {
   const std::string file = ::testing::TempDir() + "rainhook-zones-" + std::to_string(::getpid()) + ".yaml";
   const auto fault = [&](const std::string& text) -> std::string {
     std::ofstream(file) << text;
     try {
-      readPlanQuestion(file);
+      static_cast<void>(readPlanningScenario(file));
     } catch (const OptionsError& error) {
       return std::string(error.what()).substr(file.size());
     }
