--- a/src/configuration/server_configuration.h
+++ b/src/configuration/server_configuration.h
@@ -18,7 +18,7 @@
   std::string engine;              ///< the execution engine
   std::string registry;            ///< the endpoint registry; empty where there is none
   std::string downstream;          ///< the downstream service; empty where nothing is called
-  Seed seed{};                     ///< of the admission policy
+  Seed seed{};                     ///< of random choices, such as when a report is due
   Duration shutdownTimeout{};      ///< from the shutdown notice to the end of the process
   std::size_t maxDescriptors = 0;  ///< limit of file descriptors
   int memoryMb = 0;                ///< limit of memory, in MB
@@ -27,10 +27,10 @@
 /// The parts of a configuration that a running server keeps until its restart, each as its JSON text; empty
 /// where the part is absent.
 struct RestartOnlyValues {
-  std::string name;
-  std::string listen;
-  std::string limits;
-  std::string settings;
+  std::string name;      ///< key `name`
+  std::string listen;    ///< key `listen`
+  std::string limits;    ///< key `limits`
+  std::string settings;  ///< key `settings`
 };
 
 /// What a server is started with.
--- a/src/options/failover_options.cpp
+++ b/src/options/failover_options.cpp
@@ -3,8 +3,6 @@
 #include <fmt/format.h>
 
 #include <cstddef>
-#include <fstream>
-#include <iterator>
 #include <utility>
 
 namespace rainhook::options {
