--- a/tests/failover_command_test.cpp
+++ b/tests/failover_command_test.cpp
@@ -49,6 +49,12 @@
   EXPECT_EQ(result.output, readFile(sources + "/tests/data/failover_plan.json"));
 }
 
+TEST(FailoverCommand, PrintsATableWithStatesAndReasons) {
+  const CommandResult result = runFailover("plan " + sources + "/tests/data/failover_plan.yaml");
+  EXPECT_EQ(result.status, 0);
+  EXPECT_EQ(result.output, readFile(sources + "/tests/data/failover_plan_table.txt"));
+}
+
 TEST(FailoverCommand, EndsWithTwoWhenItIsMisused) {
   EXPECT_EQ(runFailover("").status, 2);
   EXPECT_EQ(runFailover("plan").status, 2);
