--- a/tests/fleet/crossing_test.cpp
+++ b/tests/fleet/crossing_test.cpp
@@ -30,7 +30,8 @@
     config_["agent"] = engine_->address();
     begin(stopMs, sockets, settings);
   }
-  Program(std::unique_ptr<testDoubles::Engine> engine, const std::string& next, const nlohmann::json& settings)
+  Program(std::unique_ptr<testDoubles::Engine> engine, const std::string& next,
+          const nlohmann::json& settings)
       : engine_(std::move(engine)) {
     config_["agent"] = engine_->address(), config_["backend"] = next;
     begin(3000, 256, settings);
--- a/tests/fleet/fleet.cpp
+++ b/tests/fleet/fleet.cpp
@@ -45,7 +45,7 @@
 Fleet::Fleet(std::size_t count, std::size_t zones, std::uint64_t seed, milliseconds every)
     : zones_(zones),
       every_(every),
-      relays_(seed),
+      proxy_(seed),
       fronts_(count),
       reach_(count),
       processes_(count),
@@ -54,7 +54,7 @@
       read_(count, 0),
       programs_(count, RAINHOOK_PROGRAM),
       more_(count),
-      hands_(count) {
+      controls_(count) {
   char name[] = "/tmp/rainhook-fleet-XXXXXX";
   folder_ = ::mkdtemp(name);
   key(folder_ + "/key", "AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8=");
@@ -65,7 +65,7 @@
                                      std::to_string(1 + id % 250) + "." + std::to_string(1 + i)));
   for (std::size_t i = 0; i < count; ++i) {
     for (std::size_t to = 0; to < count; ++to)
-      if (to != i) reach_[i][to] = relays_.open(i, to, addresses_[to]);
+      if (to != i) reach_[i][to] = proxy_.open(i, to, addresses_[to]);
     write(i);
   }
 }
@@ -90,7 +90,7 @@
 
 void Fleet::move(std::size_t i, bool led) {
   addresses_[i] = freeAddress(addresses_[i].substr(0, addresses_[i].rfind(':')));
-  if (led) relays_.lead(i, addresses_[i]);
+  if (led) proxy_.redirect(i, addresses_[i]);
   write(i, std::string(more_[i]));
 }
 
@@ -110,21 +110,22 @@
   if (!fronts_[i].empty()) words = {programs_[i], "serve", "--config", folder_ + "/" + name(i) + ".json"};
   words.insert(words.end(), {"--options", options(i)});
   std::vector<std::string> more;
-  if (hands_[i])  // the sanitizers would have their own library stand first
-    more = {std::string(handsVariable) + "=" + folder_ + "/" + name(i) + ".hands",
-            "LD_PRELOAD=" RAINHOOK_HANDS, "ASAN_OPTIONS=verify_asan_link_order=0"};
+  if (controls_[i])  // the sanitizers would have their own library stand first
+    more = {std::string(controlFileVariable) + "=" + folder_ + "/" + name(i) + ".control",
+            "LD_PRELOAD=" RAINHOOK_CLOCK_AND_DISK_CONTROL, "ASAN_OPTIONS=verify_asan_link_order=0"};
   processes_[i] = std::make_unique<Process>(words, folder_ + "/" + name(i) + ".log", more);
 }
-Hands& Fleet::hands(std::size_t i) {
-  if (hands_[i]) return *hands_[i];
-  const auto file = folder_ + "/" + name(i) + ".hands";
-  std::ofstream(file) << std::string(sizeof(Hands), '\0');
+ClockAndDiskControl& Fleet::control(std::size_t i) {
+  if (controls_[i]) return *controls_[i];
+  const auto file = folder_ + "/" + name(i) + ".control";
+  std::ofstream(file) << std::string(sizeof(ClockAndDiskControl), '\0');
   const int fd = ::open(file.c_str(), O_RDWR | O_CLOEXEC);
-  void* const at = ::mmap(nullptr, sizeof(Hands), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
+  void* const at = ::mmap(nullptr, sizeof(ClockAndDiskControl), PROT_READ | PROT_WRITE, MAP_SHARED, fd, 0);
   ::close(fd);
   if (at == MAP_FAILED) throw std::runtime_error("no map of " + file);
-  hands_[i] = {new (at) Hands, [](Hands* hands) { ::munmap(hands, sizeof(Hands)); }};
-  return *hands_[i];
+  controls_[i] = {new (at) ClockAndDiskControl,
+                  [](ClockAndDiskControl* control) { ::munmap(control, sizeof(ClockAndDiskControl)); }};
+  return *controls_[i];
 }
 void Fleet::startAll() {
   for (std::size_t i = 0; i < size(); ++i) start(i);
@@ -151,23 +152,23 @@
 
 void Fleet::fault(std::size_t from, std::size_t to, const Fault& fault) {
   did("fault", from);
-  relays_.set(from, to, fault);
+  proxy_.setFault(from, to, fault);
 }
 void Fleet::faultAll(const Fault& fault) {
   did("fault", 0);
-  relays_.setAll(fault);
+  proxy_.setAllFaults(fault);
 }
 void Fleet::cut(const std::function<bool(std::size_t, std::size_t)>& is) {
   did("fault", 0);
   for (std::size_t from = 0; from < size(); ++from)
     for (std::size_t to = 0; to < size(); ++to) {
       Fault fault;
-      fault.loss = is(from, to) ? 1 : 0;
-      if (from != to) relays_.set(from, to, fault);
+      fault.lossRatio = is(from, to) ? 1 : 0;
+      if (from != to) proxy_.setFault(from, to, fault);
     }
 }
 void Fleet::heal() {
-  relays_.setAll({});
+  proxy_.setAllFaults({});
   did("heal", 0);
 }
 
--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -1,5 +1,5 @@
-// Several processes of the program with relays between them, their histories, and the invariants that every
-// history has to keep. docs/fleet-tests.md tells how a test is written.
+// Several processes of the program with fault proxies between them, their histories, and the invariants that
+// every history has to keep. docs/fleet-tests.md tells how a test is written.
 #pragma once
 
 #include <functional>
@@ -9,10 +9,10 @@
 #include <string>
 #include <vector>
 
-#include "fleet/hands.h"
+#include "fleet/clock_and_disk_control.h"
+#include "fleet/fault_proxy.h"
 #include "fleet/invariants.h"
 #include "fleet/process.h"
-#include "fleet/relays.h"
 
 namespace rainhook::fleet {
 
@@ -51,8 +51,8 @@
   void fault(std::size_t from, std::size_t to, const Fault& fault);
   void faultAll(const Fault& fault);
   void heal();
-  // Its wall clock and its disk are in the rig's hands from its next start on.
-  Hands& hands(std::size_t i);
+  // Controls its wall clock and its disk from its next start on.
+  ClockAndDiskControl& control(std::size_t i);
   // From its next start on it runs another release of the program: RAINHOOK_OLDER or RAINHOOK_LATER.
   void runs(std::size_t i, const std::string& program) { programs_[i] = program; }
   // Writes the settings of one anew, with more lines of its section.
@@ -93,7 +93,7 @@
   const std::size_t zones_;
   const milliseconds every_;
   std::string folder_;
-  Relays relays_;
+  FaultProxy proxy_;
   std::vector<std::string> addresses_, fronts_;  // fronts: where a server listens, empty for a witness
   std::vector<std::map<std::size_t, std::string>> reach_;
   std::vector<std::unique_ptr<Process>> processes_;
@@ -102,7 +102,7 @@
   std::vector<std::streamoff> read_;
   std::vector<Done> done_;
   std::vector<std::string> programs_, more_;
-  std::vector<std::shared_ptr<Hands>> hands_;  // null where a process is in nobody's hands
+  std::vector<std::shared_ptr<ClockAndDiskControl>> controls_;  // null where a process is not controlled
   double shares_ = 0;
   bool kept_ = false;
 };
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -9,7 +9,7 @@
 #include <atomic>
 #include <fstream>
 
-#include "fleet/together.h"
+#include "fleet/converged_fleet.h"
 
 namespace rainhook::fleet {
 namespace {
@@ -109,16 +109,16 @@
 }
 
 TEST(Fleet, AKilledOneIsDeadInAllViewsWithinTwentyPeriodsAndNobodyElse) {
-  Together w(5, 3, 1);
+  ConvergedFleet w(5, 3, 1);
   w.kill(1);
   EXPECT_TRUE(w.until([&] { return w.agreed(); }, w.every() * 20 + 5s));
   EXPECT_EQ(w.verdicts(w.from), w.verdictsOn(1, w.from));
 }
 
 TEST(Fleet, AWholeZoneIsOneEvent) {
-  Together w(6, 3, 2);
+  ConvergedFleet w(6, 3, 2);
   w.kill(1), w.kill(4);
-  w.comesTogether();
+  w.expectConvergence();
   EXPECT_EQ(w.verdicts(w.from), w.verdictsOn(1, w.from) + w.verdictsOn(4, w.from));
   for (const std::size_t by : {0u, 2u, 3u, 5u}) EXPECT_LE(w.said(by, "zone-silent", w.from), 1u);
   std::size_t said = 0;
@@ -127,15 +127,15 @@
 }
 
 TEST(Fleet, TheLastOneBuriesNobodyAndSaysThatItDoubts) {
-  Together w(5, 3, 3);
+  ConvergedFleet w(5, 3, 3);
   for (std::size_t i = 1; i < 5; ++i) w.kill(i);
   EXPECT_TRUE(w.until([&] { return w.said(0, "doubtful", w.from) > 0; }));
-  w.periods(30);
+  w.waitIntervals(30);
   EXPECT_EQ(w.verdicts(w.from), 0u);
 }
 
 TEST(Fleet, ARestartAtOnceIsNoDeath) {
-  Together w(5, 3, 4);
+  ConvergedFleet w(5, 3, 4);
   w.kill(2), w.start(2);
   // It has gone past what was said of its earlier life.
   EXPECT_TRUE(w.until([&] {
@@ -147,15 +147,15 @@
 }
 
 TEST(Fleet, ANameComesBackAtAnotherAddress) {
-  Together w(5, 3, 5);
+  ConvergedFleet w(5, 3, 5);
   w.kill(3), w.move(3), w.start(3);
   EXPECT_TRUE(w.until([&] { return w.agreed() && w.said(0, "moved", w.from) > 0; }));
-  w.periods(10);
+  w.waitIntervals(10);
   EXPECT_TRUE(w.until([&] { return w.agreed(); }, 5s));
 }
 
 TEST(Fleet, ASecondInstanceUnderAHeldNameIsRefused) {
-  Together w(4, 3, 6);
+  ConvergedFleet w(4, 3, 6);
   // The same name and key from another folder of settings, at another address.
   const auto file = w.folder() + "/second.yaml";
   std::ifstream in(w.options(1));
@@ -169,13 +169,13 @@
   EXPECT_EQ(status, 1);
   EXPECT_NE(said.find("the name m1 is held by the living instance at " + w.address(1)), std::string::npos)
       << said;
-  w.periods(10);
+  w.waitIntervals(10);
   EXPECT_TRUE(w.agreed());
   EXPECT_EQ(w.verdicts(w.from), 0u);
 }
 
 TEST(Fleet, AZoneInTwoRegionsIsRefusedWithFileLineAndKey) {
-  Together w(3, 3, 19);
+  ConvergedFleet w(3, 3, 19);
   std::ifstream in(w.options(1));
   std::string text{std::istreambuf_iterator<char>(in), {}};
   const auto host = w.address(1).substr(0, w.address(1).rfind('.'));
@@ -203,14 +203,14 @@
 // Whoever was stopped judges nobody when it wakes; the others may have buried it meanwhile, but see that it
 // lives.
 TEST_P(FleetStops, TheStoppedBuryNobody) {
-  Together w(6, 3, 7);
+  ConvergedFleet w(6, 3, 7);
   const auto& stops = GetParam();
   for (const auto i : stops.who) w.stop(i);
   w.pass(stops.span);
   const auto woken = Fleet::clock();
   for (const auto i : stops.who) w.wake(i);
-  w.comesTogether();
-  w.periods(10);
+  w.expectConvergence();
+  w.waitIntervals(10);
   EXPECT_TRUE(w.until([&] { return w.agreed(); }, 10s));
   for (const auto i : stops.who) {
     for (const auto& seen : w.history(i).all)
@@ -238,12 +238,12 @@
 
 // While some way leads to a member, nobody buries it; after the cut all views agree.
 TEST_P(FleetCuts, WhoIsHeardIsNotBuried) {
-  Together w(5, 3, 8);
+  ConvergedFleet w(5, 3, 8);
   w.cut(GetParam().is);
-  w.periods(30);
+  w.waitIntervals(30);
   EXPECT_EQ(w.verdicts(w.from), 0u);
   w.heal();
-  w.comesTogether();
+  w.expectConvergence();
 }
 INSTANTIATE_TEST_SUITE_P(
     Of, FleetCuts,
@@ -253,30 +253,30 @@
     [](const auto& info) { return info.param.name; });
 
 TEST(Fleet, OneWhomNobodyHearsIsBuriedAndIsBackOnceItIsHeard) {
-  Together w(5, 3, 9);
+  ConvergedFleet w(5, 3, 9);
   w.cut([](auto a, auto) { return a == 3; });
   EXPECT_TRUE(w.until([&] {
     return w.state(0, 3) == "dead" && w.state(1, 3) == "dead" && w.state(2, 3) == "dead" &&
            w.state(4, 3) == "dead";
   }));
   w.heal();
-  w.comesTogether();
+  w.expectConvergence();
   EXPECT_EQ(w.verdicts(w.from), w.verdictsOn(3, w.from));
 }
 
 TEST(Fleet, ThirtyInAHundredLostBuriesNobody) {
-  Together w(5, 3, 10);
+  ConvergedFleet w(5, 3, 10);
   Fault fault;
-  fault.loss = 0.3, fault.doubled = 0.1, fault.reordered = 0.2;
+  fault.lossRatio = 0.3, fault.duplicateRatio = 0.1, fault.reorderRatio = 0.2;
   w.faultAll(fault);
-  w.periods(30);
+  w.waitIntervals(30);
   EXPECT_EQ(w.verdicts(w.from), 0u);
   w.heal();
-  w.comesTogether();
+  w.expectConvergence();
 }
 
 TEST(Fleet, TwoSecondsOfDelayOneWayBuryNobody) {
-  Together w(5, 3, 11, 1s);  // ten periods of the others' would be as good as a death
+  ConvergedFleet w(5, 3, 11, 1s);  // ten periods of the others' would be as good as a death
   Fault fault;
   fault.delay = 2s;
   for (std::size_t to = 0; to < 5; ++to)
@@ -284,7 +284,7 @@
   w.pass(15s);
   EXPECT_EQ(w.verdicts(w.from), 0u);
   w.heal();
-  w.comesTogether();
+  w.expectConvergence();
 }
 
 class FleetSplits : public testing::TestWithParam<std::size_t> {};
@@ -293,17 +293,17 @@
 // taken by the links and nothing passes.
 TEST_P(FleetSplits, ThePartsFindTogether) {
   const std::size_t parts = GetParam();
-  Together w(6, 3, 12);
+  ConvergedFleet w(6, 3, 12);
   w.kill(5);
-  w.comesTogether();
+  w.expectConvergence();
   w.cut([&](auto a, auto b) { return a % parts != b % parts; });
-  w.periods(30);
+  w.waitIntervals(30);
   w.kill(4), w.start(4);
   w.start(5);
-  w.periods(10);
+  w.waitIntervals(10);
   w.heal();
   const auto healed = std::chrono::steady_clock::now();
-  w.comesTogether();
+  w.expectConvergence();
   RecordProperty(
       "healed_ms",
       static_cast<int>(
@@ -313,7 +313,7 @@
                          [](const auto& info) { return info.param == 2 ? "Halves" : "Thirds"; });
 
 TEST(Fleet, WhoLeavesHasLeftAlsoInASplit) {
-  Together w(6, 3, 13);
+  ConvergedFleet w(6, 3, 13);
   w.terminate(4);
   EXPECT_TRUE(w.until([&] {
     for (const std::size_t by : {0u, 1u, 2u, 3u, 5u})
@@ -322,17 +322,17 @@
   }));
   w.cut([&](auto a, auto b) { return a % 2 != b % 2; });
   w.terminate(3);  // only its half hears of it
-  w.periods(30);
+  w.waitIntervals(30);
   w.heal();
-  w.comesTogether();
+  w.expectConvergence();
   EXPECT_EQ(w.verdictsOn(4, w.from), 0u);
 }
 
 // Datagrams under another key, replayed ones, spoilt ones and nonsense, as fast as they go.
 TEST(Fleet, AFloodOfWhatDoesNotVerifyChangesNothing) {
-  Together w(4, 2, 14);
+  ConvergedFleet w(4, 2, 14);
   Fault fault;
-  fault.spoilt = 0.2, fault.doubled = 0.5;
+  fault.corruptRatio = 0.2, fault.duplicateRatio = 0.5;
   w.faultAll(fault);
   const int out = ::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
   sockaddr_in at{};
@@ -346,14 +346,14 @@
       ::sendto(out, nonsense.data(), nonsense.size(), 0, reinterpret_cast<const sockaddr*>(&at), sizeof at);
   ::close(out);
   w.heal();
-  w.comesTogether();
+  w.expectConvergence();
   EXPECT_EQ(w.verdicts(w.from), 0u);
   w.write(0, "", "other");  // from now on its settings name another key
   EXPECT_EQ(w.command({"members", "--options", w.options(0), "--at", w.address(1)}).first, 1);
 }
 
 TEST(Fleet, ASlowMachineBuriesNobody) {
-  Together w(5, 3, 15);
+  ConvergedFleet w(5, 3, 15);
   std::atomic<bool> over{false};
   std::vector<std::thread> busy;
   for (unsigned i = 0; i < 3 * std::thread::hardware_concurrency(); ++i)
@@ -361,15 +361,15 @@
       while (!over) {
       }
     });
-  w.periods(30);
+  w.waitIntervals(30);
   over = true;
   for (auto& thread : busy) thread.join();
   EXPECT_EQ(w.verdicts(w.from), 0u);
-  w.comesTogether();
+  w.expectConvergence();
 }
 
 TEST(Fleet, TwentyFourJoinAtOnce) {
-  Together w(24, 3, 16);
+  ConvergedFleet w(24, 3, 16);
   EXPECT_EQ(w.verdicts(0), 0u);
 }
 
@@ -389,7 +389,7 @@
 }
 
 TEST(Fleet, TheCommandTellsWhoIsThereAndWhy) {
-  Together w(3, 3, 18);
+  ConvergedFleet w(3, 3, 18);
   // What a member says of itself comes with its first word, which may be later than others' word of it.
   EXPECT_TRUE(w.until([&] {
     const auto [status, said] = w.command({"members", "--json", "--options", w.options(0)});
--- a/tests/fleet/kept_test.cpp
+++ b/tests/fleet/kept_test.cpp
@@ -5,7 +5,7 @@
 #include <fstream>
 #include <iterator>
 
-#include "fleet/together.h"
+#include "fleet/converged_fleet.h"
 
 namespace rainhook::fleet {
 namespace {
@@ -42,18 +42,18 @@
 
 // Nobody else remembers: all are killed, and only its disk tells it how far it went.
 TEST(FleetKept, ALifeBeginsBeyondAllThatAnEarlierOneSaid) {
-  Together w(3, 3, 21, 200ms, [](auto& fleet) {
+  ConvergedFleet w(3, 3, 21, 200ms, [](auto& fleet) {
     for (std::size_t i = 0; i < 3; ++i) fleet.write(i, stateIn("state-" + std::to_string(i)));
   });
   w.cut([](auto from, auto) { return from == 1; });
   EXPECT_TRUE(w.until([&] { return w.state(0, 1) != "alive" && w.state(2, 1) != "alive"; }));
   w.heal();
-  w.comesTogether();
+  w.expectConvergence();
   const auto said = mostSeen(w, 1);
   EXPECT_GE(said, 2u);  // it has taken back what was said of it
   for (std::size_t i = 0; i < 3; ++i) w.kill(i);
   w.startAll();
-  w.comesTogether();
+  w.expectConvergence();
   const auto disk = diskOf(w, 1);
   ASSERT_EQ(disk.from.size(), 2u);
   EXPECT_EQ(disk.from.front(), 1u);
@@ -63,17 +63,17 @@
 
 // The seed is gone, and those who are there look for it where it was: only what it kept leads to them.
 TEST(FleetKept, WhereNoSeedAnswersThoseKnownFromEarlierDo) {
-  Together w(4, 2, 22, 200ms, [](auto& fleet) { fleet.write(3, stateIn("state-3")); });
-  w.periods(15);
+  ConvergedFleet w(4, 2, 22, 200ms, [](auto& fleet) { fleet.write(3, stateIn("state-3")); });
+  w.waitIntervals(15);
   w.kill(3);
   EXPECT_TRUE(w.until([&] {
     return w.command({"store", "get", "known/m3", "--dir", w.folder() + "/state-3"}).first == 0;
   }));
   w.kill(0);
-  w.comesTogether();
+  w.expectConvergence();
   w.move(3, false);  // nobody finds it, so it has to find them
   w.start(3);
-  w.comesTogether();
+  w.expectConvergence();
   ASSERT_EQ(diskOf(w, 3).known.size(), 2u);
   EXPECT_EQ(diskOf(w, 3).known.back(), "3 known from earlier");
 }
@@ -88,15 +88,15 @@
 
 // It starts all the same, learns from the others how far it went, and keeps again what it can.
 TEST_P(FleetHarm, OfTheFolderIsNoHarmToTheFleet) {
-  Together w(3, 3, 23, 200ms, [](auto& fleet) { fleet.write(1, stateIn("state-1")); });
+  ConvergedFleet w(3, 3, 23, 200ms, [](auto& fleet) { fleet.write(1, stateIn("state-1")); });
   w.kill(1);
   w.harm(1);
   GetParam().does(w.folder() + "/state-1");
   w.start(1);
-  w.comesTogether();
+  w.expectConvergence();
   EXPECT_EQ(diskOf(w, 1).notKept > 0, GetParam().told);
   EXPECT_TRUE(w.until([&] { return mostSeen(w, 1) >= 2; }));  // past what the others knew
-  w.periods(10);
+  w.waitIntervals(10);
   EXPECT_TRUE(w.agreed());
 }
 void overwritten(const std::string& folder, const std::string& bytes) {
@@ -118,7 +118,7 @@
 
 // After many lives its number is high; the disk that lost it has to come past it in one step, not in many.
 TEST(FleetKept, ALostDiskIsPastWhatOthersKnowAtOnce) {
-  Together w(3, 3, 30, 200ms, [](auto& fleet) { fleet.write(1, stateIn("state-1")); });
+  ConvergedFleet w(3, 3, 30, 200ms, [](auto& fleet) { fleet.write(1, stateIn("state-1")); });
   const auto folder = w.folder() + "/state-1";
   w.kill(1);
   const auto many = "printf 300000 | " RAINHOOK_PROGRAM " store put incarnation/m1 --dir " + folder;
@@ -129,48 +129,48 @@
   std::filesystem::remove_all(folder);
   w.start(1);
   EXPECT_TRUE(w.until([&] { return mostSeen(w, 1) > 300001; }, 30s));
-  w.comesTogether();
+  w.expectConvergence();
 }
 
 TEST(FleetKept, AFullDiskKeepsNobodyOutAndIsWrittenAgainOnceThereIsRoom) {
-  Hands* hands = nullptr;
-  Together w(3, 3, 24, 200ms, [&](auto& fleet) {
+  ClockAndDiskControl* control = nullptr;
+  ConvergedFleet w(3, 3, 24, 200ms, [&](auto& fleet) {
     fleet.write(1, stateIn("state-1"));
-    hands = &fleet.hands(1);
-    hands->diskFault = ENOSPC;
+    control = &fleet.control(1);
+    control->diskFault = ENOSPC;
   });
   EXPECT_TRUE(w.until([&] { return diskOf(w, 1).notKept == 1; }));
-  EXPECT_GT(hands->diskFaults, 0u);
+  EXPECT_GT(control->diskFaults, 0u);
   w.kill(1), w.start(1);  // full at the next start too
-  w.comesTogether();
-  hands->diskFault = 0;
+  w.expectConvergence();
+  control->diskFault = 0;
   EXPECT_TRUE(w.until([&] { return diskOf(w, 1).keptAgain == 1; }));
   const auto said = mostSeen(w, 1);
   w.kill(1), w.start(1);
-  w.comesTogether();
+  w.expectConvergence();
   EXPECT_GT(diskOf(w, 1).from.back(), said);
 }
 
 TEST(FleetKept, ADiskThatFailsMeanwhileIsNoMatterToTheMember) {
-  Hands* hands = nullptr;
-  Together w(3, 3, 25, 200ms, [&](auto& fleet) {
+  ClockAndDiskControl* control = nullptr;
+  ConvergedFleet w(3, 3, 25, 200ms, [&](auto& fleet) {
     fleet.write(1, stateIn("state-1"));
-    hands = &fleet.hands(1);
+    control = &fleet.control(1);
   });
-  hands->diskFault = EIO;
+  control->diskFault = EIO;
   w.cut([](auto from, auto) { return from == 1; });
   EXPECT_TRUE(w.until([&] { return w.state(0, 1) != "alive"; }));
   w.heal();
-  w.comesTogether();
-  hands->diskFault = 0;
+  w.expectConvergence();
+  control->diskFault = 0;
   const auto said = mostSeen(w, 1);
   w.kill(1), w.start(1);
-  w.comesTogether();
+  w.expectConvergence();
   EXPECT_GT(diskOf(w, 1).from.back(), said);
 }
 
 TEST(FleetKept, AFolderThatAnotherProcessHoldsIsRefused) {
-  Together w(3, 3, 26, 200ms, [](auto& fleet) { fleet.write(1, stateIn("state-1")); });
+  ConvergedFleet w(3, 3, 26, 200ms, [](auto& fleet) { fleet.write(1, stateIn("state-1")); });
   w.write(2, stateIn("state-1"));
   const auto [status, said] = w.command({"witness", "--options", w.options(2)});
   EXPECT_EQ(status, 1);
@@ -179,42 +179,42 @@
 
 // Two releases that say less and more than this one, beside it; then each is replaced by this one.
 TEST(FleetReleases, OldAndLaterOnesAreMembersBesideThisOne) {
-  Together w(5, 3, 27, 200ms, [](auto& fleet) {
+  ConvergedFleet w(5, 3, 27, 200ms, [](auto& fleet) {
     fleet.runs(0, RAINHOOK_OLDER), fleet.runs(3, RAINHOOK_OLDER), fleet.runs(1, RAINHOOK_LATER);
     fleet.write(0, stateIn("state-0"));  // it names no seed: once it has left, only this leads it back
   });
-  w.periods(15);
+  w.waitIntervals(15);
   EXPECT_EQ(w.verdicts(w.from), 0u);
   w.kill(4);
   EXPECT_TRUE(w.until([&] { return w.agreed(); }, w.every() * 20 + 10s));
   w.start(4);
-  w.comesTogether();
+  w.expectConvergence();
   w.cut([](auto from, auto to) { return from == 1 && to == 2; });
-  w.periods(20);
+  w.waitIntervals(20);
   w.heal();
   for (const std::size_t i : {0u, 1u, 3u}) {
     w.runs(i, RAINHOOK_PROGRAM);
     EXPECT_EQ(w.terminate(i), 0);
     w.start(i);
-    w.comesTogether();
+    w.expectConvergence();
   }
   EXPECT_EQ(w.verdicts(w.from), w.verdictsOn(4, w.from));
 }
 
 TEST(FleetClock, StepsOfTheWallClockHaveNoEffect) {
-  std::vector<Hands*> hands;
-  Together w(5, 3, 28, 200ms, [&](auto& fleet) {
-    for (std::size_t i = 0; i < 5; ++i) hands.push_back(&fleet.hands(i));
+  std::vector<ClockAndDiskControl*> control;
+  ConvergedFleet w(5, 3, 28, 200ms, [&](auto& fleet) {
+    for (std::size_t i = 0; i < 5; ++i) control.push_back(&fleet.control(i));
     fleet.write(2, stateIn("state-2"));
   });
   constexpr std::int64_t hour = 3600 * 1'000'000'000LL;
   for (const auto& [back, on] : {std::pair(-1, 1), std::pair(1, -24 * 365)}) {
-    hands[1]->wallOffsetNs = back * hour, hands[2]->wallOffsetNs = on * hour,
-    hands[3]->wallOffsetNs = on * hour;
-    w.periods(20);
+    control[1]->wallOffsetNs = back * hour, control[2]->wallOffsetNs = on * hour,
+    control[3]->wallOffsetNs = on * hour;
+    w.waitIntervals(20);
   }
   for (const std::size_t i : {1u, 2u, 3u}) {
-    EXPECT_GT(hands[i]->wallReads, 0u);  // it has seen the steps
+    EXPECT_GT(control[i]->wallReads, 0u);  // it has seen the steps
     for (const auto& seen :
          w.history(i).all)  // a loaded machine may stop it for a moment, but not for an hour
       EXPECT_TRUE(seen.event != "paused" || std::stoll(seen.why) < 60'000) << seen.why;
@@ -223,12 +223,12 @@
   EXPECT_EQ(w.verdicts(w.from), 0u);
   const auto said = mostSeen(w, 2);
   w.kill(2), w.start(2);  // a year back: what it kept holds
-  w.comesTogether();
+  w.expectConvergence();
   EXPECT_GT(diskOf(w, 2).from.back(), said);
 }
 
 TEST(FleetZones, TheCommandTellsTheirSums) {
-  Together w(5, 2, 29);
+  ConvergedFleet w(5, 2, 29);
   EXPECT_TRUE(w.until([&] {
     const auto [status, said] = w.command({"members", "zones", "--json", "--options", w.options(0)});
     const auto rows = nlohmann::json::parse(said, nullptr, false);
