--- a/src/pools/work_pools.cpp
+++ b/src/pools/work_pools.cpp
@@ -5,8 +5,6 @@
 #include <numeric>
 #include <utility>
 
-#include "decision/fuzzy_rules.h"
-
 namespace rainhook::pools {
 namespace {
 
