--- a/tests/membership_world.h
+++ b/tests/membership_world.h
@@ -23,6 +23,8 @@
   };
   // What a link does now; changed by the script as time passes.
   std::function<Link(std::size_t from, std::size_t to)> link = [](auto, auto) { return Link{}; };
+  // Sees all that a member sends and reports, before the links do.
+  std::function<void(std::size_t node, const Membership::Out&)> onOutput = [](auto, const auto&) {};
 
   struct Node {
     std::unique_ptr<Membership> member;
@@ -43,12 +45,12 @@
   static MemberName name(std::size_t i) { return {"n" + std::to_string(i)}; }
   static Address address(std::size_t i) { return {"n" + std::to_string(i) + ":1"}; }
 
-  void start(std::size_t i, std::size_t seed = 0) {
+  void start(std::size_t i, std::size_t seed = 0, Earlier earlier = {}) {
     Node& node = nodes[i];
     const Card self{name(i), address(i), node.zone, {"r"}, Boot{chance_()}, Incarnation{1}};
     std::vector<Address> seeds;
     if (seed != i) seeds.push_back(address(seed));
-    node.member = std::make_unique<Membership>(self, seeds, terms_, chance_());
+    node.member = std::make_unique<Membership>(self, seeds, terms_, chance_(), std::move(earlier));
     ++node.life;
     Membership::Out out;
     Digest digest;
@@ -194,6 +196,7 @@
   }
   void carry(std::size_t i, std::size_t asker, Membership::Out& out) {
     Node& node = nodes[i];
+    onOutput(i, out);
     for (auto& change : out.changes)
       node.changes.emplace_back(now, std::move(change)), node.lives.push_back(node.life);
     node.most = std::max(node.most, node.member->waitingRumours());
