--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -4,9 +4,10 @@
 
 #include <algorithm>
 #include <msgpack.hpp>
+#include <tuple>
 
-#include "membership/sums.h"
-#include "membership_world.h"
+#include "membership/zone_aggregate.h"
+#include "simulated_fleet.h"
 
 namespace rainhook::membership {
 namespace {
@@ -16,43 +17,46 @@
 constexpr int seeds = 10;
 
 // A fleet of so many that has come together.
-World fleet(std::size_t count, std::size_t zones, int seed, ProbeTerms terms = {}) {
-  World w(count, zones, static_cast<std::uint64_t>(seed), terms);
-  w.startAll();
-  EXPECT_TRUE(w.until(60s, [&] { return w.agreed(); })) << "seed " << seed;
-  return w;
+SimulatedFleet convergedFleet(std::size_t count, std::size_t zones, int seed,
+                              ProtocolSettings settings = {}) {
+  SimulatedFleet fleet(count, zones, static_cast<std::uint64_t>(seed), settings);
+  fleet.startAll();
+  EXPECT_TRUE(fleet.runUntil(60s, [&] { return fleet.hasConverged(); })) << "seed " << seed;
+  return fleet;
 }
 
-TEST(Membership, AKilledOneIsDeadInAllViewsAndNobodyElse) {
+TEST(Membership, DeclaresAKilledMemberDeadAndNobodyElse) {
   for (int seed = 1; seed <= seeds; ++seed)
     for (const std::size_t count : {3u, 5u, 9u, 50u}) {
-      World w = fleet(count, 3, seed);
-      w.kill(1);
-      EXPECT_TRUE(w.until(60s, [&] { return w.agreed(); })) << count << " members, seed " << seed;
-      EXPECT_EQ(w.verdicts(), w.verdictsOn(1));
-      EXPECT_EQ(w.check(), "");
+      SimulatedFleet fleet = convergedFleet(count, 3, seed);
+      fleet.kill(1);
+      EXPECT_TRUE(fleet.runUntil(60s, [&] { return fleet.hasConverged(); }))
+          << count << " members, seed " << seed;
+      EXPECT_EQ(fleet.deathsDeclared(), fleet.deathsDeclaredOf(1));
+      EXPECT_EQ(fleet.findBreach(), "");
     }
 }
 
-TEST(Membership, TheLastOneOfTwoBuriesNobody) {
-  World w = fleet(2, 2, 1);
-  w.kill(1);
-  w.run(300s);
-  EXPECT_EQ(w.seen(0, 1), State::suspect);  // it may as well be the link
-  EXPECT_TRUE(w.nodes[0].member->doubtful(w.now));
+TEST(Membership, DeclaresNobodyDeadWhenItIsTheLastOfTwo) {
+  SimulatedFleet fleet = convergedFleet(2, 2, 1);
+  fleet.kill(1);
+  fleet.runFor(300s);
+  EXPECT_EQ(fleet.stateSeen(0, 1), MemberState::suspect);  // it may as well be the link
+  EXPECT_TRUE(fleet.nodes[0].member->isViewUncertain(fleet.now));
 }
 
-TEST(Membership, AWholeZoneIsOneEventAndIsBuriedOnceTwoOtherZonesSaySo) {
+TEST(Membership, ReportsAKilledZoneAsOneEventAndDeclaresItDead) {
   for (int seed = 1; seed <= seeds; ++seed) {
-    World w = fleet(12, 3, seed);
-    const Span killed = w.now;
-    for (std::size_t i = 0; i < 12; i += 3) w.kill(i);
-    EXPECT_TRUE(w.until(180s, [&] { return w.agreed(); })) << "seed " << seed;
-    for (const auto& node : w.nodes) {
+    SimulatedFleet fleet = convergedFleet(12, 3, seed);
+    const Span killed = fleet.now;
+    for (std::size_t i = 0; i < 12; i += 3) fleet.kill(i);
+    EXPECT_TRUE(fleet.runUntil(180s, [&] { return fleet.hasConverged(); })) << "seed " << seed;
+    for (const auto& node : fleet.nodes) {
       if (!node.member) continue;
-      EXPECT_EQ(std::count_if(node.changes.begin(), node.changes.end(),
+      EXPECT_EQ(std::count_if(node.events.begin(), node.events.end(),
                               [&](const auto& c) {
-                                return c.first >= killed && c.second.what == Change::What::zoneSilent;
+                                return c.first >= killed &&
+                                       c.second.type == MembershipEvent::Type::zoneUnreachable;
                               }),
                 1)
           << "seed " << seed;
@@ -60,52 +64,52 @@
   }
 }
 
-TEST(Membership, AllButOneAreNotBuriedByTheOne) {
-  World w = fleet(8, 3, 1);
-  for (std::size_t i = 1; i < 8; ++i) w.kill(i);
-  w.run(300s);
-  EXPECT_EQ(w.verdicts(), 0u);
-  EXPECT_TRUE(w.nodes[0].member->doubtful(w.now));
+TEST(Membership, DeclaresNobodyDeadWhenAllOthersAreKilled) {
+  SimulatedFleet fleet = convergedFleet(8, 3, 1);
+  for (std::size_t i = 1; i < 8; ++i) fleet.kill(i);
+  fleet.runFor(300s);
+  EXPECT_EQ(fleet.deathsDeclared(), 0u);
+  EXPECT_TRUE(fleet.nodes[0].member->isViewUncertain(fleet.now));
 }
 
-TEST(Membership, StopsOfAnyLengthBuryNobodyInTheViewOfTheStopped) {
+TEST(Membership, DeclaresNobodyDeadAfterItsOwnPause) {
   for (int seed = 1; seed <= seeds; ++seed)
     for (const Span stop : {500ms, 3000ms, 30000ms}) {
-      World w = fleet(9, 3, seed);
-      const Span from = w.now;
-      for (std::size_t i = 1; i < 9; ++i) w.pause(i, stop);  // all but one
-      w.run(stop + 20s);
-      EXPECT_TRUE(w.until(30s, [&] { return w.agreed(); })) << "seed " << seed;
+      SimulatedFleet fleet = convergedFleet(9, 3, seed);
+      const Span from = fleet.now;
+      for (std::size_t i = 1; i < 9; ++i) fleet.pause(i, stop);  // all but one
+      fleet.runFor(stop + 20s);
+      EXPECT_TRUE(fleet.runUntil(30s, [&] { return fleet.hasConverged(); })) << "seed " << seed;
       for (std::size_t i = 0; i < 9; ++i)
-        EXPECT_EQ(w.verdictsOn(i, from), 0u) << "seed " << seed << " member " << i;
+        EXPECT_EQ(fleet.deathsDeclaredOf(i, from), 0u) << "seed " << seed << " member " << i;
     }
 }
 
-TEST(Membership, AStoppedThirdComesBackInAllViewsAndBuriesNobodyItself) {
+TEST(Membership, ConvergesAfterAThirdOfTheFleetWasPaused) {
   for (int seed = 1; seed <= seeds; ++seed) {
-    World w = fleet(9, 3, seed);
-    const Span from = w.now;
-    for (std::size_t i = 0; i < 9; i += 3) w.pause(i, 30s);
-    w.run(30s);
-    EXPECT_TRUE(w.until(20s, [&] { return w.agreed(); })) << "seed " << seed;
+    SimulatedFleet fleet = convergedFleet(9, 3, seed);
+    const Span from = fleet.now;
+    for (std::size_t i = 0; i < 9; i += 3) fleet.pause(i, 30s);
+    fleet.runFor(30s);
+    EXPECT_TRUE(fleet.runUntil(20s, [&] { return fleet.hasConverged(); })) << "seed " << seed;
     for (std::size_t i = 1; i < 9; i += i % 3 == 2 ? 2 : 1)
-      EXPECT_EQ(w.verdictsOn(i, from), 0u) << "seed " << seed;
+      EXPECT_EQ(fleet.deathsDeclaredOf(i, from), 0u) << "seed " << seed;
   }
 }
 
-TEST(Membership, ThirtyInAHundredLostBuriesNobody) {
+TEST(Membership, DeclaresNobodyDeadWhenThirtyPercentOfDatagramsAreLost) {
   for (int seed = 1; seed <= seeds; ++seed) {
-    World w = fleet(9, 3, seed);
-    w.link = [](auto, auto) { return World::Link{0.3, {}}; };
-    w.run(120s);
-    EXPECT_EQ(w.verdicts(), 0u) << "seed " << seed;
-    w.link = [](auto, auto) { return World::Link{}; };
-    EXPECT_TRUE(w.until(30s, [&] { return w.agreed(); }));
+    SimulatedFleet fleet = convergedFleet(9, 3, seed);
+    fleet.link = [](auto, auto) { return SimulatedFleet::Link{0.3, {}}; };
+    fleet.runFor(120s);
+    EXPECT_EQ(fleet.deathsDeclared(), 0u) << "seed " << seed;
+    fleet.healAllLinks();
+    EXPECT_TRUE(fleet.runUntil(30s, [&] { return fleet.hasConverged(); }));
   }
 }
 
 // One link one way; A and B from each other; all into one member; all out of one member.
-TEST(Membership, OneSidedCutsBuryNobodyWhoIsHeard) {
+TEST(Membership, DeclaresNobodyDeadWhoIsReceivedFromWhenLinksAreCutOneWay) {
   using Cut = std::function<bool(std::size_t, std::size_t)>;
   const Cut cuts[] = {[](auto from, auto to) { return from == 0 && to == 1; },
                       [](auto from, auto to) { return (from == 0 && to == 1) || (from == 1 && to == 0); },
@@ -113,114 +117,118 @@
   for (const auto& cut : cuts)
     for (int seed = 1; seed <= seeds; ++seed)
       for (const std::size_t count : {3u, 5u, 9u}) {
-        World w = fleet(count, 3, seed);
-        w.link = [&](auto from, auto to) { return World::Link{cut(from, to) ? 1.0 : 0.0, {}}; };
-        w.run(120s);
-        EXPECT_EQ(w.verdicts(), 0u) << count << " members, seed " << seed << " cut " << &cut - cuts;
-        w.link = [](auto, auto) { return World::Link{}; };
-        EXPECT_TRUE(w.until(20s, [&] { return w.agreed(); }))
+        SimulatedFleet fleet = convergedFleet(count, 3, seed);
+        fleet.link = [&](auto from, auto to) { return SimulatedFleet::Link{cut(from, to) ? 1.0 : 0.0, {}}; };
+        fleet.runFor(120s);
+        EXPECT_EQ(fleet.deathsDeclared(), 0u) << count << " members, seed " << seed << " cut " << &cut - cuts;
+        fleet.healAllLinks();
+        EXPECT_TRUE(fleet.runUntil(20s, [&] { return fleet.hasConverged(); }))
             << count << " members, seed " << seed << " cut " << &cut - cuts;
-        EXPECT_EQ(w.check(), "");
+        EXPECT_EQ(fleet.findBreach(), "");
       }
 }
 
-TEST(Membership, WhoLivesButDoesNotAnswerHereIsUnreachableHereAlone) {
-  World w = fleet(5, 3, 1);
-  w.link = [](auto from, auto to) { return World::Link{from + to == 1 ? 1.0 : 0.0, {}}; };
-  EXPECT_TRUE(w.until(60s, [&] { return !w.nodes[0].member->members().at(World::name(1)).reached(); }));
-  EXPECT_EQ(w.seen(0, 1), State::alive);
+TEST(Membership, SeesAMemberAsUnreachableWhenOnlyItsOwnLinkIsCut) {
+  SimulatedFleet fleet = convergedFleet(5, 3, 1);
+  fleet.link = [](auto from, auto to) { return SimulatedFleet::Link{from + to == 1 ? 1.0 : 0.0, {}}; };
+  EXPECT_TRUE(fleet.runUntil(
+      60s, [&] { return !fleet.nodes[0].member->members().at(SimulatedFleet::name(1)).isReachable(); }));
+  EXPECT_EQ(fleet.stateSeen(0, 1), MemberState::alive);
   for (std::size_t by = 2; by < 5; ++by)
-    EXPECT_TRUE(w.nodes[by].member->members().at(World::name(1)).reached());
-  w.link = [](auto, auto) { return World::Link{}; };
-  EXPECT_TRUE(w.until(30s, [&] { return w.nodes[0].member->members().at(World::name(1)).reached(); }));
+    EXPECT_TRUE(fleet.nodes[by].member->members().at(SimulatedFleet::name(1)).isReachable());
+  fleet.healAllLinks();
+  EXPECT_TRUE(fleet.runUntil(
+      30s, [&] { return fleet.nodes[0].member->members().at(SimulatedFleet::name(1)).isReachable(); }));
 }
 
-TEST(Membership, OneWhomNobodyHearsIsBuriedAndComesBack) {
+TEST(Membership, DeclaresAMemberDeadWhenNobodyReceivesFromItUntilItIsBack) {
   for (int seed = 1; seed <= seeds; ++seed) {
-    World w = fleet(9, 3, seed);
-    w.link = [](auto from, auto) { return World::Link{from == 2 ? 1.0 : 0.0, {}}; };
-    w.run(90s);
+    SimulatedFleet fleet = convergedFleet(9, 3, seed);
+    fleet.link = [](auto from, auto) { return SimulatedFleet::Link{from == 2 ? 1.0 : 0.0, {}}; };
+    fleet.runFor(90s);
     for (std::size_t by = 0; by < 9; ++by)
-      EXPECT_EQ(w.seen(by, 2), by == 2 ? std::nullopt : std::optional(State::dead))
+      EXPECT_EQ(fleet.stateSeen(by, 2), by == 2 ? std::nullopt : std::optional(MemberState::dead))
           << "seed " << seed << " by " << by;
-    w.link = [](auto, auto) { return World::Link{}; };
-    EXPECT_TRUE(w.until(20s, [&] { return w.agreed(); })) << "seed " << seed;
+    fleet.healAllLinks();
+    EXPECT_TRUE(fleet.runUntil(20s, [&] { return fleet.hasConverged(); })) << "seed " << seed;
   }
 }
 
-TEST(Membership, HalvesAndThirdsFindTogetherWithinTenPeriods) {
+TEST(Membership, ConvergesWithinTenPeriodsAfterAPartition) {
   for (int seed = 1; seed <= seeds; ++seed)
     for (const std::size_t parts : {2u, 3u})
       for (const bool byZone : {true, false}) {
-        World w = fleet(12, 3, seed);
+        SimulatedFleet fleet = convergedFleet(12, 3, seed);
         const auto part = [&](std::size_t i) { return byZone ? i % 3 % parts : i / (12 / parts); };
-        w.link = [&](auto from, auto to) { return World::Link{part(from) == part(to) ? 0.0 : 1.0, {}}; };
-        w.run(90s);
-        w.kill(5), w.start(5, 2);  // meanwhile one restarts
-        w.run(20s);
-        w.link = [](auto, auto) { return World::Link{}; };
-        EXPECT_TRUE(w.until(10s, [&] { return w.agreed(); }))
+        fleet.link = [&](auto from, auto to) {
+          return SimulatedFleet::Link{part(from) == part(to) ? 0.0 : 1.0, {}};
+        };
+        fleet.runFor(90s);
+        fleet.kill(5), fleet.start(5, 2);  // meanwhile one restarts
+        fleet.runFor(20s);
+        fleet.healAllLinks();
+        EXPECT_TRUE(fleet.runUntil(10s, [&] { return fleet.hasConverged(); }))
             << parts << " parts, seed " << seed << (byZone ? " by zone" : "");
       }
 }
 
-TEST(Membership, ARestartUnderTheSameNameIsNoDeathAndTheIncarnationGoesOn) {
+TEST(Membership, RaisesTheIncarnationWhenAMemberRestarts) {
   for (int seed = 1; seed <= seeds; ++seed) {
-    World w = fleet(5, 3, seed);
-    w.kill(1), w.start(1);
-    EXPECT_TRUE(w.until(20s, [&] { return w.agreed(); })) << "seed " << seed;
-    EXPECT_EQ(w.verdicts(), 0u);
-    EXPECT_GT(w.nodes[1].member->self().incarnation, Incarnation{1});
-    EXPECT_EQ(w.check(), "");
+    SimulatedFleet fleet = convergedFleet(5, 3, seed);
+    fleet.kill(1), fleet.start(1);
+    EXPECT_TRUE(fleet.runUntil(20s, [&] { return fleet.hasConverged(); })) << "seed " << seed;
+    EXPECT_EQ(fleet.deathsDeclared(), 0u);
+    EXPECT_GT(fleet.nodes[1].member->self().incarnation, Incarnation{1});
+    EXPECT_EQ(fleet.findBreach(), "");
   }
 }
 
-TEST(Membership, OneWhoLeavesIsNeverCalledDead) {
+TEST(Membership, NeverDeclaresAMemberDeadThatLeft) {
   for (int seed = 1; seed <= seeds; ++seed) {
-    World w = fleet(9, 3, seed);
-    w.leave(4);
-    w.run(1s);
-    w.kill(4);
-    w.run(60s);
+    SimulatedFleet fleet = convergedFleet(9, 3, seed);
+    fleet.leave(4);
+    fleet.runFor(1s);
+    fleet.kill(4);
+    fleet.runFor(60s);
     for (std::size_t by = 0; by < 9; ++by)
-      EXPECT_EQ(by == 4 ? State::left : w.seen(by, 4), State::left) << "seed " << seed;
-    EXPECT_EQ(w.verdicts(), 0u);
+      EXPECT_EQ(by == 4 ? MemberState::left : fleet.stateSeen(by, 4), MemberState::left) << "seed " << seed;
+    EXPECT_EQ(fleet.deathsDeclared(), 0u);
   }
 }
 
-TEST(Membership, TwoSecondsOfDelayOneWayBuryNobody) {
+TEST(Membership, DeclaresNobodyDeadWhenALinkDelaysByTwoSeconds) {
   for (int seed = 1; seed <= seeds; ++seed) {
-    World w = fleet(5, 3, seed);
-    w.link = [](auto from, auto) { return World::Link{0, from == 1 ? Span(2s) : Span{}}; };
-    w.run(120s);
-    EXPECT_EQ(w.verdicts(), 0u) << "seed " << seed;
+    SimulatedFleet fleet = convergedFleet(5, 3, seed);
+    fleet.link = [](auto from, auto) { return SimulatedFleet::Link{0, from == 1 ? Span(2s) : Span{}}; };
+    fleet.runFor(120s);
+    EXPECT_EQ(fleet.deathsDeclared(), 0u) << "seed " << seed;
   }
 }
 
-TEST(Membership, TwoHundredJoinWithinASecond) {
-  World w(200, 3, 1);
-  for (std::size_t i = 0; i < 200; ++i) w.start(i), w.run(5ms);
-  EXPECT_TRUE(w.until(60s, [&] { return w.agreed(); }));
-  EXPECT_EQ(w.verdicts(), 0u);
-  EXPECT_EQ(w.check(), "");
+TEST(Membership, ConvergesWhenTwoHundredJoinWithinASecond) {
+  SimulatedFleet fleet(200, 3, 1);
+  for (std::size_t i = 0; i < 200; ++i) fleet.start(i), fleet.runFor(5ms);
+  EXPECT_TRUE(fleet.runUntil(60s, [&] { return fleet.hasConverged(); }));
+  EXPECT_EQ(fleet.deathsDeclared(), 0u);
+  EXPECT_EQ(fleet.findBreach(), "");
 }
 
 // The defences are worth what they cost: with each of them taken out, its fault buries those who live.
-TEST(Membership, WithADefenceTakenOutItsFaultBuriesTheLiving) {
+TEST(Membership, DeclaresLivingMembersDeadWhenADefenceIsSwitchedOff) {
   std::size_t stopped = 0, deaf = 0;
   for (int seed = 1; seed <= seeds; ++seed) {
-    ProbeTerms noPause;
-    noPause.ownPause = noPause.witnesses = false;
-    World w = fleet(9, 3, seed, noPause);
-    for (std::size_t i = 1; i < 9; ++i) w.pause(i, 30s);
-    w.run(60s);
-    stopped += w.verdicts();
-    ProbeTerms noWitnesses;
-    noWitnesses.witnesses = false;
-    World v = fleet(9, 3, seed, noWitnesses);
-    v.link = [](auto, auto to) { return World::Link{to == 2 ? 1.0 : 0.0, {}}; };
-    v.run(60s);
-    deaf += v.verdictsOn(2);
+    ProtocolSettings noPause;
+    noPause.detectPauses = noPause.requireCorroboration = false;
+    SimulatedFleet fleet = convergedFleet(9, 3, seed, noPause);
+    for (std::size_t i = 1; i < 9; ++i) fleet.pause(i, 30s);
+    fleet.runFor(60s);
+    stopped += fleet.deathsDeclared();
+    ProtocolSettings noWitnesses;
+    noWitnesses.requireCorroboration = false;
+    SimulatedFleet v = convergedFleet(9, 3, seed, noWitnesses);
+    v.link = [](auto, auto to) { return SimulatedFleet::Link{to == 2 ? 1.0 : 0.0, {}}; };
+    v.runFor(60s);
+    deaf += v.deathsDeclaredOf(2);
   }
   EXPECT_GT(stopped, 0u);
   EXPECT_GT(deaf, 0u);
@@ -228,86 +236,92 @@
 
 // Faults by chance; after the last one all views agree, and nobody who lived and was heard was ever buried
 // for long.
-TEST(Membership, AfterFaultsByChanceAllViewsAgree) {
+TEST(Membership, ConvergesAfterRandomFaults) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     pcg32 chance(seed);
     const std::size_t count = 4 + chance(8);
-    World w = fleet(count, 1 + chance(3), static_cast<int>(seed));
+    SimulatedFleet fleet = convergedFleet(count, 1 + chance(3), static_cast<int>(seed));
     for (int i = 0; i < 6; ++i) {
       const std::size_t a = chance(static_cast<std::uint32_t>(count)),
                         b = chance(static_cast<std::uint32_t>(count));
       switch (chance(5)) {
         case 0:
-          if (a != 0 && w.up(a)) w.kill(a);
+          if (a != 0 && fleet.isRunning(a)) fleet.kill(a);
           break;
         case 1:
-          if (!w.up(a)) w.start(a);
+          if (!fleet.isRunning(a)) fleet.start(a);
           break;
         case 2:
-          if (w.up(a)) w.pause(a, std::chrono::milliseconds(chance(20000)));
+          if (fleet.isRunning(a)) fleet.pause(a, std::chrono::milliseconds(chance(20000)));
           break;
         case 3:
-          w.link = [a, b](auto from, auto to) { return World::Link{from == a && to == b ? 1.0 : 0.1, {}}; };
+          fleet.link = [a, b](auto from, auto to) {
+            return SimulatedFleet::Link{from == a && to == b ? 1.0 : 0.1, {}};
+          };
           break;
         default:
-          w.link = [a](auto from, auto to) { return World::Link{(from < a) == (to < a) ? 0.0 : 1.0, {}}; };
+          fleet.link = [a](auto from, auto to) {
+            return SimulatedFleet::Link{(from < a) == (to < a) ? 0.0 : 1.0, {}};
+          };
       }
-      w.run(std::chrono::milliseconds(chance(30000)));
+      fleet.runFor(std::chrono::milliseconds(chance(30000)));
     }
-    w.link = [](auto, auto) { return World::Link{}; };
+    fleet.healAllLinks();
     for (std::size_t i = 0; i < count; ++i)
-      if (!w.up(i)) w.start(i, i == 0 ? 1 : 0);
-    w.run(20s);
-    EXPECT_TRUE(w.until(60s, [&] { return w.agreed(); })) << "seed " << seed;
-    EXPECT_EQ(w.check(), "") << "seed " << seed;
+      if (!fleet.isRunning(i)) fleet.start(i, i == 0 ? 1 : 0);
+    fleet.runFor(20s);
+    EXPECT_TRUE(fleet.runUntil(60s, [&] { return fleet.hasConverged(); })) << "seed " << seed;
+    EXPECT_EQ(fleet.findBreach(), "") << "seed " << seed;
   }
 }
 
-TEST(Membership, ASecondInstanceUnderOneNameIsRefusedAndTheFirstStays) {
-  World w = fleet(5, 3, 1);
-  Membership second({World::name(1), {"n9:1"}, {"z1"}, {"r"}, Boot{7}, Incarnation{1}}, {World::address(0)},
-                    {}, 1);
-  Membership::Out out;
-  second.open(w.now, out);
+TEST(Membership, RejectsASecondInstanceUnderAHeldName) {
+  SimulatedFleet fleet = convergedFleet(5, 3, 1);
+  Membership second({SimulatedFleet::name(1), {"n9:1"}, {"z1"}, {"r"}, ProcessId{7}, Incarnation{1}},
+                    {SimulatedFleet::address(0)}, {}, 1);
+  Effects effects;
+  second.open(fleet.now, effects);
   const auto talk = [&](std::size_t with, const std::string& bytes, bool toSecond) {
-    Membership::Out got;
-    toSecond ? second.hear(w.now, *unpacked(bytes), got)
-             : w.nodes[with].member->hear(w.now, *unpacked(bytes), got);
+    Effects got;
+    toSecond ? second.onMessage(fleet.now, *decodeMessage(bytes), got)
+             : fleet.nodes[with].member->onMessage(fleet.now, *decodeMessage(bytes), got);
     return got;
   };
-  ASSERT_EQ(out.sends.size(), 1u);
-  const auto state = talk(0, out.sends[0].bytes, false);
-  ASSERT_EQ(state.sends.size(), 1u);
-  const auto asks = talk(0, state.sends[0].bytes, true);  // finds its name held, and asks there
-  ASSERT_EQ(asks.sends.size(), 1u);
-  EXPECT_EQ(asks.sends[0].address, World::address(1));
-  EXPECT_FALSE(second.joined());
-  const auto lives = talk(1, asks.sends[0].bytes, false);
-  ASSERT_EQ(lives.sends.size(), 1u);
-  EXPECT_EQ(lives.sends[0].address.text, "n9:1");
-  talk(1, lives.sends[0].bytes, true);
-  EXPECT_TRUE(second.refused());
-  w.run(30s);
-  EXPECT_TRUE(w.agreed());
+  ASSERT_EQ(effects.messages.size(), 1u);
+  const auto state = talk(0, effects.messages[0].bytes, false);
+  ASSERT_EQ(state.messages.size(), 1u);
+  const auto asks = talk(0, state.messages[0].bytes, true);  // finds its name held, and asks there
+  ASSERT_EQ(asks.messages.size(), 1u);
+  EXPECT_EQ(asks.messages[0].address, SimulatedFleet::address(1));
+  EXPECT_FALSE(second.hasJoined());
+  const auto lives = talk(1, asks.messages[0].bytes, false);
+  ASSERT_EQ(lives.messages.size(), 1u);
+  EXPECT_EQ(lives.messages[0].address.text, "n9:1");
+  talk(1, lives.messages[0].bytes, true);
+  EXPECT_TRUE(second.isRejected());
+  fleet.runFor(30s);
+  EXPECT_TRUE(fleet.hasConverged());
 }
 
 // Two alone in a zone, killed together: one of them is missed first, and is not to be told of as a single
 // death.
-TEST(Membership, AZoneOfTwoIsOneEventTooWhicheverIsMissedFirst) {
+TEST(Membership, ReportsAKilledZoneOfTwoBeforeAnyDeathInIt) {
   for (int seed = 1; seed <= 12 * seeds; ++seed) {
-    World w = fleet(6, 3, seed);
-    w.link = [](auto, auto) { return World::Link{0.1, {}}; };
-    w.run(std::chrono::milliseconds(137 * seed % 3000));
-    const Span killed = w.now;
-    w.kill(1), w.kill(4);
-    EXPECT_TRUE(w.until(180s, [&] { return w.agreed(); })) << "seed " << seed;
-    for (const auto& node : w.nodes) {
+    SimulatedFleet fleet = convergedFleet(6, 3, seed);
+    fleet.link = [](auto, auto) { return SimulatedFleet::Link{0.1, {}}; };
+    fleet.runFor(std::chrono::milliseconds(137 * seed % 3000));
+    const Span killed = fleet.now;
+    fleet.kill(1), fleet.kill(4);
+    EXPECT_TRUE(fleet.runUntil(180s, [&] { return fleet.hasConverged(); })) << "seed " << seed;
+    for (const auto& node : fleet.nodes) {
       if (!node.member) continue;
       Span silent{-1}, dead{-1};
-      for (const auto& [at, change] : node.changes) {
+      for (const auto& [at, event] : node.events) {
         if (at < killed) continue;
-        if (change.what == Change::What::zoneSilent && silent < 0s) silent = at;
-        if (change.what == Change::What::state && change.state == State::dead && dead < 0s) dead = at;
+        if (event.type == MembershipEvent::Type::zoneUnreachable && silent < 0s) silent = at;
+        if (event.type == MembershipEvent::Type::stateChanged && event.state == MemberState::dead &&
+            dead < 0s)
+          dead = at;
       }
       EXPECT_TRUE(silent >= 0s && silent <= dead) << "seed " << seed;
     }
@@ -317,105 +331,110 @@
 // One that is told by hand: a member in a fleet of two, at the times of the test.
 struct Alone {
   Membership member;
-  const Card other{{"n1"}, {"n1:1"}, {"z1"}, {"r"}, Boot{2}, Incarnation{1}};
-  explicit Alone(Earlier earlier)
-      : member({{"n0"}, {"n0:1"}, {"z0"}, {"r"}, Boot{1}, {}}, {}, {}, 1, std::move(earlier)) {
-    Membership::Out out;
-    member.open(1s, out);
+  const MemberRecord other{{"n1"}, {"n1:1"}, {"z1"}, {"r"}, ProcessId{2}, Incarnation{1}};
+  explicit Alone(PersistedIdentity earlier)
+      : member({{"n0"}, {"n0:1"}, {"z0"}, {"r"}, ProcessId{1}, {}}, {}, {}, 1, std::move(earlier)) {
+    Effects effects;
+    member.open(1s, effects);
   }
-  void hear(Span now, std::vector<Rumour> rumours) {
+  void receive(Span now, std::vector<GossipUpdate> updates) {
     Message message;
-    message.from = other, message.joined = true, message.rumours = std::move(rumours);
-    Membership::Out out;
-    member.hear(now, message, out);
+    message.sender = other, message.hasSenderJoined = true, message.updates = std::move(updates);
+    Effects effects;
+    member.onMessage(now, message, effects);
   }
   std::uint64_t incarnation() const { return static_cast<std::uint64_t>(member.self().incarnation); }
 };
 
-TEST(Membership, NoWordGoesBeyondWhatIsOnTheDisk) {
-  Alone w({Incarnation{5}, Incarnation{6}, {}});
-  const auto suspected = [&] { w.hear(2s, {{Rumour::Says::suspect, w.member.self(), {{{"n1"}, {"z1"}}}}}); };
-  EXPECT_EQ(w.incarnation(), 5u);
+TEST(Membership, RefutesOnlyWithReservedIncarnations) {
+  Alone fleet({Incarnation{5}, Incarnation{6}, {}});
+  const auto suspected = [&] {
+    fleet.receive(2s, {{GossipUpdate::Kind::suspect, fleet.member.self(), {{{"n1"}, {"z1"}}}}});
+  };
+  EXPECT_EQ(fleet.incarnation(), 5u);
   suspected();
-  EXPECT_EQ(w.incarnation(), 6u);
-  EXPECT_EQ(w.member.counts().refutations, 1u);
+  EXPECT_EQ(fleet.incarnation(), 6u);
+  EXPECT_EQ(fleet.member.counters().refutations, 1u);
   suspected();  // the disk holds 6
-  EXPECT_EQ(w.incarnation(), 6u);
-  EXPECT_EQ(w.member.counts().refutations, 1u);
-  EXPECT_EQ(w.member.counts().unsaid, 1u);
-  w.member.mayGoTo(Incarnation{100});
+  EXPECT_EQ(fleet.incarnation(), 6u);
+  EXPECT_EQ(fleet.member.counters().refutations, 1u);
+  EXPECT_EQ(fleet.member.counters().postponedRefutations, 1u);
+  fleet.member.reserveUpTo(Incarnation{100});
   suspected();
-  EXPECT_EQ(w.incarnation(), 7u);
+  EXPECT_EQ(fleet.incarnation(), 7u);
   // An earlier life under another address, that nobody answers for any more.
-  Card earlier = w.member.self();
-  earlier.boot = Boot{9}, earlier.address = {"n9:1"}, earlier.incarnation = Incarnation{500};
-  w.hear(3s, {{Rumour::Says::dead, earlier, {{{"n1"}, {"z1"}}}}});
-  EXPECT_EQ(w.incarnation(), 100u);
-  EXPECT_EQ(w.member.wanted(), Incarnation{501});  // so far the disk has to go, in one step
+  MemberRecord earlier = fleet.member.self();
+  earlier.processId = ProcessId{9}, earlier.address = {"n9:1"}, earlier.incarnation = Incarnation{500};
+  fleet.receive(3s, {{GossipUpdate::Kind::dead, earlier, {{{"n1"}, {"z1"}}}}});
+  EXPECT_EQ(fleet.incarnation(), 100u);
+  EXPECT_EQ(fleet.member.requiredIncarnation(), Incarnation{501});  // so far the disk has to go, in one step
 }
 
-TEST(Membership, AZoneInTwoRegionsIsNotEntered) {
-  World w = fleet(3, 3, 1);
-  Membership astray({{"n9"}, {"n9:1"}, {"z1"}, {"elsewhere"}, Boot{7}, {}}, {World::address(0)}, {}, 1);
-  Membership::Out asks, answers, heard;
-  astray.open(w.now, asks);
-  w.nodes[0].member->hear(w.now, *unpacked(asks.sends.at(0).bytes), answers);
-  astray.hear(w.now, *unpacked(answers.sends.at(0).bytes), heard);
-  EXPECT_TRUE(astray.refused());
-  EXPECT_FALSE(astray.joined());
-  EXPECT_EQ(heard.changes.back().what, Change::What::astray);
-  EXPECT_EQ(heard.changes.back().who.name, World::name(1));
+TEST(Membership, IsRejectedWhenItsZoneStandsInAnotherRegion) {
+  SimulatedFleet fleet = convergedFleet(3, 3, 1);
+  Membership astray({{"n9"}, {"n9:1"}, {"z1"}, {"elsewhere"}, ProcessId{7}, {}}, {SimulatedFleet::address(0)},
+                    {}, 1);
+  Effects asks, answers, heard;
+  astray.open(fleet.now, asks);
+  fleet.nodes[0].member->onMessage(fleet.now, *decodeMessage(asks.messages.at(0).bytes), answers);
+  astray.onMessage(fleet.now, *decodeMessage(answers.messages.at(0).bytes), heard);
+  EXPECT_TRUE(astray.isRejected());
+  EXPECT_FALSE(astray.hasJoined());
+  EXPECT_EQ(heard.events.back().type, MembershipEvent::Type::regionMismatch);
+  EXPECT_EQ(heard.events.back().member.name, SimulatedFleet::name(1));
 }
 
-TEST(Membership, ThoseKnownFromEarlierAreAskedOnceNoSeedAnswers) {
-  Membership member({{"n0"}, {"n0:1"}, {"z0"}, {"r"}, Boot{1}, {}}, {{"n7:1"}}, {}, 1,
+TEST(Membership, AsksPersistedMembersWhenNoSeedAnswers) {
+  Membership member({{"n0"}, {"n0:1"}, {"z0"}, {"r"}, ProcessId{1}, {}}, {{"n7:1"}}, {}, 1,
                     {Incarnation{1}, Incarnation{9}, {{{"n1"}, {"n1:1"}}, {{"n2"}, {"n2:1"}}}});
-  Membership::Out out;
-  member.open(0s, out);
-  for (Span now{}; !member.joined() && now < 20s; now += 100ms) member.turn(now, out);
+  Effects effects;
+  member.open(0s, effects);
+  for (Span now{}; !member.hasJoined() && now < 20s; now += 100ms) member.onTimer(now, effects);
   std::vector<std::string> asked;
-  for (const auto& send : out.sends) asked.push_back(send.to.text + "@" + send.address.text);
+  for (const auto& sent : effects.messages) asked.push_back(sent.recipient.text + "@" + sent.address.text);
   EXPECT_EQ(asked, (std::vector<std::string>{"@n7:1", "@n7:1", "@n7:1", "n1@n1:1", "n2@n2:1"}));
-  EXPECT_TRUE(member.joined());  // nobody answers: it is the first
+  EXPECT_TRUE(member.hasJoined());  // nobody answers: it is the first
 }
 
-TEST(Membership, ZonesSumsHoldWhatWasSaidAndHowOldItIs) {
-  World w = fleet(5, 2, 1);  // zone z0 has n0, n2 and n4, each with its number as its limit
-  Digest cold;
-  cold.phase = Phase::cold, cold.limit = 10, cold.warmth = 0.5, cold.read = 7, cold.heldBack = 0.5;
-  w.nodes[2].member->say(w.now, cold);
-  EXPECT_TRUE(w.until(30s, [&] {
-    const auto sums = zoneSums(*w.nodes[1].member, w.now);
-    return sums.size() == 2 && sums[0].cold == 1 && sums[0].unsaid == 0;
+TEST(ZoneAggregate, HoldsStatusesAndTheirAge) {
+  SimulatedFleet fleet =
+      convergedFleet(5, 2, 1);  // zone z0 has n0, n2 and n4, each with its number as its limit
+  MemberStatus cold;
+  cold.phase = Phase::warmingUp, cold.concurrencyLimit = 10, cold.warmUpProgress = 0.5,
+  cold.receivedPerSecond = 7, cold.queueingRatio = 0.5;
+  fleet.nodes[2].member->publishStatus(cold);
+  EXPECT_TRUE(fleet.runUntil(30s, [&] {
+    const auto sums = aggregateByZone(*fleet.nodes[1].member, fleet.now);
+    return sums.size() == 2 && sums[0].warmingUp == 1 && sums[0].withoutStatus == 0;
   }));
-  const auto sums = zoneSums(*w.nodes[1].member, w.now);
+  const auto sums = aggregateByZone(*fleet.nodes[1].member, fleet.now);
   EXPECT_EQ(sums[0].zone.text, "z0");
   EXPECT_EQ(sums[0].members, 3u);
   EXPECT_EQ(sums[0].serving, 2u);
-  EXPECT_DOUBLE_EQ(sums[0].limit, 14);
-  EXPECT_DOUBLE_EQ(sums[0].read, 7);
-  EXPECT_NEAR(sums[0].warmth, 2.5 / 3, 1e-6);
-  EXPECT_NEAR(sums[0].heldBack, 0.5 / 3, 1e-6);
+  EXPECT_DOUBLE_EQ(sums[0].concurrencyLimit, 14);
+  EXPECT_DOUBLE_EQ(sums[0].receivedPerSecond, 7);
+  EXPECT_NEAR(sums[0].warmUpProgress, 2.5 / 3, 1e-6);
+  EXPECT_NEAR(sums[0].queueingRatio, 0.5 / 3, 1e-6);
   EXPECT_EQ(sums[1].members, 2u);
-  EXPECT_LT(sums[0].oldest, 30s);
+  EXPECT_LT(sums[0].oldestStatusAge, 30s);
   // Cut off, its figures grow old, and it is told.
-  w.link = [](auto from, auto to) { return World::Link{from == 4 || to == 4 ? 1.0 : 0.0, {}}; };
-  w.run(6s);
-  EXPECT_GE(zoneSums(*w.nodes[1].member, w.now)[0].oldest, 4s);
-  w.run(60s);
-  EXPECT_EQ(zoneSums(*w.nodes[1].member, w.now)[0].members, 2u);
+  fleet.link = [](auto from, auto to) { return SimulatedFleet::Link{from == 4 || to == 4 ? 1.0 : 0.0, {}}; };
+  fleet.runFor(6s);
+  EXPECT_GE(aggregateByZone(*fleet.nodes[1].member, fleet.now)[0].oldestStatusAge, 4s);
+  fleet.runFor(60s);
+  EXPECT_EQ(aggregateByZone(*fleet.nodes[1].member, fleet.now)[0].members, 2u);
 }
 
 // Without its age it may be an echo of an hour ago; passed on as new it would put off each verdict.
-TEST(MembershipWire, AHearingWithoutItsAgeIsNoHearing) {
+TEST(MessageCodec, DropsAProofOfLifeWithoutItsAge) {
   Message message;
-  message.from.name.text = "n1";
-  message.rumours.push_back({Rumour::Says::heard, message.from, {{{"n2"}, {"z2"}}}, 5s});
-  EXPECT_EQ(unpacked(packed(message, mostDatagram))->rumours.size(), 1u);
+  message.sender.name.text = "n1";
+  message.updates.push_back({GossipUpdate::Kind::receivedFrom, message.sender, {{{"n2"}, {"z2"}}}, 5s});
+  EXPECT_EQ(decodeMessage(encodeMessage(message, maxDatagramBytes).bytes)->updates.size(), 1u);
   msgpack::sbuffer older;
   msgpack::packer<msgpack::sbuffer> out(older);
-  const auto object =
-      msgpack::unpack(packed(message, mostDatagram).data(), packed(message, mostDatagram).size());
+  const auto object = msgpack::unpack(encodeMessage(message, maxDatagramBytes).bytes.data(),
+                                      encodeMessage(message, maxDatagramBytes).bytes.size());
   const auto& whole = object.get().via.array;
   out.pack_array(whole.size);
   for (std::uint32_t i = 0; i < whole.size; ++i) {
@@ -426,42 +445,43 @@
     out.pack_array(1), out.pack_array(3);
     for (int part = 0; part < 3; ++part) out.pack(whole.ptr[i].via.array.ptr[0].via.array.ptr[part]);
   }
-  const auto back = unpacked({older.data(), older.size()});
+  const auto back = decodeMessage({older.data(), older.size()});
   ASSERT_TRUE(back);
-  EXPECT_TRUE(back->rumours.empty());
+  EXPECT_TRUE(back->updates.empty());
 }
 
-RC_GTEST_PROP(MembershipWire, TakesSpoiledBytesAndWhatItWrote, (std::string name, std::uint64_t number)) {
+RC_GTEST_PROP(MessageCodec, DecodesWhatItEncodedAndSurvivesSpoiltBytes,
+              (std::string name, std::uint64_t number)) {
   Message message;
-  message.from.name.text = name.substr(0, longestWord) + "x";
-  if (message.from.name.text.size() > longestWord) message.from.name.text.pop_back();
+  message.sender.name.text = name.substr(0, maxIdentifierBytes) + "x";
+  if (message.sender.name.text.size() > maxIdentifierBytes) message.sender.name.text.pop_back();
   message.nonce = Nonce{number};
-  message.rumours.push_back({Rumour::Says::suspect, message.from, {{{"a"}, {"z"}}}});
-  message.digests.push_back({{"b"}, Incarnation{2}, {}});
-  message.unheard.push_back({"c"});
-  auto bytes = packed(message, mostDatagram);
-  const auto back = unpacked(bytes);
+  message.updates.push_back({GossipUpdate::Kind::suspect, message.sender, {{{"a"}, {"z"}}}});
+  message.statuses.push_back({{"b"}, Incarnation{2}, {}});
+  message.unreachable.push_back({"c"});
+  auto bytes = encodeMessage(message, maxDatagramBytes).bytes;
+  const auto back = decodeMessage(bytes);
   RC_ASSERT(back.has_value());
-  RC_ASSERT(back->from == message.from && back->rumours == message.rumours && back->nonce == message.nonce);
+  RC_ASSERT(back->sender == message.sender && back->updates == message.updates &&
+            back->nonce == message.nonce);
   for (std::size_t cut = 0; cut < bytes.size(); ++cut)
-    RC_ASSERT(!unpacked(std::string_view(bytes).substr(0, cut)));
+    RC_ASSERT(!decodeMessage(std::string_view(bytes).substr(0, cut)));
   bytes[*rc::gen::inRange<std::size_t>(0, bytes.size())] = *rc::gen::arbitrary<char>();
-  unpacked(bytes);
+  std::ignore = decodeMessage(bytes);
 }
 
-TEST(MembershipWire, AFullFleetsRumoursFitIntoADatagram) {
+TEST(MessageCodec, EncodesAsManyUpdatesAsFitIntoADatagram) {
   Message message;
-  message.from.name.text = "x";
+  message.sender.name.text = "x";
   for (int i = 0; i < 500; ++i)
-    message.rumours.push_back(
-        {Rumour::Says::alive,
+    message.updates.push_back(
+        {GossipUpdate::Kind::alive,
          {{"member" + std::to_string(i)}, {"127.0.0.1:7000"}, {"zone"}, {"region"}, {}, {}},
          {}});
-  std::size_t taken = 0;
-  const auto bytes = packed(message, mostDatagram, &taken);
-  EXPECT_LE(bytes.size(), mostDatagram);
+  const auto [bytes, taken, statuses] = encodeMessage(message, maxDatagramBytes);
+  EXPECT_LE(bytes.size(), maxDatagramBytes);
   EXPECT_GT(taken, 10u);
-  EXPECT_EQ(unpacked(bytes)->rumours.size(), taken);
+  EXPECT_EQ(decodeMessage(bytes)->updates.size(), taken);
 }
 
 }  // namespace
--- a/tests/options_test.cpp
+++ b/tests/options_test.cpp
@@ -97,13 +97,13 @@
   EXPECT_EQ(got.membership->name.text, "a1");
   EXPECT_EQ(got.membership->advertise.text, "127.0.0.11:7101");
   EXPECT_EQ(got.membership->seeds.size(), 1u);
-  EXPECT_EQ(got.membership->reach.at({"b1"}).text, "127.0.1.2:9001");
-  EXPECT_EQ(got.membership->probeEvery, std::chrono::milliseconds(250));
+  EXPECT_EQ(got.membership->addressOverrides.at({"b1"}).text, "127.0.1.2:9001");
+  EXPECT_EQ(got.membership->probeInterval, std::chrono::milliseconds(250));
   EXPECT_EQ(got.membership->keys[0][31], 31);
   EXPECT_EQ(switchedOn(got).size(), 1u);
-  EXPECT_EQ(got.membership->state, "");
-  EXPECT_EQ(read(fine_ + "  state: kept\n").membership->state, folder_ + "/kept");  // beside the file
-  EXPECT_EQ(read(fine_ + "  state: /var/kept\n").membership->state, "/var/kept");
+  EXPECT_EQ(got.membership->stateFolder, "");
+  EXPECT_EQ(read(fine_ + "  state: kept\n").membership->stateFolder, folder_ + "/kept");  // beside the file
+  EXPECT_EQ(read(fine_ + "  state: /var/kept\n").membership->stateFolder, "/var/kept");
 }
 
 TEST_F(MembershipOptions, EachFaultNamesFileLineAndKey) {
