--- a/src/commands/witness_command.cpp
+++ b/src/commands/witness_command.cpp
@@ -2,8 +2,8 @@
 /// witness: a member without a server.
 #include <Poco/Exception.h>
 #include <fmt/format.h>
-#include <signal.h>
 
+#include <csignal>
 #include <cstdio>
 #include <iostream>
 #include <optional>
--- a/src/membership/gossip_queue.h
+++ b/src/membership/gossip_queue.h
@@ -33,6 +33,7 @@
   struct Key {
     Topic topic{};
     std::string name;
+    // NOLINTNEXTLINE(modernize-use-nullptr): takes the zero inside of a defaulted comparison for a pointer
     auto operator<=>(const Key&) const = default;
   };
   struct Entry {
@@ -45,6 +46,7 @@
     std::size_t timesSent = 0;
     std::int64_t number = 0;
     Key key;
+    // NOLINTNEXTLINE(modernize-use-nullptr): takes the zero inside of a defaulted comparison for a pointer
     auto operator<=>(const Rank&) const = default;
   };
   static Key keyOf(const GossipUpdate& update);
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -54,6 +54,7 @@
   /// @param randomSeed drawn at the start of the process
   Membership(MemberRecord self, const std::vector<Address>& seeds, const ProtocolSettings& settings,
              std::uint64_t randomSeed, const PersistedIdentity& identity = {});
+  ~Membership() = default;
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
 
--- a/src/membership/types.h
+++ b/src/membership/types.h
@@ -18,6 +18,7 @@
 template <typename Tag>
 struct Identifier {
   std::string text;
+  // NOLINTNEXTLINE(modernize-use-nullptr): takes the zero inside of a defaulted comparison for a pointer
   auto operator<=>(const Identifier&) const = default;
 };
 using MemberName = Identifier<struct MemberTag>;
@@ -73,6 +74,7 @@
 struct Reporter {
   MemberName name;
   ZoneName zone;
+  // NOLINTNEXTLINE(modernize-use-nullptr): takes the zero inside of a defaulted comparison for a pointer
   auto operator<=>(const Reporter&) const = default;
 };
 /// Reporters that an update names, and that a suspicion counts, at most.
--- a/src/membership_transport/membership_transport.cpp
+++ b/src/membership_transport/membership_transport.cpp
@@ -2,6 +2,7 @@
 
 #include <Poco/Exception.h>
 
+#include <array>
 #include <nlohmann/json.hpp>
 #include <utility>
 
@@ -94,18 +95,18 @@
 }
 
 void MembershipTransport::onDatagramsReadable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
-  char bytes[datagramBufferBytes];
+  std::array<char, datagramBufferBytes> bytes;
   for (std::size_t i = 0; i < maxDatagramsPerIteration; ++i) {
     int size = -1;
     try {
       Poco::Net::SocketAddress from;
-      size = datagrams_.receiveFrom(bytes, sizeof bytes, from);
+      size = datagrams_.receiveFrom(bytes.data(), static_cast<int>(bytes.size()), from);
     } catch (const Poco::Exception&) {  // nothing more, or an earlier one of ours was undeliverable
       return;
     }
     if (size < 0) return;
     ++counters_.datagramsReceived;
-    onSignedMessage({bytes, static_cast<std::size_t>(size)}, noExchange);
+    onSignedMessage({bytes.data(), static_cast<std::size_t>(size)}, noExchange);
   }
 }
 
