--- a/src/failover/failover_types.h
+++ b/src/failover/failover_types.h
@@ -11,7 +11,7 @@
 #include <utility>
 #include <vector>
 
-#include "membership/messages.h"
+#include "membership/types.h"
 
 namespace rainhook::failover {
 
--- a/src/options/options.h
+++ b/src/options/options.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "membership/place.h"
+#include "membership/membership_settings.h"
 #include "options/options_error.h"
 #include "options/store_options.h"
 
@@ -26,9 +26,9 @@
 
 /// All sections; one that is absent is off.
 struct Options {
-  std::optional<StoreOptions> store;                   ///< the durable store
-  std::optional<LogOptions> log;                       ///< the log
-  std::optional<membership::MembersPlace> membership;  ///< membership among the instances
+  std::optional<StoreOptions> store;                         ///< the durable store
+  std::optional<LogOptions> log;                             ///< the log
+  std::optional<membership::MembershipSettings> membership;  ///< membership among the instances
 
   /// Whether all sections are equal.
   bool operator==(const Options&) const = default;
--- a/tests/fleet/serve_test.cpp
+++ b/tests/fleet/serve_test.cpp
@@ -131,7 +131,7 @@
   std::vector<QuotaShare> shares(std::size_t server) {
     std::vector<QuotaShare> taken;
     for (const auto& seen : history(server).all)
-      if (seen.event == "share") taken.push_back({seen.at, seen.share});
+      if (seen.event == "dependency-quota") taken.push_back({seen.at, seen.share});
     return taken;
   }
   // Cuts the links between servers of even and of odd number.
