--- a/src/options/options.cpp
+++ b/src/options/options.cpp
@@ -27,8 +27,9 @@
       store.folder, store.bounds.diskBytes / bytesPerKb, store.bounds.indexBytes / bytesPerKb);
 }
 
-std::string describe(const membership::MembersPlace& membership) {
-  const std::string state = membership.state.empty() ? "no state kept" : "state in " + membership.state;
+std::string describe(const membership::MembershipSettings& membership) {
+  const std::string state =
+      membership.stateFolder.empty() ? "no state kept" : "state in " + membership.stateFolder;
   return fmt::format("membership: as {} at {}, zone {} of {}, {} seeds, {}", membership.name.text,
                      membership.listen.text, membership.zone.text, membership.region.text,
                      membership.seeds.size(), state);
--- a/tests/options_test.cpp
+++ b/tests/options_test.cpp
@@ -141,16 +141,16 @@
   EXPECT_EQ(options.membership->name.text, "a1");
   EXPECT_EQ(options.membership->advertise.text, "127.0.0.11:7101");
   EXPECT_THAT(options.membership->seeds, SizeIs(1));
-  EXPECT_EQ(options.membership->reach.at({"b1"}).text, "127.0.1.2:9001");
-  EXPECT_EQ(options.membership->probeEvery, std::chrono::milliseconds(250));
+  EXPECT_EQ(options.membership->addressOverrides.at({"b1"}).text, "127.0.1.2:9001");
+  EXPECT_EQ(options.membership->probeInterval, std::chrono::milliseconds(250));
   EXPECT_EQ(options.membership->keys[0][31], 31);
   EXPECT_THAT(describeEnabledFeatures(options), SizeIs(1));
-  EXPECT_EQ(options.membership->state, "");
+  EXPECT_EQ(options.membership->stateFolder, "");
 }
 
 TEST_F(MembershipOptions, StateFolderIsBesideTheFileUnlessItsPathIsAbsolute) {
-  EXPECT_EQ(read(listenAndKeys_ + "  state: kept\n").membership->state, folder_ + "/kept");
-  EXPECT_EQ(read(listenAndKeys_ + "  state: /var/kept\n").membership->state, "/var/kept");
+  EXPECT_EQ(read(listenAndKeys_ + "  state: kept\n").membership->stateFolder, folder_ + "/kept");
+  EXPECT_EQ(read(listenAndKeys_ + "  state: /var/kept\n").membership->stateFolder, "/var/kept");
 }
 
 class FaultyMembershipOptions : public MembershipOptions, public testing::WithParamInterface<FaultyText> {};
