--- a/bench/membership_measure.cpp
+++ b/bench/membership_measure.cpp
@@ -1,12 +1,15 @@
-// Membership measured in one run against two baselines: each beats to each with a fixed time-out, and plain
-// SWIM (the same program with what was added taken out). Simulated time, fixed seeds; then sixteen processes.
-// Prints a table and, last, one line `measure membership: name=value ...`.
+/// @file
+/// Measures membership in one run against two baselines: heartbeats from each member to each with a fixed
+/// time-out, and plain SWIM (the same program without what was added to it). Simulated time and fixed seeds;
+/// then sixteen processes. Prints a table and, last, one line `measure membership: name=value ...`.
 #include <fmt/format.h>
+#include <unistd.h>
 
 #include <algorithm>
 #include <cstdio>
 #include <fstream>
 #include <functional>
+#include <random>
 #include <string>
 #include <vector>
 
@@ -18,22 +21,32 @@
 using namespace rainhook::membership;
 using namespace std::chrono_literals;
 
-double seconds(Span span) { return std::chrono::duration<double>(span).count(); }
-double at(std::vector<double> values, double share) {
+constexpr double secondsPerHour = 3600;
+constexpr std::size_t zoneCount = 3;
+constexpr double measuredLoss = 0.2;
+
+double toSeconds(Span span) { return std::chrono::duration<double>(span).count(); }
+
+/// The value below which this ratio of all values lies; 0 if there are none.
+double quantile(std::vector<double> values, double ratio) {
   if (values.empty()) return 0;
   std::sort(values.begin(), values.end());
-  return values[std::min(values.size() - 1,
-                         static_cast<std::size_t>(share * static_cast<double>(values.size())))];
+  const auto index = static_cast<std::size_t>(ratio * static_cast<double>(values.size()));
+  return values[std::min(values.size() - 1, index)];
 }
 
 ProtocolSettings plainSwim() {
-  ProtocolSettings out;
-  out.useLocalHealth = out.detectPauses = out.requireCorroboration = out.shortenByConfirmations = false;
-  return out;
+  ProtocolSettings settings;
+  settings.useLocalHealth = false;
+  settings.detectPauses = false;
+  settings.requireCorroboration = false;
+  settings.shortenByConfirmations = false;
+  return settings;
 }
 
-SimulatedFleet together(std::size_t count, int seed, const ProtocolSettings& settings) {
-  SimulatedFleet fleet(count, 3, static_cast<std::uint64_t>(seed), settings);
+/// A fleet in which each member knows each other.
+SimulatedFleet makeConvergedFleet(std::size_t count, int seed, const ProtocolSettings& settings) {
+  SimulatedFleet fleet(count, zoneCount, static_cast<std::uint64_t>(seed), settings);
   fleet.startAll();
   fleet.runFor(1s);
   fleet.introduceAll();
@@ -41,202 +54,293 @@
   return fleet;
 }
 
-struct Found {
-  std::vector<double> first, last;
+/// Seconds from the death of a member to its first and to its last detection, one pair for each seed.
+struct DetectionTimes {
+  std::vector<double> first;
+  std::vector<double> last;
 };
-Found detection(std::size_t count, int seeds, const ProtocolSettings& settings) {
-  Found out;
+
+bool isDeadForAll(const SimulatedFleet& fleet, std::size_t subject) {
+  for (std::size_t viewer = 0; viewer < fleet.nodes.size(); ++viewer)
+    if (viewer != subject && fleet.stateSeen(viewer, subject) != MemberState::dead) return false;
+  return true;
+}
+
+std::vector<double> secondsToDetections(const SimulatedFleet& fleet, std::size_t subject, Span killedAt) {
+  std::vector<double> times;
+  for (const auto& node : fleet.nodes)
+    for (const auto& [time, event] : node.events)
+      if (time >= killedAt && event.type == MembershipEvent::Type::stateChanged &&
+          event.state == MemberState::dead && event.member.name == SimulatedFleet::name(subject))
+        times.push_back(toSeconds(time - killedAt));
+  return times;
+}
+
+DetectionTimes measureDetection(std::size_t count, int seeds, const ProtocolSettings& settings) {
+  constexpr std::size_t killed = 1;
+  DetectionTimes result;
   for (int seed = 1; seed <= seeds; ++seed) {
-    SimulatedFleet fleet = together(count, seed, settings);
-    const Span killed = fleet.now;
-    const std::size_t who = 1;
-    fleet.kill(who);
-    fleet.runUntil(300s, [&] {
-      for (std::size_t by = 0; by < count; ++by)
-        if (by != who && fleet.stateSeen(by, who) != MemberState::dead) return false;
-      return true;
-    });
-    std::vector<double> times;
-    for (const auto& node : fleet.nodes)
-      for (const auto& [when, event] : node.events)
-        if (when >= killed && event.type == MembershipEvent::Type::stateChanged &&
-            event.state == MemberState::dead && event.member.name == SimulatedFleet::name(who))
-          times.push_back(seconds(when - killed));
+    SimulatedFleet fleet = makeConvergedFleet(count, seed, settings);
+    const Span killedAt = fleet.now;
+    fleet.kill(killed);
+    fleet.runUntil(300s, [&] { return isDeadForAll(fleet, killed); });
+    const std::vector<double> times = secondsToDetections(fleet, killed, killedAt);
     if (times.size() + 1 < count) continue;
-    out.first.push_back(at(times, 0)), out.last.push_back(at(times, 1));
+    result.first.push_back(quantile(times, 0));
+    result.last.push_back(quantile(times, 1));
   }
-  return out;
+  return result;
 }
 
-// Verdicts on members that live, an hour, over all views.
-double falseVerdicts(std::size_t count, int seeds, const ProtocolSettings& settings,
-                     const std::function<void(SimulatedFleet&, pcg32&)>& trouble) {
+using Disturbance = std::function<void(SimulatedFleet&, pcg32&)>;
+
+/// Deaths that are declared of living members, per hour, over all views.
+double measureFalseDeaths(std::size_t count, int seeds, const ProtocolSettings& settings,
+                          const Disturbance& disturb) {
   double hours = 0;
-  std::size_t verdicts = 0;
+  std::size_t deaths = 0;
   for (int seed = 1; seed <= seeds; ++seed) {
-    SimulatedFleet fleet = together(count, seed, settings);
-    pcg32 chance(static_cast<std::uint64_t>(seed));
-    const std::size_t before = fleet.deathsDeclared();
-    const Span from = fleet.now;
-    trouble(fleet, chance);
-    verdicts += fleet.deathsDeclared() - before;
-    hours += seconds(fleet.now - from) / 3600;
+    SimulatedFleet fleet = makeConvergedFleet(count, seed, settings);
+    pcg32 random(static_cast<std::uint64_t>(seed));
+    const std::size_t deathsBefore = fleet.deathsDeclared();
+    const Span start = fleet.now;
+    disturb(fleet, random);
+    deaths += fleet.deathsDeclared() - deathsBefore;
+    hours += toSeconds(fleet.now - start) / secondsPerHour;
   }
-  return static_cast<double>(verdicts) / hours;
+  return static_cast<double>(deaths) / hours;
 }
 
-void pauses(SimulatedFleet& fleet, pcg32& chance) {
+/// A tenth of the members pauses for one to five seconds, every 20 seconds.
+void pauseMembers(SimulatedFleet& fleet, pcg32& random) {
+  const std::size_t pausedCount = std::max<std::size_t>(1, fleet.nodes.size() / 10);
   for (int round = 0; round < 30; ++round) {
-    for (std::size_t i = 0; i < std::max<std::size_t>(1, fleet.nodes.size() / 10); ++i)
-      fleet.pause(chance(static_cast<std::uint32_t>(fleet.nodes.size())),
-                  1s + std::chrono::milliseconds(chance(4000)));
+    for (std::size_t i = 0; i < pausedCount; ++i) {
+      const Span duration = 1s + std::chrono::milliseconds(random(4000));
+      const std::size_t paused = random(static_cast<std::uint32_t>(fleet.nodes.size()));
+      fleet.pause(paused, duration);
+    }
     fleet.runFor(20s);
   }
 }
-void losses(SimulatedFleet& fleet, pcg32&) {
-  fleet.link = [](auto, auto) { return SimulatedFleet::Link{0.2, {}}; };
+
+void loseDatagrams(SimulatedFleet& fleet, pcg32&) {
+  fleet.link = [](auto, auto) { return SimulatedFleet::Link{measuredLoss, {}}; };
   fleet.runFor(600s);
 }
-void oneSided(SimulatedFleet& fleet, pcg32& chance) {
+
+/// Cuts the link between two members for a minute, in turn in both directions and in one.
+void cutLinks(SimulatedFleet& fleet, pcg32& random) {
   for (int round = 0; round < 10; ++round) {
-    const std::size_t a = chance(static_cast<std::uint32_t>(fleet.nodes.size())),
-                      b = (a + 1) % fleet.nodes.size();
-    const bool both = round % 2 == 0;
+    const std::size_t first = random(static_cast<std::uint32_t>(fleet.nodes.size()));
+    const std::size_t second = (first + 1) % fleet.nodes.size();
+    const bool isCutBothWays = round % 2 == 0;
     fleet.link = [=](auto from, auto to) {
-      return SimulatedFleet::Link{(from == a && to == b) || (both && from == b && to == a) ? 1.0 : 0.0, {}};
+      const bool isForward = from == first && to == second;
+      const bool isBackward = from == second && to == first;
+      const bool isCut = isForward || (isCutBothWays && isBackward);
+      return SimulatedFleet::Link{isCut ? 1.0 : 0.0, {}};
     };
     fleet.runFor(60s);
   }
 }
 
-struct Load {
-  double messages = 0, bytes = 0, stateBytes = 0;
+/// What each member sends per second.
+struct MessageLoad {
+  double messages = 0;
+  double bytes = 0;
+  double stateBytes = 0;
 };
-Load load(std::size_t count, const ProtocolSettings& settings) {
-  SimulatedFleet fleet = together(count, 1, settings);
-  // What all have to say of all at the start is said; then it is the load of a fleet in which nothing
-  // happens.
+
+MessageLoad measureMessageLoad(std::size_t count, const ProtocolSettings& settings) {
+  SimulatedFleet fleet = makeConvergedFleet(count, 1, settings);
+  // Once the updates of the start are disseminated, the load is that of a fleet in which nothing happens.
   fleet.runUntil(1200s, [&] {
     return std::all_of(fleet.nodes.begin(), fleet.nodes.end(),
                        [](const auto& node) { return node.member->queuedUpdates() == 0; });
   });
-  for (auto& node : fleet.nodes) node.datagrams = node.bytes = node.stateBytes = 0;
-  const Span from = fleet.now;
+  for (auto& node : fleet.nodes) {
+    node.datagrams = 0;
+    node.bytes = 0;
+    node.stateBytes = 0;
+  }
+  const Span start = fleet.now;
   fleet.runFor(30s);
-  Load out;
-  const double over = seconds(fleet.now - from) * static_cast<double>(count);
-  for (const auto& node : fleet.nodes)
-    out.messages += static_cast<double>(node.datagrams) / over,
-        out.bytes += static_cast<double>(node.bytes) / over,
-        out.stateBytes += static_cast<double>(node.stateBytes) / over;
-  return out;
-}
-
-// Each beats to each in every period; who was not heard for five is dead. A stop of the hearer looks like the
-// death of all: after it the time-outs are looked at before the socket is, as a timer does.
-struct Beats {
-  std::size_t count;
-  double deathsAnHour = 0, found = 0;
-  static constexpr double timeout = 5, beatBytes = 64;
-  double bytes() const { return static_cast<double>(count - 1) * beatBytes; }
-  static double lossVerdicts(std::size_t count, double loss, pcg32& chance, double secs) {
-    double verdicts = 0;
-    std::uniform_real_distribution<> any;
-    for (std::size_t pair = 0; pair < count * (count - 1); ++pair)
-      for (double silent = 0, t = 0; t < secs; t += 1) {
-        silent = any(chance) < loss ? silent + 1 : 0;
-        verdicts += silent == timeout;
+  const double memberSeconds = toSeconds(fleet.now - start) * static_cast<double>(count);
+  MessageLoad load;
+  for (const auto& node : fleet.nodes) {
+    load.messages += static_cast<double>(node.datagrams) / memberSeconds;
+    load.bytes += static_cast<double>(node.bytes) / memberSeconds;
+    load.stateBytes += static_cast<double>(node.stateBytes) / memberSeconds;
+  }
+  return load;
+}
+
+/// The baseline: each member sends a heartbeat to each in every second, and a member that was not heard for
+/// the time-out is dead. A pause of the receiver looks like the death of all others, because after it the
+/// time-outs expire before the socket is read, as timers do.
+class HeartbeatBaseline {
+ public:
+  static constexpr double timeoutSeconds = 5;
+
+  explicit HeartbeatBaseline(std::size_t count) : count_(count) {}
+
+  [[nodiscard]] double messagesPerSecond() const { return static_cast<double>(count_ - 1); }
+  [[nodiscard]] double bytesPerSecond() const { return messagesPerSecond() * heartbeatBytes; }
+
+  /// False deaths per hour while heartbeats are lost, from a simulation of so many seconds.
+  [[nodiscard]] double falseDeathsByLoss(double loss, pcg32& random, double seconds) const {
+    double deaths = 0;
+    std::uniform_real_distribution<> distribution;
+    for (std::size_t pair = 0; pair < count_ * (count_ - 1); ++pair) {
+      double silentSeconds = 0;
+      for (double time = 0; time < seconds; time += 1) {
+        silentSeconds = distribution(random) < loss ? silentSeconds + 1 : 0;
+        if (silentSeconds == timeoutSeconds) ++deaths;
       }
-    return verdicts / secs * 3600;
+    }
+    return deaths / seconds * secondsPerHour;
   }
-  // A stop of over the time-out is the death of all the others at the one who was stopped, and its death at
-  // them.
-  static double pauseVerdicts(std::size_t count, pcg32& chance, double rounds) {
-    double verdicts = 0;
-    for (double round = 0; round < rounds; ++round)
-      for (std::size_t i = 0; i < std::max<std::size_t>(1, count / 10); ++i)
-        if (1 + chance(4000) / 1000.0 + 1 > timeout) verdicts += 2.0 * static_cast<double>(count - 1);
-    return verdicts / (rounds * 20) * 3600;
+
+  /// False deaths per hour while members pause as in `pauseMembers`. A pause beyond the time-out is the death
+  /// of all others in the view of the paused member, and its own death in theirs.
+  [[nodiscard]] double falseDeathsByPauses(pcg32& random, int rounds) const {
+    double deaths = 0;
+    for (int round = 0; round < rounds; ++round)
+      for (std::size_t i = 0; i < std::max<std::size_t>(1, count_ / 10); ++i) {
+        const double pauseSeconds = 1 + random(4000) / 1000.0;
+        if (pauseSeconds + 1 > timeoutSeconds) deaths += 2.0 * static_cast<double>(count_ - 1);
+      }
+    return deaths / (rounds * 20.0) * secondsPerHour;
   }
+
+  /// False deaths per hour while links are cut as in `cutLinks`: in ten minutes two for each of five links
+  /// that are cut both ways, one for each of five others.
+  static constexpr double falseDeathsByCuts() { return (10 + 5) * secondsPerHour / 600; }
+
+ private:
+  static constexpr double heartbeatBytes = 64;
+
+  std::size_t count_;
 };
 
-double healing(std::size_t count, int seeds) {
-  std::vector<double> out;
+/// Median of the seconds until all views agree after a split in halves has healed.
+double measureHealing(std::size_t count, int seeds) {
+  std::vector<double> times;
   for (int seed = 1; seed <= seeds; ++seed) {
-    SimulatedFleet fleet = together(count, seed, {});
-    fleet.link = [](auto from, auto to) { return SimulatedFleet::Link{from % 2 == to % 2 ? 0.0 : 1.0, {}}; };
+    SimulatedFleet fleet = makeConvergedFleet(count, seed, {});
+    fleet.link = [](auto from, auto to) {
+      const bool isSameHalf = from % 2 == to % 2;
+      return SimulatedFleet::Link{isSameHalf ? 0.0 : 1.0, {}};
+    };
     fleet.runFor(120s);
     fleet.healAllLinks();
-    const Span from = fleet.now;
-    if (fleet.runUntil(200s, [&] { return fleet.hasConverged(); })) out.push_back(seconds(fleet.now - from));
+    const Span start = fleet.now;
+    if (fleet.runUntil(200s, [&] { return fleet.hasConverged(); }))
+      times.push_back(toSeconds(fleet.now - start));
   }
-  return at(out, 0.5);
+  return quantile(times, 0.5);
 }
 
-double processorOfSixteen() {
-  rainhook::fleet::Fleet fleet(16, 3, 1, 1s);
+/// User and system time of a process in clock ticks: fields 14 and 15 of /proc/PID/stat (proc(5)).
+double processorTicks(pid_t process) {
+  std::ifstream in("/proc/" + std::to_string(process) + "/stat");
+  double ticks = 0;
+  std::string word;
+  for (int field = 1; field <= 15 && in >> word; ++field)
+    if (field >= 14) ticks += std::stod(word);
+  return ticks;
+}
+
+/// Cores that one of sixteen processes uses while nothing happens.
+double measureProcessorUse() {
+  constexpr std::size_t count = 16;
+  constexpr int measuredSeconds = 20;
+  rainhook::fleet::Fleet fleet(count, zoneCount, 1, 1s);
   fleet.startAll();
   fleet.until([&] { return fleet.agreed(); });
-  const auto ticks = [&] {
+  const auto ticksOfAll = [&] {
     double sum = 0;
-    for (std::size_t i = 0; i < 16; ++i) {
-      std::ifstream in("/proc/" + std::to_string(fleet.process(i).id()) + "/stat");
-      std::string word;
-      for (int field = 1; field <= 15 && in >> word; ++field)
-        if (field >= 14) sum += std::stod(word);
-    }
+    for (std::size_t i = 0; i < count; ++i) sum += processorTicks(fleet.process(i).id());
     return sum;
   };
-  const double before = ticks();
-  fleet.pass(20s);
-  return (ticks() - before) / static_cast<double>(::sysconf(_SC_CLK_TCK)) / 20 / 16;
+  const double ticksBefore = ticksOfAll();
+  fleet.pass(std::chrono::seconds(measuredSeconds));
+  const double usedSeconds = (ticksOfAll() - ticksBefore) / static_cast<double>(::sysconf(_SC_CLK_TCK));
+  return usedSeconds / measuredSeconds / count;
+}
+
+/// The table, and the line that sums it up.
+class Report {
+ public:
+  Report() { fmt::print("{:<44} {:>10} {:>12} {:>12}\n", "", "ours", "plain SWIM", "beats"); }
+
+  void add(const std::string& name, double value, double swim, double heartbeats) {
+    fmt::print("{:<44} {:>10.3f} {:>12.3f} {:>12.3f}\n", name, value, swim, heartbeats);
+    addToSummary(name, value);
+    addToSummary(name + "_swim", swim);
+    addToSummary(name + "_beats", heartbeats);
+  }
+  void printSummary() const { fmt::print("{}\n", summary_); }
+
+ private:
+  void addToSummary(std::string key, double value) {
+    std::replace(key.begin(), key.end(), ' ', '_');
+    summary_ += fmt::format(" {}={:.3f}", key, value);
+  }
+
+  std::string summary_ = "measure membership:";
+};
+
+void reportDetection(Report& report, std::size_t count, int seeds) {
+  constexpr double timeout = HeartbeatBaseline::timeoutSeconds;
+  const std::string size = std::to_string(count);
+  const DetectionTimes ours = measureDetection(count, seeds, {});
+  const DetectionTimes swim = measureDetection(count, seeds, plainSwim());
+  report.add("first verdict s median " + size, quantile(ours.first, 0.5), quantile(swim.first, 0.5), timeout);
+  report.add("first verdict s p99 " + size, quantile(ours.first, 0.99), quantile(swim.first, 0.99),
+             timeout + 1);
+  report.add("last verdict s median " + size, quantile(ours.last, 0.5), quantile(swim.last, 0.5), timeout);
+  report.add("last verdict s p99 " + size, quantile(ours.last, 0.99), quantile(swim.last, 0.99), timeout + 1);
+}
+
+void reportFalseDeaths(Report& report, std::size_t count, int seeds, double heartbeatSeconds) {
+  const std::string size = std::to_string(count);
+  const HeartbeatBaseline heartbeats(count);
+  pcg32 random(1);
+  const auto add = [&](const std::string& name, const Disturbance& disturb, double ofHeartbeats) {
+    report.add(name + size, measureFalseDeaths(count, seeds, {}, disturb),
+               measureFalseDeaths(count, seeds, plainSwim(), disturb), ofHeartbeats);
+  };
+  add("false an hour pauses ", pauseMembers, heartbeats.falseDeathsByPauses(random, 1000));
+  add("false an hour loss ", loseDatagrams,
+      heartbeats.falseDeathsByLoss(measuredLoss, random, heartbeatSeconds));
+  add("false an hour one-sided ", cutLinks, HeartbeatBaseline::falseDeathsByCuts());
+}
+
+void reportMessageLoad(Report& report, std::size_t count) {
+  const std::string size = std::to_string(count);
+  const HeartbeatBaseline heartbeats(count);
+  const MessageLoad ours = measureMessageLoad(count, {});
+  const MessageLoad swim = measureMessageLoad(count, plainSwim());
+  report.add("messages a second " + size, ours.messages, swim.messages, heartbeats.messagesPerSecond());
+  report.add("bytes a second " + size, ours.bytes, swim.bytes, heartbeats.bytesPerSecond());
+  report.add("state bytes a second " + size, ours.stateBytes, swim.stateBytes, 0);
 }
 
 }  // namespace
 
 int main() {
-  const ProtocolSettings ours, plain = plainSwim();
-  std::string line = "measure membership:";
-  const auto row = [&](const std::string& name, double value, double swim, double beats) {
-    fmt::print("{:<44} {:>10.3f} {:>12.3f} {:>12.3f}\n", name, value, swim, beats);
-    for (const auto& [of, number] :
-         {std::pair("", value), std::pair("_swim", swim), std::pair("_beats", beats)}) {
-      std::string key = name + of;
-      std::replace(key.begin(), key.end(), ' ', '_');
-      line += fmt::format(" {}={:.3f}", key, number);
-    }
-  };
   std::setvbuf(stdout, nullptr, _IOLBF, 0);
-  fmt::print("{:<44} {:>10} {:>12} {:>12}\n", "", "ours", "plain SWIM", "beats");
-  for (const auto& [count, seeds] : {std::pair<std::size_t, int>{10, 40}, {100, 10}, {1000, 1}}) {
-    const auto mine = detection(count, seeds, ours), swim = detection(count, seeds, plain);
-    const auto of = std::to_string(count);
-    row("first verdict s median " + of, at(mine.first, 0.5), at(swim.first, 0.5), Beats::timeout);
-    row("first verdict s p99 " + of, at(mine.first, 0.99), at(swim.first, 0.99), Beats::timeout + 1);
-    row("last verdict s median " + of, at(mine.last, 0.5), at(swim.last, 0.5), Beats::timeout);
-    row("last verdict s p99 " + of, at(mine.last, 0.99), at(swim.last, 0.99), Beats::timeout + 1);
-  }
-  for (const std::size_t count : {10, 100}) {
-    const int seeds = count == 10 ? 10 : 2;
-    const auto of = std::to_string(count);
-    pcg32 chance(1);
-    row("false an hour pauses " + of, falseVerdicts(count, seeds, ours, pauses),
-        falseVerdicts(count, seeds, plain, pauses), Beats::pauseVerdicts(count, chance, 1000));
-    row("false an hour loss " + of, falseVerdicts(count, seeds, ours, losses),
-        falseVerdicts(count, seeds, plain, losses),
-        Beats::lossVerdicts(count, 0.2, chance, count == 10 ? 36000 : 3600));
-    row("false an hour one-sided " + of, falseVerdicts(count, seeds, ours, oneSided),
-        falseVerdicts(count, seeds, plain, oneSided), static_cast<double>(10 + 5) * 3600 / 600);
-  }
-  for (const std::size_t count : {10, 100, 1000}) {
-    const auto mine = load(count, ours), swim = load(count, plain);
-    const auto of = std::to_string(count);
-    row("messages a second " + of, mine.messages, swim.messages, static_cast<double>(count - 1));
-    row("bytes a second " + of, mine.bytes, swim.bytes, Beats{count}.bytes());
-    row("state bytes a second " + of, mine.stateBytes, swim.stateBytes, 0);
-  }
-  row("healing s 12", healing(12, 20), 0, 0);
-  row("healing s 100", healing(100, 3), 0, 0);
-  row("cores a process of 16", processorOfSixteen(), 0, 0);
-  fmt::print("{}\n", line);
+  Report report;
+  reportDetection(report, 10, 40);
+  reportDetection(report, 100, 10);
+  reportDetection(report, 1000, 1);
+  reportFalseDeaths(report, 10, 10, 36000);
+  reportFalseDeaths(report, 100, 2, 3600);
+  for (const std::size_t count : {10, 100, 1000}) reportMessageLoad(report, count);
+  report.add("healing s 12", measureHealing(12, 20), 0, 0);
+  report.add("healing s 100", measureHealing(100, 3), 0, 0);
+  report.add("cores a process of 16", measureProcessorUse(), 0, 0);
+  report.printSummary();
 }
