--- /dev/null
+++ b/tests/compatibility_test.cpp
@@ -0,0 +1,242 @@
+/// @file
+/// Today's code reads what an earlier release wrote: the fixtures under tests/data (see the README there).
+#include <gmock/gmock.h>
+#include <gtest/gtest.h>
+
+#include <chrono>
+#include <cstdint>
+#include <filesystem>
+#include <map>
+#include <memory>
+#include <optional>
+#include <random>
+#include <string>
+#include <vector>
+
+#include "logging/log.h"
+#include "net/reactor.h"
+#include "server/incarnation_store.h"
+#include "store/posix_disk.h"
+#include "store/store.h"
+#include "store/verify.h"
+
+namespace rainhook {
+namespace {
+
+using testing::ElementsAre;
+using testing::IsEmpty;
+
+/// A copy of a fixture in a temporary folder, removed at the end of the test.
+class FixtureCopy {
+ public:
+  explicit FixtureCopy(const std::string& fixture)
+      : folder_(std::filesystem::temp_directory_path() /
+                ("rainhook-compatibility-" + std::to_string(std::random_device{}()))) {
+    std::filesystem::copy(std::filesystem::path(RAINHOOK_TEST_DATA) / fixture, folder_,
+                          std::filesystem::copy_options::recursive);
+  }
+  ~FixtureCopy() { std::filesystem::remove_all(folder_); }
+  FixtureCopy(const FixtureCopy&) = delete;
+  FixtureCopy& operator=(const FixtureCopy&) = delete;
+
+  std::string folder() const { return folder_.string(); }
+
+ private:
+  std::filesystem::path folder_;
+};
+
+/// What a key holds, and when it expires; without an expiry it never does.
+struct ExpectedValue {
+  std::string value;
+  std::optional<std::int64_t> expiryUnixMs;
+
+  bool operator==(const ExpectedValue&) const = default;
+};
+using ExpectedEntries = std::map<std::string, ExpectedValue>;
+
+void PrintTo(const ExpectedValue& expected, std::ostream* out) {
+  *out << expected.value.size() << " bytes, expiry " << expected.expiryUnixMs.value_or(-1);
+}
+
+constexpr std::int64_t longLivedExpiryUnixMs = 4958460000900;
+
+/// The value of `binary`: every byte once.
+std::string everyByte() {
+  std::string out;
+  for (int byte = 0; byte < 256; ++byte) out.push_back(static_cast<char>(byte));
+  return out;
+}
+
+/// The value of `incompressible`: 900 bytes of a linear congruential generator.
+std::string incompressibleValue() {
+  std::string out;
+  std::uint64_t state = 1;
+  for (int i = 0; i < 900; ++i) {
+    state = (state * 1103515245 + 12345) & 0x7fffffff;
+    out.push_back(static_cast<char>(state >> 16 & 255));
+  }
+  return out;
+}
+
+/// The value of `compressed`, which stands on the disk as zstd.
+std::string compressedValue() {
+  std::string out;
+  for (int i = 0; i < 100; ++i) out += "compressed value, ";
+  return out;
+}
+
+/// What the closed store and its snapshot hold. `plain-03`, `plain-07` were erased, `short-lived` has
+/// expired.
+ExpectedEntries closedStoreEntries() {
+  ExpectedEntries out{
+      {"binary", {everyByte(), {}}},
+      {"compressed", {compressedValue(), {}}},
+      {"empty-value", {"", {}}},
+      {"incompressible", {incompressibleValue(), {}}},
+      {"long-lived", {"expires in a hundred years", longLivedExpiryUnixMs}},
+      {"rewritten", {"the latest value", {}}},
+  };
+  for (const int i : {1, 2, 4, 5, 6, 8, 9, 10, 11, 12}) {
+    const std::string number = std::to_string(i);
+    out["plain-" + std::string(i < 10 ? "0" : "") + number] = {"value " + number + " of the first segment",
+                                                               {}};
+  }
+  return out;
+}
+
+/// The same with the three writes that were acknowledged before their process was killed.
+ExpectedEntries killedStoreEntries() {
+  auto out = closedStoreEntries();
+  for (const char* key : {"unclosed-1", "unclosed-2", "unclosed-3"})
+    out[key] = {"acknowledged before the kill", {}};
+  return out;
+}
+
+constexpr store::StoreBounds fixtureBounds{
+    .diskBytes = 256 << 10, .queueBytes = 64 << 10, .segmentBytes = 16 << 10, .longestValue = 2 << 10};
+
+store::UnixTime systemTime() {
+  return std::chrono::floor<std::chrono::milliseconds>(std::chrono::system_clock::now());
+}
+
+std::unique_ptr<store::Store> openedStore(const std::string& folder) {
+  auto out = std::make_unique<store::Store>(std::make_unique<store::PosixDisk>(folder), fixtureBounds,
+                                            systemTime, [](const std::string&) {});
+  const auto outcome = out->open(1);
+  EXPECT_TRUE(outcome.ok()) << outcome.what;
+  return out;
+}
+
+/// Everything that the store serves, by the list of its keys and by a read of each.
+ExpectedEntries servedEntries(const store::Store& opened) {
+  constexpr std::size_t allRows = 1000;
+  ExpectedEntries out;
+  const auto page = opened.byKey("", false, allRows);
+  EXPECT_FALSE(page.more);
+  for (const auto& row : page.rows) {
+    const auto read = opened.get(row.key);
+    EXPECT_TRUE(read.outcome.ok()) << row.key << ": " << read.outcome.what;
+    EXPECT_EQ(read.goodUntil, row.goodUntil);
+    ExpectedValue& entry = out[row.key];
+    entry.value = read.value.value_or("(absent)");
+    if (read.goodUntil != store::forever) entry.expiryUnixMs = read.goodUntil.time_since_epoch().count();
+  }
+  return out;
+}
+
+struct StoreFixture {
+  const char* name;
+  ExpectedEntries (*entries)();
+};
+void PrintTo(const StoreFixture& fixture, std::ostream* out) { *out << fixture.name; }
+
+class StoreCompatibility : public testing::TestWithParam<StoreFixture> {
+ protected:
+  FixtureCopy copy_{std::string("store-5aa88a4/") + GetParam().name};
+};
+
+TEST_P(StoreCompatibility, VerifyFindsNoDamage) {
+  store::PosixDisk disk(copy_.folder());
+  store::Verified verified;
+  ASSERT_FALSE(store::verify(disk, verified));
+  EXPECT_THAT(verified.damage, IsEmpty());
+  EXPECT_GE(verified.segments, 8u);
+}
+
+TEST_P(StoreCompatibility, EveryKeyValueAndExpiryIsRead) {
+  const auto opened = openedStore(copy_.folder());
+  EXPECT_EQ(servedEntries(*opened), GetParam().entries());
+  const auto figures = opened->figures().book;
+  EXPECT_EQ(figures.lostFiles + figures.lostRecords + figures.tornBytes + figures.asideFiles, 0u);
+}
+
+TEST_P(StoreCompatibility, ErasedAndExpiredKeysStayAbsent) {
+  const auto opened = openedStore(copy_.folder());
+  for (const char* key : {"plain-03", "plain-07", "short-lived"}) {
+    const auto read = opened->get(key);
+    EXPECT_FALSE(read.value) << key;
+    EXPECT_TRUE(read.outcome.ok()) << key << ": " << read.outcome.what;
+  }
+}
+
+TEST_P(StoreCompatibility, EverythingIsStillThereAfterAWriteACompactionAndARestart) {
+  auto expected = GetParam().entries();
+  expected["new"] = {"written by this release", {}};
+  {
+    const auto opened = openedStore(copy_.folder());
+    const auto expectDone = [](const store::Outcome& outcome) { EXPECT_TRUE(outcome.ok()) << outcome.what; };
+    ASSERT_TRUE(opened->put("new", "written by this release", store::forever, expectDone).ok());
+    opened->settle();
+    ASSERT_TRUE(opened->compact(expectDone).ok());
+    opened->settle();
+    EXPECT_EQ(servedEntries(*opened), expected);
+  }
+  EXPECT_EQ(servedEntries(*openedStore(copy_.folder())), expected);
+}
+
+INSTANTIATE_TEST_SUITE_P(Commit5aa88a4, StoreCompatibility,
+                         testing::Values(StoreFixture{"closed", closedStoreEntries},
+                                         StoreFixture{"snapshot", closedStoreEntries},
+                                         StoreFixture{"killed", killedStoreEntries}),
+                         [](const auto& info) { return info.param.name; });
+
+/// The state folder of the witness `a`, which had reserved its incarnations up to 2048 and knew `b` and `c`.
+class MembershipStateCompatibility : public testing::Test {
+ protected:
+  membership::Earlier openedState() {
+    membership::MembersPlace place;
+    place.name = {"a"};
+    place.advertise = {"127.0.0.111:7141"};
+    place.state = copy_.folder();
+    net::Reactor reactor;
+    net::Log log;
+    server::Kept incarnations(reactor, log, place);
+    return incarnations.open();
+  }
+
+  FixtureCopy copy_{"membership-state-5aa88a4"};
+};
+
+TEST_F(MembershipStateCompatibility, TheNextLifeBeginsBeyondTheReservedIncarnations) {
+  const auto earlier = openedState();
+  EXPECT_EQ(earlier.from, membership::Incarnation{2049});
+  EXPECT_EQ(earlier.ceiling, membership::Incarnation{3072});
+}
+
+TEST_F(MembershipStateCompatibility, TheKnownMembersAreRead) {
+  std::vector<std::pair<std::string, std::string>> known;
+  for (const auto& [name, address] : openedState().known) known.emplace_back(name.text, address.text);
+  EXPECT_THAT(known, ElementsAre(std::pair<std::string, std::string>("b", "127.0.0.112:7141"),
+                                 std::pair<std::string, std::string>("c", "127.0.0.113:7141")));
+}
+
+TEST_F(MembershipStateCompatibility, ALaterLifeGoesOnFromWhatThisReleaseWrote) {
+  openedState();
+  const auto earlier = openedState();
+  EXPECT_EQ(earlier.from, membership::Incarnation{3073});
+  EXPECT_EQ(earlier.ceiling, membership::Incarnation{4096});
+  EXPECT_EQ(earlier.known.size(), 2u);
+}
+
+}  // namespace
+}  // namespace rainhook
