--- a/bench/store_measure.cpp
+++ b/bench/store_measure.cpp
@@ -58,12 +58,12 @@
 
 struct Rig {
   std::string folder;
-  StoreBounds bounds;
+  StoreSettings bounds;
   std::unique_ptr<Store> open() const {
     auto out = std::make_unique<Store>(std::make_unique<PosixDisk>(folder), bounds, now,
                                        [](const std::string& line) { fmt::print(stderr, "{}\n", line); });
-    if (const auto outcome = out->open(1); !outcome.ok()) {
-      fmt::print(stderr, "{}\n", outcome.what);
+    if (const auto outcome = out->open(1); !outcome.isOk()) {
+      fmt::print(stderr, "{}\n", outcome.message);
       std::exit(1);
     }
     return out;
@@ -88,23 +88,23 @@
   while (since(begin) < seconds || open > 0) {
     while (open < inFlight && since(begin) < seconds) {
       const auto said = Clock::now();
-      const auto outcome = store.put(key(), value, forever, [&, said](const Outcome& o) {
+      const auto outcome = store.put(key(), value, neverExpires, [&, said](const StoreStatus& o) {
         --open;
-        o.ok() ? took.push_back(since(said) * 1e3) : void(++out.refused);
+        o.isOk() ? took.push_back(since(said) * 1e3) : void(++out.refused);
       });
-      outcome.ok() ? ++open : ++out.refused;
+      outcome.isOk() ? ++open : ++out.refused;
     }
     pollfd ready{store.eventFd(), POLLIN, 0};
     ::poll(&ready, 1, 100);
-    store.deliver();
+    store.dispatchCompletions();
   }
   out.perSecond = static_cast<double>(took.size()) / since(begin);
   out.p50 = share(took, 0.5), out.p99 = share(took, 0.99);
   return out;
 }
 
-double putsASecond(Rig rig, std::uint64_t inFlight, std::uint64_t commitMost) {
-  rig.bounds.commitMost = commitMost;
+double putsASecond(Rig rig, std::uint64_t inFlight, std::uint64_t maxCommitWrites) {
+  rig.bounds.maxCommitWrites = maxCommitWrites;
   return medianOf([&] {
     rig.clear();
     const auto store = rig.open();
@@ -122,24 +122,24 @@
 };
 Amplified amplification(Rig rig, double living) {
   rig.clear();
-  rig.bounds.diskBytes = 32 << 20, rig.bounds.segmentBytes = 1 << 20;
+  rig.bounds.maxDiskBytes = 32 << 20, rig.bounds.maxSegmentBytes = 1 << 20;
   PosixDisk disk(rig.folder);
-  Book book(disk, rig.bounds, {});
-  if (!book.open(1).ok()) std::exit(1);
+  LogStructuredStore book(disk, rig.bounds, {});
+  if (!book.open(1).isOk()) std::exit(1);
   pcg32 chance(9);
   constexpr std::size_t valueBytes = 300;
-  const double weight = static_cast<double>(recordBytes(11, valueBytes) + hintBytes(11));
-  const double usable = static_cast<double>(rig.bounds.diskBytes - Plan(rig.bounds).reserve());
+  const double weight = static_cast<double>(recordBytes(11, valueBytes) + hintEntryBytes(11));
+  const double usable = static_cast<double>(rig.bounds.maxDiskBytes - CompactionPolicy(rig.bounds).reserve());
   const auto entries = static_cast<std::uint32_t>(living * usable / weight);
   Amplified out;
-  out.bound = rig.bounds.diskBytes;
+  out.bound = rig.bounds.maxDiskBytes;
   const auto write = [&](std::uint64_t count, const std::function<std::uint64_t(std::uint64_t)>& key) {
     for (std::uint64_t i = 0; i < count;) {
-      std::vector<Write> batch;
+      std::vector<WriteRequest> batch;
       for (int b = 0; b < 128 && i < count; ++b, ++i)
-        batch.push_back({false, keyOf(key(i)), valueOf(chance, valueBytes), forever});
-      for (const auto& outcome : book.commit(batch, now())) out.refused += !outcome.ok();
-      book.tidy(now());
+        batch.push_back({false, keyOf(key(i)), valueOf(chance, valueBytes), neverExpires});
+      for (const auto& outcome : book.commit(batch, now())) out.refused += !outcome.isOk();
+      book.runMaintenance(now());
       std::uint64_t folder = 0;
       for (const auto& entry : files::directory_iterator(rig.folder)) folder += entry.file_size();
       out.most = std::max(out.most, folder);
@@ -150,9 +150,9 @@
   const auto before = book.stats();
   write(entries * 3, [&](std::uint64_t) { return chance(entries); });
   const auto after = book.stats();
-  const auto put = static_cast<double>(after.putBytes - before.putBytes);
+  const auto put = static_cast<double>(after.writtenBytes - before.writtenBytes);
   out.factor = (put + static_cast<double>(after.compactedBytes - before.compactedBytes)) / put;
-  out.most = std::max(out.most, after.folderMost);
+  out.most = std::max(out.most, after.peakFolderBytes);
   book.close();
   return out;
 }
@@ -182,7 +182,7 @@
   {
     rig.clear();
     auto bounds = rig;
-    bounds.bounds.diskBytes = 512 << 20, bounds.bounds.indexBytes = 512 << 20;
+    bounds.bounds.maxDiskBytes = 512 << 20, bounds.bounds.maxIndexBytes = 512 << 20;
     const auto store = bounds.open();
     std::uint64_t number = 0;
     puts(
@@ -206,17 +206,17 @@
   {
     rig.clear();
     auto large = rig;
-    large.bounds.diskBytes = std::uint64_t{4} << 30, large.bounds.indexBytes = 1 << 30;
-    large.bounds.segmentBytes = 16 << 20, large.bounds.queueBytes = 64 << 20;
+    large.bounds.maxDiskBytes = std::uint64_t{4} << 30, large.bounds.maxIndexBytes = 1 << 30;
+    large.bounds.maxSegmentBytes = 16 << 20, large.bounds.maxQueueBytes = 64 << 20;
     {
       PosixDisk disk(large.folder);
-      Book book(disk, large.bounds, {});
-      if (!book.open(1).ok()) return 1;
+      LogStructuredStore book(disk, large.bounds, {});
+      if (!book.open(1).isOk()) return 1;
       pcg32 chance(5);
       for (std::uint64_t i = 0; i < entries;) {
-        std::vector<Write> batch;
+        std::vector<WriteRequest> batch;
         for (int b = 0; b < 1024 && i < entries; ++b, ++i)
-          batch.push_back({false, keyOf(i * 7919 % entries), valueOf(chance, 1000), forever});
+          batch.push_back({false, keyOf(i * 7919 % entries), valueOf(chance, 1000), neverExpires});
         book.commit(batch, now());
       }
       book.close();
@@ -238,8 +238,8 @@
         if (cold) forget();
         const auto begin = Clock::now();
         PosixDisk disk(large.folder);
-        Book book(disk, large.bounds, {});
-        if (!book.open(1).ok() || book.stats().entries != entries) std::exit(1);
+        LogStructuredStore book(disk, large.bounds, {});
+        if (!book.open(1).isOk() || book.stats().entries != entries) std::exit(1);
         return since(begin);
       });
     };
@@ -252,7 +252,7 @@
           1);
     }
     PosixDisk disk(large.folder);
-    Book book(disk, large.bounds, {});
+    LogStructuredStore book(disk, large.bounds, {});
     const auto before = allocatedBytes();
     book.open(1);
     const auto stats = book.stats();
@@ -267,7 +267,7 @@
     std::vector<double> quiet, busy, compactions;
     for (int i = 0; i < runs; ++i) {
       auto small = rig;
-      small.bounds.diskBytes = 64 << 20, small.bounds.segmentBytes = 2 << 20;
+      small.bounds.maxDiskBytes = 64 << 20, small.bounds.maxSegmentBytes = 2 << 20;
       rig.clear();
       const auto store = small.open();
       std::uint64_t number = 0;
@@ -278,11 +278,11 @@
       for (std::uint64_t k = 0; k < 20000;)
         puts(
             *store, 64, 0.2, [&] { return keyOf(k++); }, 1000);
-      const auto before = store->figures().book;
+      const auto before = store->statistics().book;
       busy.push_back(puts(
                          *store, 8, 3.0, [&] { return keyOf(chance(20000)); }, 1000)
                          .p99);
-      compactions.push_back(static_cast<double>(store->figures().book.compactions - before.compactions));
+      compactions.push_back(static_cast<double>(store->statistics().book.compactions - before.compactions));
     }
     fmt::print("acknowledgements, 8 in flight, values of 1000 bytes\n");
     row("p99 quiet, ms", "ack_quiet_p99_ms", median(quiet), 2);
--- a/src/commands/store_command.cpp
+++ b/src/commands/store_command.cpp
@@ -1,7 +1,5 @@
 // store: look into a store, check it, change it. Each takes the folder's lock, so none works beside a process
 // that has it open.
-#include "store/store.h"
-
 #include <Poco/Base64Decoder.h>
 #include <Poco/Base64Encoder.h>
 #include <Poco/Exception.h>
@@ -19,15 +17,17 @@
 #include "commands/commands.h"
 #include "options/options.h"
 #include "store/posix_disk.h"
+#include "store/store.h"
 #include "store/verify.h"
 
 namespace rainhook::commands {
 namespace {
 
 namespace po = boost::program_options;
-using store::Outcome;
-using store::Page;
+using store::ScanPage;
 using store::Store;
+using store::StoreErrorCode;
+using store::StoreStatus;
 using store::UnixTime;
 
 constexpr const char* usage = R"(usage: rainhook store COMMAND --dir D [options]
@@ -93,44 +93,44 @@
     return given_["key"].as<std::string>();
   }
 
-  UnixTime goodUntil() const {
-    if (!given_.count("for")) return store::forever;
+  UnixTime expiry() const {
+    if (!given_.count("for")) return store::neverExpires;
     const auto wanted = given_["for"].as<std::uint64_t>();
     constexpr std::uint64_t most = std::uint64_t{100} * 366 * 24 * 3600;
     if (wanted == 0 || wanted > most) throw Misuse("store: --for takes 1 to 3162240000 seconds");
     return now() + std::chrono::seconds(wanted);
   }
 
-  static void must(const Outcome& outcome) {
-    if (!outcome.ok()) throw Failed(outcome.what);
+  static void must(const StoreStatus& outcome) {
+    if (!outcome.isOk()) throw Failed(outcome.message);
   }
 
   // Waits where the queue is full, as a command may.
   template <typename Try>
   void take(Try attempt) {
-    for (auto outcome = attempt(); !outcome.ok(); outcome = attempt()) {
-      if (outcome.code != Outcome::Code::queueFull) throw Failed(outcome.what);
-      store_->settle();
+    for (auto outcome = attempt(); !outcome.isOk(); outcome = attempt()) {
+      if (outcome.code != StoreErrorCode::queueFull) throw Failed(outcome.message);
+      store_->waitUntilIdle();
     }
   }
 
  private:
   const po::variables_map& given_;
   std::string folder_;
-  store::StoreBounds bounds_;
+  store::StoreSettings bounds_;
   std::unique_ptr<Store> store_;
 };
 
 std::string all(std::istream& in) { return {std::istreambuf_iterator<char>(in), {}}; }
 
 int put(Session& session, bool lines) {
-  const auto until = session.goodUntil();
+  const auto until = session.expiry();
   const auto key = lines ? std::string() : session.key();
   Store& store = session.store();
-  Outcome last;
+  StoreStatus last;
   const auto heard = [&last, lines](const std::string& of) {
-    return [&last, lines, of](const Outcome& outcome) {
-      if (!outcome.ok()) {
+    return [&last, lines, of](const StoreStatus& outcome) {
+      if (!outcome.isOk()) {
         last = outcome;
       } else if (lines) {
         std::cout << of << '\n' << std::flush;
@@ -141,14 +141,14 @@
     const auto value = all(std::cin);
     session.take([&] { return store.put(key, value, until, heard(key)); });
   }
-  for (std::string line; lines && last.ok() && std::getline(std::cin, line);) {
+  for (std::string line; lines && last.isOk() && std::getline(std::cin, line);) {
     const auto tab = line.find('\t');
     if (tab == std::string::npos || tab == 0) throw Failed("a line is no KEY<TAB>VALUE");
     const auto own = line.substr(0, tab);
     session.take([&] { return store.put(own, line.substr(tab + 1), until, heard(own)); });
-    store.deliver();
+    store.dispatchCompletions();
   }
-  store.settle();
+  store.waitUntilIdle();
   Session::must(last);
   return fine;
 }
@@ -156,7 +156,7 @@
 int get(Session& session) {
   const auto key = session.key();
   const auto got = session.store().get(key);
-  Session::must(got.outcome);
+  Session::must(got.status);
   if (!got.value) return absent;
   std::cout << *got.value << std::flush;
   return fine;
@@ -165,23 +165,23 @@
 int erase(Session& session) {
   const auto key = session.key();
   Store& store = session.store();
-  Outcome last;
-  session.take([&] { return store.erase(key, [&](const Outcome& outcome) { last = outcome; }); });
-  store.settle();
+  StoreStatus last;
+  session.take([&] { return store.erase(key, [&](const StoreStatus& outcome) { last = outcome; }); });
+  store.waitUntilIdle();
   Session::must(last);
   return fine;
 }
 
 // All rows, a page at a time.
 template <typename Hear>
-void rows(const Store& store, bool byAge, Hear hear) {
+void rows(const Store& store, bool scanByAge, Hear hear) {
   constexpr std::size_t page = 1000;
-  std::optional<store::Index::Behind> age;
+  std::optional<store::KeyIndex::AgeCursor> age;
   std::string key;
   for (bool first = true;; first = false) {
-    const Page got = byAge ? store.byAge(age, page) : store.byKey(key, !first, page);
+    const ScanPage got = scanByAge ? store.scanByAge(age, page) : store.scanByKey(key, !first, page);
     for (const auto& row : got.rows) hear(row);
-    if (!got.more) return;
+    if (!got.hasMore) return;
     key = got.rows.back().key;
     age = {key, got.rows.back().sequence};
   }
@@ -189,11 +189,11 @@
 
 std::int64_t millis(UnixTime time) { return time.time_since_epoch().count(); }
 
-int list(Session& session, bool byAge, bool longer) {
-  rows(session.store(), byAge, [longer](const Page::Row& row) {
+int list(Session& session, bool scanByAge, bool longer) {
+  rows(session.store(), scanByAge, [longer](const ScanPage::Row& row) {
     std::cout << row.key;
     if (longer)
-      std::cout << '\t' << (row.goodUntil == store::forever ? "-" : std::to_string(millis(row.goodUntil)))
+      std::cout << '\t' << (row.expiry == store::neverExpires ? "-" : std::to_string(millis(row.expiry)))
                 << '\t' << row.bytes;
     std::cout << '\n';
   });
@@ -202,14 +202,24 @@
 }
 
 int stats(Session& session) {
-  const auto figures = session.store().figures();
-  const auto& s = figures.book;
+  const auto statistics = session.store().statistics();
+  const auto& s = statistics.book;
   const std::pair<const char*, std::uint64_t> all[] = {
-      {"entries", s.entries},          {"gone_remembered", s.gone},     {"index_bytes", s.indexBytes},
-      {"folder_bytes", s.folderBytes}, {"folder_most", s.folderMost},   {"living_bytes", s.livingBytes},
-      {"aside_files", s.asideFiles},   {"expired", s.expired},          {"aged_out", s.agedOut},
-      {"lost_files", s.lostFiles},     {"lost_records", s.lostRecords}, {"lost_bytes", s.lostBytes},
-      {"torn_bytes", s.tornBytes},     {"doubted", s.doubted},          {"hints_rebuilt", s.hintsRebuilt},
+      {"entries", s.entries},
+      {"gone_remembered", s.tombstones},
+      {"index_bytes", s.indexBytes},
+      {"folder_bytes", s.folderBytes},
+      {"folder_most", s.peakFolderBytes},
+      {"living_bytes", s.liveBytes},
+      {"aside_files", s.quarantinedFiles},
+      {"expired", s.expiredEntries},
+      {"aged_out", s.agedOutEntries},
+      {"lost_files", s.lostFiles},
+      {"lost_records", s.lostRecords},
+      {"lost_bytes", s.lostBytes},
+      {"torn_bytes", s.tornBytes},
+      {"doubted", s.discardedEntries},
+      {"hints_rebuilt", s.hintsRebuilt},
       {"failed_syncs", s.failedSyncs},
   };
   for (const auto& [name, value] : all) fmt::print("{}={}\n", name, value);
@@ -218,10 +228,10 @@
 
 int verify(const Session& session) {
   store::PosixDisk disk(session.folder());
-  if (const auto locked = disk.lock(store::lockName); locked.fault)
+  if (const auto locked = disk.lock(store::lockFileName); locked.error)
     throw Failed(fmt::format("the store is open in process {}", locked.holder));
-  store::Verified found;
-  if (const auto fault = store::verify(disk, found)) throw Failed("the folder: " + fault.text());
+  store::VerificationReport found;
+  if (const auto error = store::verify(disk, found)) throw Failed("the folder: " + error.message());
   for (const auto& row : found.notes)
     fmt::print("note: {} at {}, {} bytes: {}\n", row.file, row.offset, row.bytes, row.what);
   for (const auto& row : found.damage)
@@ -233,20 +243,21 @@
 
 int compact(Session& session) {
   Store& store = session.store();
-  const auto before = store.figures().book.folderBytes;
-  Outcome last;
-  Session::must(store.compact([&](const Outcome& outcome) { last = outcome; }));
-  store.settle();
+  const auto before = store.statistics().book.folderBytes;
+  StoreStatus last;
+  Session::must(store.compact([&](const StoreStatus& outcome) { last = outcome; }));
+  store.waitUntilIdle();
   Session::must(last);
-  fmt::print("{} bytes before, {} after\n", before, store.figures().book.folderBytes);
+  fmt::print("{} bytes before, {} after\n", before, store.statistics().book.folderBytes);
   return fine;
 }
 
 int snapshot(Session& session, const std::string& to) {
   Store& store = session.store();
-  Outcome last;
-  Session::must(store.snapshot(std::make_unique<store::PosixDisk>(to), [&](const Outcome& o) { last = o; }));
-  store.settle();
+  StoreStatus last;
+  Session::must(
+      store.snapshot(std::make_unique<store::PosixDisk>(to), [&](const StoreStatus& o) { last = o; }));
+  store.waitUntilIdle();
   Session::must(last);
   return fine;
 }
@@ -278,14 +289,14 @@
 int dump(Session& session) {
   Store& store = session.store();
   int status = fine;
-  rows(store, true, [&](const Page::Row& row) {
+  rows(store, true, [&](const ScanPage::Row& row) {
     const auto got = store.get(row.key);
     if (!got.value) {
-      if (!got.outcome.ok()) fmt::print(stderr, "store: {}\n", got.outcome.what), status = damaged;
+      if (!got.status.isOk()) fmt::print(stderr, "store: {}\n", got.status.message), status = damaged;
       return;
     }
     nlohmann::json line{{"key", base64(row.key)}, {"value", base64(*got.value)}};
-    if (row.goodUntil != store::forever) line["good_until_ms"] = millis(row.goodUntil);
+    if (row.expiry != store::neverExpires) line["good_until_ms"] = millis(row.expiry);
     std::cout << line.dump() << '\n';
   });
   std::cout << std::flush;
@@ -294,9 +305,9 @@
 
 int load(Session& session) {
   Store& store = session.store();
-  Outcome last;
+  StoreStatus last;
   std::uint64_t taken = 0, number = 0;
-  for (std::string text; last.ok() && std::getline(std::cin, text);) {
+  for (std::string text; last.isOk() && std::getline(std::cin, text);) {
     ++number;
     const auto line = nlohmann::json::parse(text, nullptr, false);
     if (!line.is_object()) throw Failed(fmt::format("line {} is no JSON object", number));
@@ -304,15 +315,16 @@
     const auto end = line.find("good_until_ms");
     if (end != line.end() && !end->is_number_integer())
       throw Failed(fmt::format("line {}: good_until_ms is no whole number", number));
-    const auto until =
-        end == line.end() ? store::forever : UnixTime(std::chrono::milliseconds(end->get<std::int64_t>()));
+    const auto until = end == line.end() ? store::neverExpires
+                                         : UnixTime(std::chrono::milliseconds(end->get<std::int64_t>()));
     session.take([&] {
-      return store.put(key, value, until,
-                       [&](const Outcome& outcome) { outcome.ok() ? void(++taken) : void(last = outcome); });
+      return store.put(key, value, until, [&](const StoreStatus& outcome) {
+        outcome.isOk() ? void(++taken) : void(last = outcome);
+      });
     });
-    store.deliver();
+    store.dispatchCompletions();
   }
-  store.settle();
+  store.waitUntilIdle();
   Session::must(last);
   fmt::print("{} entries are on the disk\n", taken);
   return fine;
@@ -341,8 +353,8 @@
     if (command == "load") return load(session);
     if (command == "snapshot" && !given.count("to")) throw Misuse("store snapshot: --to is missing");
     if (command == "snapshot") return snapshot(session, given["to"].as<std::string>());
-  } catch (const Failed& fault) {
-    fmt::print(stderr, "rainhook: store: {}\n", fault.what());
+  } catch (const Failed& error) {
+    fmt::print(stderr, "rainhook: store: {}\n", error.what());
     return faulty;
   }
   throw Misuse("unknown command 'store " + command + "'");
--- a/src/options/options.cpp
+++ b/src/options/options.cpp
@@ -20,23 +20,23 @@
 
 StorePlace storePlace(Section given) {
   StorePlace out;
-  store::StoreBounds& b = out.bounds;
+  store::StoreSettings& b = out.bounds;
   out.folder = given.text("folder");
-  b.diskBytes = given.bytes("disk_bytes", b.diskBytes, 256 * kib, 1024 * gib);
-  b.segmentBytes = given.bytes("segment_bytes", b.segmentBytes, 16 * kib, gib);
-  b.indexBytes = given.bytes("index_bytes", b.indexBytes, 64 * kib, 64 * gib);
-  b.queueBytes = given.bytes("queue_bytes", b.queueBytes, 4 * kib, gib);
-  b.longestKey = given.bytes("longest_key", b.longestKey, 1, 64 * kib - 1);
-  b.longestValue = given.bytes("longest_value", b.longestValue, 1, 256 * mib);
-  b.openFiles = given.count("open_files", b.openFiles, 2, 4096);
-  b.stepBytes = given.bytes("step_bytes", b.stepBytes, 4 * kib, 16 * mib);
-  b.compressFrom = given.bytes("compress_from", b.compressFrom, 64, 256 * mib);
-  b.commitMost = given.count("commit_most", b.commitMost, 1, 65536);
+  b.maxDiskBytes = given.bytes("disk_bytes", b.maxDiskBytes, 256 * kib, 1024 * gib);
+  b.maxSegmentBytes = given.bytes("segment_bytes", b.maxSegmentBytes, 16 * kib, gib);
+  b.maxIndexBytes = given.bytes("index_bytes", b.maxIndexBytes, 64 * kib, 64 * gib);
+  b.maxQueueBytes = given.bytes("queue_bytes", b.maxQueueBytes, 4 * kib, gib);
+  b.maxKeyBytes = given.bytes("longest_key", b.maxKeyBytes, 1, 64 * kib - 1);
+  b.maxValueBytes = given.bytes("longest_value", b.maxValueBytes, 1, 256 * mib);
+  b.maxOpenFiles = given.count("open_files", b.maxOpenFiles, 2, 4096);
+  b.maintenanceStepBytes = given.bytes("step_bytes", b.maintenanceStepBytes, 4 * kib, 16 * mib);
+  b.minCompressedValueBytes = given.bytes("compress_from", b.minCompressedValueBytes, 64, 256 * mib);
+  b.maxCommitWrites = given.count("commit_most", b.maxCommitWrites, 1, 65536);
   given.end();
-  if (b.segmentBytes > b.diskBytes / 8) given.fault("segment_bytes", "is over an eighth of disk_bytes");
-  if (b.longestKey + b.longestValue > b.segmentBytes / 4)
+  if (b.maxSegmentBytes > b.maxDiskBytes / 8) given.fault("segment_bytes", "is over an eighth of disk_bytes");
+  if (b.maxKeyBytes + b.maxValueBytes > b.maxSegmentBytes / 4)
     given.fault("longest_value", "is, with longest_key, over a quarter of segment_bytes");
-  if (b.longestKey + b.longestValue > b.queueBytes / 2)
+  if (b.maxKeyBytes + b.maxValueBytes > b.maxQueueBytes / 2)
     given.fault("longest_value", "is, with longest_key, over half of queue_bytes");
   return out;
 }
@@ -143,8 +143,8 @@
     out.push_back(
         fmt::format("store: in {}, at most {} kB on disk and {} kB of index (for rainhook store; serve does "
                     "not open it yet)",
-                    options.store->folder, options.store->bounds.diskBytes >> 10,
-                    options.store->bounds.indexBytes >> 10));
+                    options.store->folder, options.store->bounds.maxDiskBytes >> 10,
+                    options.store->bounds.maxIndexBytes >> 10));
   if (options.log && options.log->json) out.push_back("log: as JSON lines");
   if (options.membership)
     out.push_back(fmt::format(
--- a/src/options/options.h
+++ b/src/options/options.h
@@ -8,13 +8,13 @@
 
 #include "membership/place.h"
 #include "options/yaml_section.h"
-#include "store/bounds.h"
+#include "store/store_settings.h"
 
 namespace rainhook::options {
 
 struct StorePlace {
   std::string folder;
-  store::StoreBounds bounds;
+  store::StoreSettings bounds;
 
   bool operator==(const StorePlace&) const = default;
 };
--- a/src/server/incarnation_store.cpp
+++ b/src/server/incarnation_store.cpp
@@ -17,13 +17,13 @@
 
 constexpr std::uint64_t step = 1024;  // of the ceiling; as many words on ourselves need no write
 constexpr int keepEach = 10;          // periods between two writings of whom we know
-constexpr store::StoreBounds small{.diskBytes = 1 << 20,
-                                   .indexBytes = 64 << 10,
-                                   .queueBytes = 64 << 10,
-                                   .segmentBytes = 64 << 10,
-                                   .longestKey = 256,
-                                   .longestValue = 8 << 10,
-                                   .openFiles = 4};
+constexpr store::StoreSettings small{.maxDiskBytes = 1 << 20,
+                                     .maxIndexBytes = 64 << 10,
+                                     .maxQueueBytes = 64 << 10,
+                                     .maxSegmentBytes = 64 << 10,
+                                     .maxKeyBytes = 256,
+                                     .maxValueBytes = 8 << 10,
+                                     .maxOpenFiles = 4};
 
 store::UnixTime wall() {
   return std::chrono::floor<std::chrono::milliseconds>(std::chrono::system_clock::now());
@@ -60,16 +60,16 @@
       std::make_unique<store::PosixDisk>(place_.state), small, wall,
       [this](const std::string& line) { log_.line(net::Matter::start, "state: {}", line); });
   const auto opened = store_->open(std::random_device{}());
-  if (opened.code == store::Outcome::Code::locked) throw KeptElsewhere(place_.state + ": " + opened.what);
-  if (!opened.ok()) {
-    say("not-kept", opened.what);
+  if (opened.code == store::StoreErrorCode::locked) throw KeptElsewhere(place_.state + ": " + opened.message);
+  if (!opened.isOk()) {
+    say("not-kept", opened.message);
     store_.reset();
     return out;
   }
   const auto said = store_->get(key("incarnation"));
   const auto before = said.value ? number(*said.value) : std::optional<std::uint64_t>(0);
-  if (!before || !said.outcome.ok())
-    say("not-kept", "what was said earlier can't be read: " + said.outcome.what);
+  if (!before || !said.status.isOk())
+    say("not-kept", "what was said earlier can't be read: " + said.status.message);
   out.from = Incarnation{before.value_or(0) + 1};
   if (const auto known = store_->get(key("known")); known.value) {
     std::istringstream lines(*known.value);
@@ -78,7 +78,7 @@
       if (net::literal(address) && address != place_.advertise.text) out.known.push_back({{name}, {address}});
   }
   keepCeiling(before.value_or(0) + step);
-  store_->settle();
+  store_->waitUntilIdle();
   if (!failed_) out.ceiling = Incarnation{ceiling_};
   say("kept", "from " + std::to_string(before.value_or(0) + 1) + ", " + std::to_string(out.known.size()) +
                   " known from earlier");
@@ -87,16 +87,17 @@
 
 void Kept::keepCeiling(std::uint64_t ceiling) {
   writing_ = true;
-  const auto done = [this, ceiling](const store::Outcome& outcome) {
+  const auto done = [this, ceiling](const store::StoreStatus& outcome) {
     writing_ = false;
-    if (outcome.ok() == failed_) say(failed_ ? "kept-again" : "not-kept", outcome.what);  // once each way
-    failed_ = !outcome.ok();
+    if (outcome.isOk() == failed_)
+      say(failed_ ? "kept-again" : "not-kept", outcome.message);  // once each way
+    failed_ = !outcome.isOk();
     if (failed_) return;
     ceiling_ = ceiling;
     if (members_) members_->mayGoTo(Incarnation{ceiling});
   };
-  const auto taken = store_->put(key("incarnation"), std::to_string(ceiling), store::forever, done);
-  if (!taken.ok()) done(taken);
+  const auto taken = store_->put(key("incarnation"), std::to_string(ceiling), store::neverExpires, done);
+  if (!taken.isOk()) done(taken);
 }
 
 void Kept::follow(net::Members& members) {
@@ -106,7 +107,7 @@
 
 void Kept::look() {
   next_ = reactor_.after(std::max<net::Reactor::Wait>(place_.probeEvery, 1s), [this] { look(); });
-  store_->deliver();
+  store_->dispatchCompletions();
   // What others know of us may be far beyond, where the disk has lost what we said earlier.
   const auto said = static_cast<std::uint64_t>(members_->core().wanted());
   if (!writing_ && said + step / 2 > ceiling_) keepCeiling(std::max(ceiling_, said) + step);
@@ -132,7 +133,7 @@
   }
   if (text.empty() || text == known_) return;  // whoever is alone keeps whom it knew
   // One that fails on the disk waits for the next change of whom we know; nothing rests on it.
-  if (store_->put(key("known"), text, store::forever, [](const store::Outcome&) {}).ok())
+  if (store_->put(key("known"), text, store::neverExpires, [](const store::StoreStatus&) {}).isOk())
     known_ = text, knownAt_ = now;
 }
 
--- a/src/store/compaction_policy.cpp
+++ b/src/store/compaction_policy.cpp
@@ -17,25 +17,25 @@
 // nothing.
 constexpr std::uint64_t livingMost = 80;
 
-std::uint64_t dead(const SegmentFacts& segment) {
+std::uint64_t dead(const SegmentInfo& segment) {
   return segment.bytes - std::min(segment.bytes, segment.living);
 }
 
 }  // namespace
 
-std::optional<SegmentNumber> Plan::next(const FolderFacts& facts) const {
+std::optional<SegmentNumber> CompactionPolicy::next(const StoreOccupancy& facts) const {
   const auto used = facts.bytes * 100 / std::max<std::uint64_t>(usable(), 1);
   const auto worth = used >= shortFrom ? shortShare : used >= pressedFrom ? pressedShare : calmShare;
-  const auto rank = [&](const SegmentFacts& segment) {
+  const auto rank = [&](const SegmentInfo& segment) {
     if (!segment.sealed) return 0;
-    if (segment.distrusted) return 4;
+    if (segment.isUntrusted) return 4;
     if (segment.living == 0) return 3;
     if (segment.damaged) return 2;
     return dead(segment) * 100 >= worth * segment.bytes ? 1 : 0;
   };
-  const SegmentFacts* best = nullptr;
+  const SegmentInfo* best = nullptr;
   int bestRank = 0;
-  for (const SegmentFacts& segment : facts.segments) {
+  for (const SegmentInfo& segment : facts.segments) {
     const int own = rank(segment);
     if (own == 0 || own < bestRank) continue;
     // By share, compared without division; the older one where they are equal.
@@ -46,24 +46,24 @@
   return best->number;
 }
 
-bool Plan::holdsDead(const SegmentFacts& segment) const {
+bool CompactionPolicy::hasReclaimableBytes(const SegmentInfo& segment) const {
   // Two heads and the end of the hint are no loss.
-  return segment.sealed && dead(segment) > 2 * headBytes + recordBytes(0, hintPlaceBytes);
+  return segment.sealed && dead(segment) > 2 * fileHeaderBytes + recordBytes(0, hintLocationBytes);
 }
 
-Plan::Excess Plan::excess(const FolderFacts& facts) const {
+CompactionPolicy::Excess CompactionPolicy::excess(const StoreOccupancy& facts) const {
   std::uint64_t living = 0;
-  for (const SegmentFacts& segment : facts.segments) living += segment.living;
+  for (const SegmentInfo& segment : facts.segments) living += segment.living;
   const auto others = facts.bytes - std::min(facts.bytes, [&] {
                         std::uint64_t all = 0;
-                        for (const SegmentFacts& segment : facts.segments) all += segment.bytes;
+                        for (const SegmentInfo& segment : facts.segments) all += segment.bytes;
                         return all;
                       }());
   const auto mayUse = usable() - std::min(usable(), others);
   const auto mayLive = mayUse / 100 * livingMost;
   Excess out;
   if (living > mayLive) out.disk = living - mayLive;
-  if (facts.indexBytes > bounds_.indexBytes) out.index = facts.indexBytes - bounds_.indexBytes;
+  if (facts.indexBytes > bounds_.maxIndexBytes) out.index = facts.indexBytes - bounds_.maxIndexBytes;
   return out;
 }
 
--- a/src/store/format.cpp
+++ b/src/store/format.cpp
@@ -28,15 +28,15 @@
 }
 
 // The same bytes as in the files, without a string: this is asked for each record of a start.
-std::uint64_t seedOf(const Spot& spot) {
+std::uint64_t seedOf(const RecordPosition& spot) {
   std::array<unsigned char, 26> words{};
   std::size_t at = 0;
   const auto add = [&](std::uint64_t value, std::size_t bytes) {
     for (std::size_t i = 0; i < bytes; ++i) words[at++] = static_cast<unsigned char>(value >> (8 * i));
   };
-  add(raw(spot.file.store), 8);
+  add(rawValue(spot.file.store), 8);
   add(static_cast<std::uint64_t>(spot.file.kind), 2);
-  add(raw(spot.file.number), 8);
+  add(rawValue(spot.file.number), 8);
   add(spot.offset, 8);
   return XXH3_64bits(words.data(), words.size());
 }
@@ -49,41 +49,41 @@
 
 }  // namespace
 
-std::string encodeHead(const FileHead& head) {
+std::string encodeHeader(const FileHeader& head) {
   std::string out(fileMagic);
   put(out, head.version);
   put(out, static_cast<std::uint16_t>(head.kind));
   put(out, std::uint32_t{0});
-  put(out, raw(head.store));
-  put(out, raw(head.number));
+  put(out, rawValue(head.store));
+  put(out, rawValue(head.number));
   put(out, checkOf(out, 0));
   return out;
 }
 
-HeadRead decodeHead(std::string_view bytes) {
-  if (bytes.size() < headBytes) return {{}, HeadFault::cut};
-  const auto checked = bytes.substr(0, headBytes - 8);
-  if (!bytes.starts_with(fileMagic) || get<std::uint64_t>(bytes, headBytes - 8) != checkOf(checked, 0))
-    return {{}, HeadFault::damaged};
-  FileHead head;
+HeaderReadResult decodeHeader(std::string_view bytes) {
+  if (bytes.size() < fileHeaderBytes) return {{}, HeaderError::truncated};
+  const auto checked = bytes.substr(0, fileHeaderBytes - 8);
+  if (!bytes.starts_with(fileMagic) || get<std::uint64_t>(bytes, fileHeaderBytes - 8) != checkOf(checked, 0))
+    return {{}, HeaderError::corrupt};
+  FileHeader head;
   head.version = get<std::uint16_t>(bytes, 8);
   head.kind = static_cast<FileKind>(get<std::uint16_t>(bytes, 10));
   head.store = StoreId{get<std::uint64_t>(bytes, 16)};
   head.number = SegmentNumber{get<std::uint64_t>(bytes, 24)};
-  return {head, head.version > formatVersion ? HeadFault::newer : HeadFault::none};
+  return {head, head.version > formatVersion ? HeaderError::newerVersion : HeaderError::none};
 }
 
-void append(std::string& out, const Record& record, const Spot& spot) {
+void appendRecord(std::string& out, const Record& record, const RecordPosition& spot) {
   const std::size_t begin = out.size();
   out += recordMagic;
   put(out, std::uint64_t{0});  // the checksum, below
   put(out, static_cast<std::uint32_t>(recordBytes(record.key.size(), record.value.size())));
-  put(out, raw(record.sequence));
-  put(out, static_cast<std::int64_t>(record.goodUntil.time_since_epoch().count()));
+  put(out, rawValue(record.sequence));
+  put(out, static_cast<std::int64_t>(record.expiry.time_since_epoch().count()));
   put(out, static_cast<std::uint32_t>(record.key.size()));
   put(out, static_cast<std::uint32_t>(record.value.size()));
   put(out, static_cast<std::uint8_t>(record.kind));
-  put(out, static_cast<std::uint8_t>(record.packed));
+  put(out, static_cast<std::uint8_t>(record.isCompressed));
   put(out, std::uint16_t{0});
   put(out, std::uint32_t{0});
   out += record.key;
@@ -93,27 +93,27 @@
   out.replace(begin + recordMagic.size(), check.size(), check);
 }
 
-RecordRead readRecord(std::string_view bytes, const Spot& spot) {
-  using enum RecordRead::Found;
+RecordReadResult readRecord(std::string_view bytes, const RecordPosition& spot) {
+  using enum RecordReadResult::State;
   if (!bytes.starts_with(recordMagic.substr(0, bytes.size()))) return {};
-  if (bytes.size() < recordHeadBytes) return {needsMore, {}, recordHeadBytes};
+  if (bytes.size() < recordHeaderBytes) return {needsMoreBytes, {}, recordHeaderBytes};
   const std::size_t length = get<std::uint32_t>(bytes, 12);
   const std::size_t key = get<std::uint32_t>(bytes, 32), value = get<std::uint32_t>(bytes, 36);
   if (length != recordBytes(key, value)) return {};
-  if (bytes.size() < length) return {needsMore, {}, length};
+  if (bytes.size() < length) return {needsMoreBytes, {}, length};
   if (get<std::uint64_t>(bytes, 4) != checkOf(bytes.substr(checkedFrom, length - checkedFrom), seedOf(spot)))
     return {};
-  RecordRead out{whole, {}, length};
-  out.record.sequence = Sequence{get<std::uint64_t>(bytes, 16)};
-  out.record.goodUntil = UnixTime(std::chrono::milliseconds(get<std::int64_t>(bytes, 24)));
-  out.record.kind = static_cast<Kind>(get<std::uint8_t>(bytes, 40));
-  out.record.packed = get<std::uint8_t>(bytes, 41) != 0;
-  out.record.key = bytes.substr(recordHeadBytes, key);
-  out.record.value = bytes.substr(recordHeadBytes + key, value);
+  RecordReadResult out{complete, {}, length};
+  out.record.sequence = SequenceNumber{get<std::uint64_t>(bytes, 16)};
+  out.record.expiry = UnixTime(std::chrono::milliseconds(get<std::int64_t>(bytes, 24)));
+  out.record.kind = static_cast<RecordKind>(get<std::uint8_t>(bytes, 40));
+  out.record.isCompressed = get<std::uint8_t>(bytes, 41) != 0;
+  out.record.key = bytes.substr(recordHeaderBytes, key);
+  out.record.value = bytes.substr(recordHeaderBytes + key, value);
   return out;
 }
 
-std::size_t nextCandidate(std::string_view bytes, std::size_t from) {
+std::size_t findRecordCandidate(std::string_view bytes, std::size_t from) {
   const auto at = bytes.find(recordMagic, from);
   if (at != std::string_view::npos) return at;
   // One whose magic is cut off by the end of what was read.
@@ -123,92 +123,94 @@
   return std::string_view::npos;
 }
 
-std::string encodePlace(const HintPlace& place) {
+std::string encodeHintLocation(const HintLocation& place) {
   std::string out;
   put(out, place.offset);
   put(out, place.bytes);
   return out;
 }
 
-std::optional<HintPlace> decodePlace(std::string_view value) {
-  if (value.size() != hintPlaceBytes) return std::nullopt;
-  return HintPlace{get<std::uint64_t>(value, 0), get<std::uint64_t>(value, 8)};
+std::optional<HintLocation> decodeHintLocation(std::string_view value) {
+  if (value.size() != hintLocationBytes) return std::nullopt;
+  return HintLocation{get<std::uint64_t>(value, 0), get<std::uint64_t>(value, 8)};
 }
 
 namespace {
 constexpr std::size_t manifestFixed = 40, sweepBytes = 16, listedBytes = 25;
-Spot manifestSpot(StoreId store) { return {{FileKind::manifest, store, SegmentNumber{0}}, headBytes}; }
+RecordPosition manifestSpot(StoreId store) {
+  return {{FileKind::manifest, store, SegmentNumber{0}}, fileHeaderBytes};
+}
 }  // namespace
 
 std::string encodeManifest(const Manifest& manifest) {
   std::string value;
-  put(value, raw(manifest.nextNumber));
-  put(value, raw(manifest.nextSequence));
-  put(value, raw(manifest.floor));
+  put(value, rawValue(manifest.nextNumber));
+  put(value, rawValue(manifest.nextSequence));
+  put(value, rawValue(manifest.floor));
   put(value, std::uint64_t{manifest.sweeps.size()});
   put(value, std::uint64_t{manifest.segments.size()});
-  for (const Sweep& sweep : manifest.sweeps) {
-    put(value, raw(sweep.before));
+  for (const ExpirySweep& sweep : manifest.sweeps) {
+    put(value, rawValue(sweep.before));
     put(value, static_cast<std::int64_t>(sweep.until.time_since_epoch().count()));
   }
   for (const auto& segment : manifest.segments) {
-    put(value, raw(segment.number));
+    put(value, rawValue(segment.number));
     put(value, segment.bytes);
-    put(value, raw(segment.last));
+    put(value, rawValue(segment.last));
     put(value, static_cast<std::uint8_t>(segment.sealed));
   }
-  const Spot spot = manifestSpot(manifest.store);
-  auto out = encodeHead(spot.file);
-  append(out, {Kind::manifest, false, Sequence{0}, forever, {}, value}, spot);
+  const RecordPosition spot = manifestSpot(manifest.store);
+  auto out = encodeHeader(spot.file);
+  appendRecord(out, {RecordKind::manifest, false, SequenceNumber{0}, neverExpires, {}, value}, spot);
   return out;
 }
 
-ManifestRead decodeManifest(std::string_view bytes) {
-  const auto head = decodeHead(bytes);
-  if (head.fault != HeadFault::none) return {std::nullopt, head.fault};
-  ManifestRead wrong{std::nullopt, HeadFault::damaged};
+ManifestReadResult decodeManifest(std::string_view bytes) {
+  const auto head = decodeHeader(bytes);
+  if (head.error != HeaderError::none) return {std::nullopt, head.error};
+  ManifestReadResult wrong{std::nullopt, HeaderError::corrupt};
   if (head.head.kind != FileKind::manifest) return wrong;
-  const auto read = readRecord(bytes.substr(headBytes), manifestSpot(head.head.store));
+  const auto read = readRecord(bytes.substr(fileHeaderBytes), manifestSpot(head.head.store));
   const auto value = read.record.value;
-  if (read.found != RecordRead::Found::whole || read.record.kind != Kind::manifest ||
+  if (read.state != RecordReadResult::State::complete || read.record.kind != RecordKind::manifest ||
       value.size() < manifestFixed)
     return wrong;
   Manifest out;
   out.store = head.head.store;
   out.nextNumber = SegmentNumber{get<std::uint64_t>(value, 0)};
-  out.nextSequence = Sequence{get<std::uint64_t>(value, 8)};
-  out.floor = Sequence{get<std::uint64_t>(value, 16)};
+  out.nextSequence = SequenceNumber{get<std::uint64_t>(value, 8)};
+  out.floor = SequenceNumber{get<std::uint64_t>(value, 16)};
   const auto sweeps = get<std::uint64_t>(value, 24), segments = get<std::uint64_t>(value, 32);
   if (sweeps > value.size() || segments > value.size() ||
       value.size() != manifestFixed + sweeps * sweepBytes + segments * listedBytes)
     return wrong;
   std::size_t at = manifestFixed;
   for (std::uint64_t i = 0; i < sweeps; ++i, at += sweepBytes)
-    out.sweeps.push_back({Sequence{get<std::uint64_t>(value, at)},
+    out.sweeps.push_back({SequenceNumber{get<std::uint64_t>(value, at)},
                           UnixTime(std::chrono::milliseconds(get<std::int64_t>(value, at + 8)))});
   for (std::uint64_t i = 0; i < segments; ++i, at += listedBytes)
     out.segments.push_back({SegmentNumber{get<std::uint64_t>(value, at)},
                             get<std::uint8_t>(value, at + 24) != 0, get<std::uint64_t>(value, at + 8),
-                            Sequence{get<std::uint64_t>(value, at + 16)}});
-  return {out, HeadFault::none};
+                            SequenceNumber{get<std::uint64_t>(value, at + 16)}});
+  return {out, HeaderError::none};
 }
 
-std::string segmentName(SegmentNumber number) { return fmt::format("{:010}.seg", raw(number)); }
-std::string hintName(SegmentNumber number) { return fmt::format("{:010}.hint", raw(number)); }
-std::string hintTemporary(SegmentNumber number) { return hintName(number) + ".tmp"; }
+std::string segmentFileName(SegmentNumber number) { return fmt::format("{:010}.seg", rawValue(number)); }
+std::string hintFileName(SegmentNumber number) { return fmt::format("{:010}.hint", rawValue(number)); }
+std::string hintTemporaryFileName(SegmentNumber number) { return hintFileName(number) + ".tmp"; }
 
-std::optional<Named> readName(std::string_view name) {
+std::optional<ParsedFileName> parseFileName(std::string_view name) {
   std::uint64_t number = 0;
   const auto [end, error] = std::from_chars(name.data(), name.data() + name.size(), number);
   if (error != std::errc{} || end - name.data() < 10) return std::nullopt;
   const auto rest = name.substr(static_cast<std::size_t>(end - name.data()));
-  if (rest == ".seg") return Named{FileKind::segment, SegmentNumber{number}, false};
-  if (rest == ".hint") return Named{FileKind::hint, SegmentNumber{number}, false};
-  if (rest == ".hint.tmp") return Named{FileKind::hint, SegmentNumber{number}, true};
+  if (rest == ".seg") return ParsedFileName{FileKind::segment, SegmentNumber{number}, false};
+  if (rest == ".hint") return ParsedFileName{FileKind::hint, SegmentNumber{number}, false};
+  if (rest == ".hint.tmp") return ParsedFileName{FileKind::hint, SegmentNumber{number}, true};
   return std::nullopt;
 }
 
-std::optional<std::string> pack(std::string_view plain) {
+std::optional<std::string> compress(std::string_view plain) {
   std::string out(ZSTD_compressBound(plain.size()), '\0');
   const auto size = ZSTD_compress(out.data(), out.size(), plain.data(), plain.size(), 1);
   if (ZSTD_isError(size) || size >= plain.size()) return std::nullopt;
@@ -216,7 +218,7 @@
   return out;
 }
 
-std::optional<std::string> unpack(std::string_view packed, std::size_t longest) {
+std::optional<std::string> decompress(std::string_view packed, std::size_t longest) {
   const auto size = ZSTD_getFrameContentSize(packed.data(), packed.size());
   if (size == ZSTD_CONTENTSIZE_ERROR || size == ZSTD_CONTENTSIZE_UNKNOWN || size > longest)
     return std::nullopt;
--- a/src/store/posix_disk.h
+++ b/src/store/posix_disk.h
@@ -16,22 +16,22 @@
   PosixDisk(const PosixDisk&) = delete;
   PosixDisk& operator=(const PosixDisk&) = delete;
 
-  Fault list(std::vector<Listed>& into) override;
-  Opened open(const std::string& name) override;
-  Opened create(const std::string& name) override;
-  void willRead(const std::string& name) override;
-  Fault rename(const std::string& from, const std::string& to) override;
-  Fault remove(const std::string& name) override;
-  Fault syncFolder() override;
-  Locked lock(const std::string& name) override;
+  DiskError list(std::vector<DirectoryEntry>& into) override;
+  OpenResult open(const std::string& name) override;
+  OpenResult create(const std::string& name) override;
+  void prefetch(const std::string& name) override;
+  DiskError rename(const std::string& from, const std::string& to) override;
+  DiskError remove(const std::string& name) override;
+  DiskError syncDirectory() override;
+  LockResult lock(const std::string& name) override;
   void unlock() override;
 
  private:
-  Opened openAt(const std::string& name, int flags);
+  OpenResult openAt(const std::string& name, int flags);
 
   std::string folder_;
   int directory_ = -1, lock_ = -1;
-  Fault made_;
+  DiskError openError_;
 };
 
 }  // namespace rainhook::store
--- a/src/store/scanner.h
+++ b/src/store/record_scanner.h
@@ -10,7 +10,7 @@
 
 namespace rainhook::store {
 
-class Scanner {
+class RecordScanner {
  public:
   struct Step {
     enum class What { record, damage, end } what = What::end;
@@ -19,7 +19,7 @@
     std::uint64_t bytes = 0;
   };
 
-  Scanner(std::shared_ptr<File> file, FileHead head);
+  RecordScanner(std::shared_ptr<File> file, FileHeader head);
   // Also where the disk gives an error: what can't be read is damage.
   Step next();
   std::uint64_t position() const { return at_; }
@@ -29,12 +29,12 @@
 
   // At least this many bytes from `at` on, or all up to the end of the file.
   std::string_view window(std::uint64_t at, std::size_t least);
-  RecordRead readAt(std::uint64_t at);
+  RecordReadResult readAt(std::uint64_t at);
   std::uint64_t nextWhole(std::uint64_t from);
 
   std::shared_ptr<File> file_;
-  FileHead head_;
-  std::uint64_t size_, at_ = headBytes;
+  FileHeader head_;
+  std::uint64_t size_, at_ = fileHeaderBytes;
   std::uint64_t windowAt_ = 0;
   std::string window_;  // grows to the longest record of the file at most
 };
--- a/src/store/recovery.h
+++ b/src/store/recovery.h
@@ -1,4 +1,4 @@
-// What a start finds in the folder; private to the Book, which lives on with what this leaves.
+// What a start finds in the folder; private to the LogStructuredStore, which lives on with what this leaves.
 #pragma once
 
 #include <set>
@@ -7,31 +7,31 @@
 
 namespace rainhook::store {
 
-class Book::Recovery {
+class LogStructuredStore::Recovery {
  public:
-  explicit Recovery(Book& book) : book_(book) {}
-  Outcome run(std::uint64_t seed);
+  explicit Recovery(LogStructuredStore& book) : book_(book) {}
+  StoreStatus run(std::uint64_t seed);
 
  private:
   struct Found {
     bool segment = false, hint = false;
-    std::uint64_t segmentBytes = 0, hintBytes = 0;
+    std::uint64_t maxSegmentBytes = 0, hintEntryBytes = 0;
   };
   struct Hint {
     struct Row {
-      Kind kind{};
+      RecordKind kind{};
       std::string key;
-      Sequence sequence{};
-      UnixTime goodUntil = forever;
-      HintPlace place;
+      SequenceNumber sequence{};
+      UnixTime expiry = neverExpires;
+      HintLocation place;
     };
     std::vector<Row> rows;
-    std::optional<HintPlace> end;  // where the file ends as it should and nothing of it is damaged
+    std::optional<HintLocation> end;  // where the file ends as it should and nothing of it is damaged
   };
   struct Lost {
     SegmentNumber segment;
     std::string key;
-    Sequence sequence;
+    SequenceNumber sequence;
     std::uint64_t bytes = 0;  // 0: an earlier start told of it
   };
   // What a segment that was read through could not give.
@@ -41,11 +41,11 @@
     std::uint64_t lostRecords = 0, lostBytes = 0;  // acknowledged, and nothing else has them
   };
 
-  Outcome list();
+  StoreStatus list();
   void readManifest();
   void chooseId(std::uint64_t seed);
   void sortOut();
-  Outcome recover(SegmentNumber number, const Found& found);
+  StoreStatus recover(SegmentNumber number, const Found& found);
   Hint readHint(SegmentNumber number);
   bool takeHint(SegmentNumber number, const Hint& hint, std::uint64_t bytes);
   void scan(SegmentNumber number, std::shared_ptr<File> file, const Hint& hint);
@@ -58,15 +58,15 @@
   void doubt(const Manifest::Listed& gone);
   const Manifest::Listed* listed(SegmentNumber number) const;
 
-  Book& book_;
+  LogStructuredStore& book_;
   std::set<std::string> names_;
   std::map<SegmentNumber, Found> found_;
   std::optional<Manifest> manifest_;
   std::vector<Lost> lost_;
   std::map<SegmentNumber, Damage> damage_;
-  Sequence highest_{};
+  SequenceNumber highest_{};
   bool doubt_ = false;
-  Sequence doubtBelow_{};
+  SequenceNumber doubtBelow_{};
 };
 
 }  // namespace rainhook::store
--- a/src/store/segment.h
+++ b/src/store/segment_writer.h
@@ -9,50 +9,52 @@
 
 #include "store/disk.h"
 #include "store/format.h"
-#include "store/index.h"
+#include "store/key_index.h"
 
 namespace rainhook::store {
 
-class Segment {
+class SegmentWriter {
  public:
   // Makes both files with their heads; the folder is not synced yet. Where the hint file can't be had the
   // segment goes without, and the next start makes it.
-  static std::unique_ptr<Segment> make(Disk& disk, StoreId store, SegmentNumber number, Fault& fault);
+  static std::unique_ptr<SegmentWriter> make(Disk& disk, StoreId store, SegmentNumber number,
+                                             DiskError& error);
 
   // Encodes a record behind what was added and not written yet; gives where it will stand.
-  Where add(const Record& record);
+  RecordLocation add(const Record& record);
   // Writes what was added. On a fault nothing of it counts, and the file is cut back to before.
-  Fault write();
-  Fault sync() { return file_->sync(); }
+  DiskError write();
+  DiskError sync() { return file_->sync(); }
   // Takes back what was written since the last `settle` (its sync failed).
   void takeBack();
   // What was written is believed: its hint entries go into the hint file.
-  void settle();
+  void waitUntilIdle();
   // The last entry of the hint; the segment takes no more. The hint is no loss where this fails.
   void seal();
 
   SegmentNumber number() const { return head_.number; }
-  const FileHead& head() const { return head_; }
+  const FileHeader& head() const { return head_; }
   std::uint64_t bytes() const { return written_; }
-  std::uint64_t settled() const { return settled_; }  // what counts; behind it may stand what failed
-  std::uint64_t hintBytes() const { return hintWritten_; }
+  std::uint64_t committedBytes() const { return settled_; }  // what counts; behind it may stand what failed
+  std::uint64_t hintEntryBytes() const { return hintWritten_; }
   std::uint64_t weight() const {
-    return written_ + pending_.size() + hintWritten_ + hints_.size() + recordBytes(0, hintPlaceBytes);
+    return written_ + pending_.size() + hintWritten_ + hints_.size() + recordBytes(0, hintLocationBytes);
   }
   std::uint64_t records() const { return records_; }
-  Sequence last() const { return last_; }
+  SequenceNumber last() const { return last_; }
   bool broken() const { return broken_; }  // a failed write could not be cut off: nothing more goes in
   const std::shared_ptr<File>& file() const { return file_; }
 
  private:
-  Segment(StoreId store, SegmentNumber number) : head_{FileKind::segment, store, number} {}
-  void hint(Kind kind, const Record& record, const HintPlace& place);
+  SegmentWriter(StoreId store, SegmentNumber number) : head_{FileKind::segment, store, number} {}
+  void hint(RecordKind kind, const Record& record, const HintLocation& place);
 
-  FileHead head_;
+  FileHeader head_;
   std::shared_ptr<File> file_, hint_;  // hint_ is null where it failed
   std::string pending_, hints_;        // not written yet
-  std::uint64_t written_ = headBytes, settled_ = headBytes, hintWritten_ = 0, records_ = 0, addedRecords_ = 0;
-  Sequence last_{};
+  std::uint64_t written_ = fileHeaderBytes, settled_ = fileHeaderBytes, hintWritten_ = 0, records_ = 0,
+                addedRecords_ = 0;
+  SequenceNumber last_{};
   bool broken_ = false;
 };
 
--- a/src/store/snapshot.cpp
+++ b/src/store/snapshot.cpp
@@ -10,18 +10,20 @@
 
 namespace rainhook::store {
 
-Outcome Book::beginSnapshot(std::unique_ptr<Disk> into, std::function<void(Outcome)> ended) {
-  if (!opened_) return {Outcome::Code::closed, "the store is not open"};
-  if (copying_) return {Outcome::Code::misused, "a snapshot is under way"};
-  std::vector<Disk::Listed> there;
-  if (const auto fault = into->list(there))
-    return {Outcome::Code::failed, "the snapshot's folder: " + fault.text()};
-  if (!there.empty()) return {Outcome::Code::misused, "the snapshot's folder is not empty"};
-  const auto marker = into->create(incompleteName);
-  if (marker.fault) return {Outcome::Code::failed, std::string(incompleteName) + ": " + marker.fault.text()};
-  if (const auto fault = into->syncFolder()) {
-    into->remove(incompleteName);
-    return {Outcome::Code::failed, "the snapshot's folder: " + fault.text()};
+StoreStatus LogStructuredStore::startSnapshot(std::unique_ptr<Disk> into,
+                                              std::function<void(StoreStatus)> ended) {
+  if (!opened_) return {StoreErrorCode::closed, "the store is not open"};
+  if (copying_) return {StoreErrorCode::invalidArgument, "a snapshot is under way"};
+  std::vector<Disk::DirectoryEntry> there;
+  if (const auto error = into->list(there))
+    return {StoreErrorCode::ioError, "the snapshot's folder: " + error.message()};
+  if (!there.empty()) return {StoreErrorCode::invalidArgument, "the snapshot's folder is not empty"};
+  const auto marker = into->create(incompleteMarkerFileName);
+  if (marker.error)
+    return {StoreErrorCode::ioError, std::string(incompleteMarkerFileName) + ": " + marker.error.message()};
+  if (const auto error = into->syncDirectory()) {
+    into->remove(incompleteMarkerFileName);
+    return {StoreErrorCode::ioError, "the snapshot's folder: " + error.message()};
   }
   // A segment that has gone is still to be heard of; any other job may be begun anew.
   while (job_ && job_->stage == Job::Stage::leaving) leaveStep();
@@ -32,28 +34,29 @@
   copying_ = std::make_unique<Copying>();
   copying_->into = std::move(into);
   copying_->ended = std::move(ended);
-  copying_->made = {incompleteName};
+  copying_->made = {incompleteMarkerFileName};
   copying_->manifest = encodeManifest(manifest(true));
   for (const auto& [number, segment] : sealed_)
-    for (const auto& name : {segmentName(number), hintName(number)}) copying_->names.push_back(name);
+    for (const auto& name : {segmentFileName(number), hintFileName(number)}) copying_->names.push_back(name);
   return {};
 }
 
-bool Book::copySnapshot(std::uint64_t budget) {
+bool LogStructuredStore::copySnapshot(std::uint64_t budget) {
   Copying& c = *copying_;
-  const auto failed = [&](const std::string& name, Fault fault) {
-    endSnapshot({Outcome::Code::failed, "snapshot: " + name + ": " + fault.text()});
+  const auto failed = [&](const std::string& name, DiskError error) {
+    endSnapshot({StoreErrorCode::ioError, "snapshot: " + name + ": " + error.message()});
     return true;
   };
   if (!c.from && c.names.empty()) {
-    auto opened = c.into->create(manifestName);
-    c.made.emplace_back(manifestName);
-    if (opened.fault) return failed(manifestName, opened.fault);
-    if (const auto fault = writeAll(*opened.file, 0, c.manifest)) return failed(manifestName, fault);
-    if (const auto fault = opened.file->sync()) return failed(manifestName, fault);
-    if (const auto fault = c.into->syncFolder()) return failed("the folder", fault);
-    if (const auto fault = c.into->remove(incompleteName)) return failed(incompleteName, fault);
-    if (const auto fault = c.into->syncFolder()) return failed("the folder", fault);
+    auto opened = c.into->create(manifestFileName);
+    c.made.emplace_back(manifestFileName);
+    if (opened.error) return failed(manifestFileName, opened.error);
+    if (const auto error = writeAll(*opened.file, 0, c.manifest)) return failed(manifestFileName, error);
+    if (const auto error = opened.file->sync()) return failed(manifestFileName, error);
+    if (const auto error = c.into->syncDirectory()) return failed("the folder", error);
+    if (const auto error = c.into->remove(incompleteMarkerFileName))
+      return failed(incompleteMarkerFileName, error);
+    if (const auto error = c.into->syncDirectory()) return failed("the folder", error);
     c.made.clear();
     endSnapshot({});
     return true;
@@ -61,27 +64,27 @@
   if (!c.from) {
     const auto name = c.names.back();
     auto from = disk_.open(name);
-    if (from.fault.code == ENOENT) return c.names.pop_back(), true;  // a hint that could not be made
-    if (from.fault) return failed(name, from.fault);
+    if (from.error.errorNumber == ENOENT) return c.names.pop_back(), true;  // a hint that could not be made
+    if (from.error) return failed(name, from.error);
     auto to = c.into->create(name);
-    if (to.fault) return failed(name, to.fault);
+    if (to.error) return failed(name, to.error);
     c.made.push_back(name);
     c.from = std::move(from.file), c.to = std::move(to.file), c.offset = 0;
   }
   std::string bytes(static_cast<std::size_t>(budget), '\0');
   const auto read = readAll(*c.from, c.offset, bytes);
-  if (read.fault) return failed(c.names.back(), read.fault);
-  if (const auto fault = writeAll(*c.to, c.offset, std::string_view(bytes).substr(0, read.bytes)))
-    return failed(c.names.back(), fault);
+  if (read.error) return failed(c.names.back(), read.error);
+  if (const auto error = writeAll(*c.to, c.offset, std::string_view(bytes).substr(0, read.bytes)))
+    return failed(c.names.back(), error);
   c.offset += read.bytes;
   if (read.bytes == budget) return true;
-  if (const auto fault = c.to->sync()) return failed(c.names.back(), fault);
+  if (const auto error = c.to->sync()) return failed(c.names.back(), error);
   c.from.reset(), c.to.reset();
   c.names.pop_back();
   return true;
 }
 
-void Book::endSnapshot(Outcome outcome) {
+void LogStructuredStore::endSnapshot(StoreStatus outcome) {
   const auto copying = std::move(copying_);
   // Of one that did not come to its end, the marker last.
   for (auto name = copying->made.rbegin(); name != copying->made.rend(); ++name) copying->into->remove(*name);
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -18,7 +18,8 @@
 
 }  // namespace
 
-Store::Store(std::unique_ptr<Disk> disk, const StoreBounds& bounds, Clock clock, Book::Tell tell)
+Store::Store(std::unique_ptr<Disk> disk, const StoreSettings& bounds, Clock clock,
+             LogStructuredStore::LogCallback tell)
     : disk_(std::move(disk)),
       bounds_(bounds),
       clock_(std::move(clock)),
@@ -30,87 +31,88 @@
   ::close(event_);
 }
 
-Outcome Store::open(std::uint64_t seed) {
+StoreStatus Store::open(std::uint64_t seed) {
   auto outcome = book_.open(seed);
-  if (!outcome.ok()) return outcome;
+  if (!outcome.isOk()) return outcome;
   open_ = true;
   writer_ = std::thread([this] { run(); });
   return outcome;
 }
 
-Outcome Store::put(std::string key, std::string value, UnixTime goodUntil, Heard heard) {
-  return take({false, std::move(key), std::move(value), goodUntil}, std::move(heard));
+StoreStatus Store::put(std::string key, std::string value, UnixTime expiry, StatusCallback heard) {
+  return take({false, std::move(key), std::move(value), expiry}, std::move(heard));
 }
 
-Outcome Store::erase(std::string key, Heard heard) {
-  return take({true, std::move(key), {}, forever}, std::move(heard));
+StoreStatus Store::erase(std::string key, StatusCallback heard) {
+  return take({true, std::move(key), {}, neverExpires}, std::move(heard));
 }
 
-Outcome Store::charge(std::uint64_t bytes) {
-  if (!open_ || stop_) return {Outcome::Code::closed, "the store is closed"};
-  if (charged_ + bytes > bounds_.queueBytes) {
+StoreStatus Store::charge(std::uint64_t bytes) {
+  if (!open_ || stop_) return {StoreErrorCode::closed, "the store is closed"};
+  if (charged_ + bytes > bounds_.maxQueueBytes) {
     ++refused_;
-    return {Outcome::Code::queueFull, fmt::format("{} bytes wait to be written or heard", charged_)};
+    return {StoreErrorCode::queueFull, fmt::format("{} bytes wait to be written or heard", charged_)};
   }
   charged_ += bytes;
   chargedMost_ = std::max(chargedMost_, charged_);
   return {};
 }
 
-Outcome Store::take(Write write, Heard heard) {
-  if (auto refused = refusalOf(write, bounds_); !refused.ok()) return refused;
+StoreStatus Store::take(WriteRequest write, StatusCallback heard) {
+  if (auto refused = validateWrite(write, bounds_); !refused.isOk()) return refused;
   // Twice: once in the queue, once among what `get` sees.
   const auto bytes = 2 * (write.key.size() + write.value.size()) + queuedOverhead;
   const std::lock_guard lock(mutex_);
-  if (auto refused = charge(bytes); !refused.ok()) return refused;
+  if (auto refused = charge(bytes); !refused.isOk()) return refused;
   const auto number = ++numbered_;
-  waiting_[write.key] = {number, write.erase, write.value, write.goodUntil};
+  waiting_[write.key] = {number, write.erase, write.value, write.expiry};
   queue_.push_back({std::move(write), std::move(heard), bytes, number});
   wake_.notify_one();
   return {};
 }
 
-Got Store::get(std::string_view key) const {
+ReadResult Store::get(std::string_view key) const {
   const auto now = clock_();
   {
     const std::lock_guard lock(mutex_);
     if (const auto at = waiting_.find(std::string(key)); at != waiting_.end()) {
-      if (at->second.erase || at->second.goodUntil <= now) return {};
-      return {at->second.value, at->second.goodUntil, {}};
+      if (at->second.erase || at->second.expiry <= now) return {};
+      return {at->second.value, at->second.expiry, {}};
     }
   }
   return book_.get(key, now);
 }
 
-Outcome Store::order(std::uint64_t bytes, std::function<void()> work) {
+StoreStatus Store::order(std::uint64_t bytes, std::function<void()> work) {
   const std::lock_guard lock(mutex_);
-  if (auto refused = charge(bytes); !refused.ok()) return refused;
+  if (auto refused = charge(bytes); !refused.isOk()) return refused;
   orders_.push_back(std::move(work));
   wake_.notify_one();
   return {};
 }
 
-Outcome Store::fetch(std::string key, HeardGot heard) {
-  const auto bytes = key.size() + bounds_.longestValue + queuedOverhead;
+StoreStatus Store::fetch(std::string key, ReadCallback heard) {
+  const auto bytes = key.size() + bounds_.maxValueBytes + queuedOverhead;
   return order(bytes, [this, bytes, key = std::move(key), heard = std::move(heard)] {
     done(bytes, [heard, got = get(key)] { heard(got); });
   });
 }
 
-Outcome Store::snapshot(std::unique_ptr<Disk> into, Heard heard) {
+StoreStatus Store::snapshot(std::unique_ptr<Disk> into, StatusCallback heard) {
   // Shared only since std::function wants to copy.
   auto disk = std::make_shared<std::unique_ptr<Disk>>(std::move(into));
   return order(queuedOverhead, [this, disk, heard = std::move(heard)] {
-    const auto ended = [this, heard](Outcome outcome) {
+    const auto ended = [this, heard](StoreStatus outcome) {
       done(queuedOverhead, [heard, outcome = std::move(outcome)] { heard(outcome); });
     };
-    if (auto outcome = book_.beginSnapshot(std::move(*disk), ended); !outcome.ok()) ended(std::move(outcome));
+    if (auto outcome = book_.startSnapshot(std::move(*disk), ended); !outcome.isOk())
+      ended(std::move(outcome));
   });
 }
 
-Outcome Store::compact(Heard heard) {
+StoreStatus Store::compact(StatusCallback heard) {
   return order(queuedOverhead, [this, heard = std::move(heard)] {
-    book_.beginCompaction([this, heard](Outcome outcome) {
+    book_.startCompaction([this, heard](StoreStatus outcome) {
       done(queuedOverhead, [heard, outcome = std::move(outcome)] { heard(outcome); });
     });
   });
@@ -123,7 +125,7 @@
   [[maybe_unused]] const auto written = ::write(event_, &one, sizeof one);  // it is only full when readable
 }
 
-void Store::deliver() {
+void Store::dispatchCompletions() {
   std::uint64_t count = 0;
   [[maybe_unused]] const auto read = ::read(event_, &count, sizeof count);
   std::vector<Called> called;
@@ -138,9 +140,9 @@
   }
 }
 
-void Store::settle() {
+void Store::waitUntilIdle() {
   for (;;) {
-    deliver();
+    dispatchCompletions();
     {
       const std::lock_guard lock(mutex_);
       if (charged_ == 0 || !open_) return;
@@ -159,7 +161,7 @@
       std::unique_lock lock(mutex_);
       if (!more)
         wake_.wait_for(lock, idleWait, [this] { return stop_ || !queue_.empty() || !orders_.empty(); });
-      for (; !queue_.empty() && batch.size() < bounds_.commitMost; queue_.pop_front())
+      for (; !queue_.empty() && batch.size() < bounds_.maxCommitWrites; queue_.pop_front())
         batch.push_back(std::move(queue_.front()));
       orders.swap(orders_);
       if (stop_ && batch.empty() && orders.empty()) break;
@@ -167,13 +169,13 @@
     const bool writes = !batch.empty();  // whoever wrote now will soon again
     if (writes) commit(std::move(batch));
     for (const auto& work : orders) work();
-    more = book_.tidy(clock_(), writes);
+    more = book_.runMaintenance(clock_(), writes);
   }
   book_.close();
 }
 
 void Store::commit(std::vector<Queued> batch) {
-  std::vector<Write> writes;
+  std::vector<WriteRequest> writes;
   writes.reserve(batch.size());
   for (Queued& queued : batch) writes.push_back(std::move(queued.write));
   auto outcomes = book_.commit(writes, clock_());
@@ -190,17 +192,17 @@
     });
 }
 
-Page Store::byKey(std::string_view from, bool beyond, std::size_t most) const {
-  return book_.byKey(from, beyond, most, clock_());
+ScanPage Store::scanByKey(std::string_view from, bool beyond, std::size_t most) const {
+  return book_.scanByKey(from, beyond, most, clock_());
 }
-Page Store::byAge(const std::optional<Index::Behind>& behind, std::size_t most) const {
-  return book_.byAge(behind, most, clock_());
+ScanPage Store::scanByAge(const std::optional<KeyIndex::AgeCursor>& behind, std::size_t most) const {
+  return book_.scanByAge(behind, most, clock_());
 }
 
-Store::Figures Store::figures() const {
-  Figures out{book_.stats(), 0, 0, 0};
+Store::Statistics Store::statistics() const {
+  Statistics out{book_.stats(), 0, 0, 0};
   const std::lock_guard lock(mutex_);
-  out.queueBytes = charged_, out.queueMost = chargedMost_, out.queueRefused = refused_;
+  out.queueBytes = charged_, out.peakQueueBytes = chargedMost_, out.rejectedWrites = refused_;
   return out;
 }
 
@@ -212,7 +214,7 @@
     wake_.notify_one();
   }
   writer_.join();
-  deliver();
+  dispatchCompletions();
   const std::lock_guard lock(mutex_);
   open_ = false;
 }
--- a/src/store/verify.h
+++ b/src/store/verify.h
@@ -10,7 +10,7 @@
 
 namespace rainhook::store {
 
-struct Verified {
+struct VerificationReport {
   struct Row {
     std::string file;
     std::uint64_t offset = 0, bytes = 0;
@@ -22,6 +22,6 @@
 };
 
 // A fault only where the folder can't be listed.
-Fault verify(Disk& disk, Verified& into);
+DiskError verify(Disk& disk, VerificationReport& into);
 
 }  // namespace rainhook::store
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -112,8 +112,10 @@
   return out;
 }
 
-constexpr store::StoreBounds fixtureBounds{
-    .diskBytes = 256 << 10, .queueBytes = 64 << 10, .segmentBytes = 16 << 10, .longestValue = 2 << 10};
+constexpr store::StoreSettings fixtureBounds{.maxDiskBytes = 256 << 10,
+                                             .maxQueueBytes = 64 << 10,
+                                             .maxSegmentBytes = 16 << 10,
+                                             .maxValueBytes = 2 << 10};
 
 store::UnixTime systemTime() {
   return std::chrono::floor<std::chrono::milliseconds>(std::chrono::system_clock::now());
@@ -123,7 +125,7 @@
   auto out = std::make_unique<store::Store>(std::make_unique<store::PosixDisk>(folder), fixtureBounds,
                                             systemTime, [](const std::string&) {});
   const auto outcome = out->open(1);
-  EXPECT_TRUE(outcome.ok()) << outcome.what;
+  EXPECT_TRUE(outcome.isOk()) << outcome.message;
   return out;
 }
 
@@ -131,15 +133,15 @@
 ExpectedEntries servedEntries(const store::Store& opened) {
   constexpr std::size_t allRows = 1000;
   ExpectedEntries out;
-  const auto page = opened.byKey("", false, allRows);
-  EXPECT_FALSE(page.more);
+  const auto page = opened.scanByKey("", false, allRows);
+  EXPECT_FALSE(page.hasMore);
   for (const auto& row : page.rows) {
     const auto read = opened.get(row.key);
-    EXPECT_TRUE(read.outcome.ok()) << row.key << ": " << read.outcome.what;
-    EXPECT_EQ(read.goodUntil, row.goodUntil);
+    EXPECT_TRUE(read.status.isOk()) << row.key << ": " << read.status.message;
+    EXPECT_EQ(read.expiry, row.expiry);
     ExpectedValue& entry = out[row.key];
     entry.value = read.value.value_or("(absent)");
-    if (read.goodUntil != store::forever) entry.expiryUnixMs = read.goodUntil.time_since_epoch().count();
+    if (read.expiry != store::neverExpires) entry.expiryUnixMs = read.expiry.time_since_epoch().count();
   }
   return out;
 }
@@ -157,7 +159,7 @@
 
 TEST_P(StoreCompatibility, VerifyFindsNoDamage) {
   store::PosixDisk disk(copy_.folder());
-  store::Verified verified;
+  store::VerificationReport verified;
   ASSERT_FALSE(store::verify(disk, verified));
   EXPECT_THAT(verified.damage, IsEmpty());
   EXPECT_GE(verified.segments, 8u);
@@ -166,8 +168,9 @@
 TEST_P(StoreCompatibility, EveryKeyValueAndExpiryIsRead) {
   const auto opened = openedStore(copy_.folder());
   EXPECT_EQ(servedEntries(*opened), GetParam().entries());
-  const auto figures = opened->figures().book;
-  EXPECT_EQ(figures.lostFiles + figures.lostRecords + figures.tornBytes + figures.asideFiles, 0u);
+  const auto statistics = opened->statistics().book;
+  EXPECT_EQ(
+      statistics.lostFiles + statistics.lostRecords + statistics.tornBytes + statistics.quarantinedFiles, 0u);
 }
 
 TEST_P(StoreCompatibility, ErasedAndExpiredKeysStayAbsent) {
@@ -175,7 +178,7 @@
   for (const char* key : {"plain-03", "plain-07", "short-lived"}) {
     const auto read = opened->get(key);
     EXPECT_FALSE(read.value) << key;
-    EXPECT_TRUE(read.outcome.ok()) << key << ": " << read.outcome.what;
+    EXPECT_TRUE(read.status.isOk()) << key << ": " << read.status.message;
   }
 }
 
@@ -184,11 +187,13 @@
   expected["new"] = {"written by this release", {}};
   {
     const auto opened = openedStore(copy_.folder());
-    const auto expectDone = [](const store::Outcome& outcome) { EXPECT_TRUE(outcome.ok()) << outcome.what; };
-    ASSERT_TRUE(opened->put("new", "written by this release", store::forever, expectDone).ok());
-    opened->settle();
-    ASSERT_TRUE(opened->compact(expectDone).ok());
-    opened->settle();
+    const auto expectDone = [](const store::StoreStatus& outcome) {
+      EXPECT_TRUE(outcome.isOk()) << outcome.message;
+    };
+    ASSERT_TRUE(opened->put("new", "written by this release", store::neverExpires, expectDone).isOk());
+    opened->waitUntilIdle();
+    ASSERT_TRUE(opened->compact(expectDone).isOk());
+    opened->waitUntilIdle();
     EXPECT_EQ(servedEntries(*opened), expected);
   }
   EXPECT_EQ(servedEntries(*openedStore(copy_.folder())), expected);
--- a/tests/options_test.cpp
+++ b/tests/options_test.cpp
@@ -33,9 +33,9 @@
   const auto read = readOptions("store:\n  folder: here\n  disk_bytes: 64 MB\n  open_files: 7\n", "f");
   ASSERT_TRUE(read.store);
   EXPECT_EQ(read.store->folder, "here");
-  EXPECT_EQ(read.store->bounds.diskBytes, 64u << 20);
-  EXPECT_EQ(read.store->bounds.openFiles, 7u);
-  EXPECT_EQ(read.store->bounds.queueBytes, store::StoreBounds{}.queueBytes);
+  EXPECT_EQ(read.store->bounds.maxDiskBytes, 64u << 20);
+  EXPECT_EQ(read.store->bounds.maxOpenFiles, 7u);
+  EXPECT_EQ(read.store->bounds.maxQueueBytes, store::StoreSettings{}.maxQueueBytes);
   EXPECT_EQ(switchedOn(read).size(), 1u);
 }
 
--- a/tests/store_command_test.cpp
+++ b/tests/store_command_test.cpp
@@ -111,7 +111,7 @@
 TEST_F(StoreCommands, VerifyListsDamageAndEndsWithThree) {
   EXPECT_EQ(run({"put", "--lines", "--dir", dir_}, "a\tone\nb\ttwo\n").status, 0);
   EXPECT_EQ(run({"verify", "--dir", dir_}).status, 0);
-  const auto segment = dir_ + "/" + segmentName(SegmentNumber{1});
+  const auto segment = dir_ + "/" + segmentFileName(SegmentNumber{1});
   auto bytes = read(segment);
   bytes[bytes.find("one")] = 'X';
   std::ofstream(segment, std::ios::binary) << bytes;
@@ -124,7 +124,7 @@
 
 TEST_F(StoreCommands, ALockedStoreNamesItsHolder) {
   PosixDisk disk(dir_);
-  ASSERT_FALSE(disk.lock(lockName).fault);
+  ASSERT_FALSE(disk.lock(lockFileName).error);
   const auto refused = run({"get", "k", "--dir", dir_});
   EXPECT_EQ(refused.status, 4);
   EXPECT_NE(refused.err.find(std::to_string(::getpid())), std::string::npos) << refused.err;
@@ -140,8 +140,8 @@
   const auto settings =
       file("bounds.yaml",
            "store:\n  folder: x\n  disk_bytes: 2 MB\n  segment_bytes: 32 kB\n  longest_value: 2 kB\n");
-  StoreBounds bounds;
-  bounds.diskBytes = 2 << 20, bounds.segmentBytes = 32 << 10, bounds.longestValue = 2 << 10;
+  StoreSettings bounds;
+  bounds.maxDiskBytes = 2 << 20, bounds.maxSegmentBytes = 32 << 10, bounds.maxValueBytes = 2 << 10;
   const auto written = [](std::uint64_t round, std::uint64_t i) { return round * lines + i; };
   std::map<std::string, std::uint64_t> least;  // the last write of each key that was printed
   std::uint64_t killed = 0;
@@ -162,9 +162,9 @@
     for (const auto& [key, count] : times)
       least[key] = written(round, (count - 1) * keys + std::stoull(key.substr(1)));
     PosixDisk disk(dir_);
-    Book book(disk, bounds, {});
+    LogStructuredStore book(disk, bounds, {});
     const UnixTime now{std::chrono::milliseconds(1)};
-    ASSERT_TRUE(book.open(1).ok());
+    ASSERT_TRUE(book.open(1).isOk());
     EXPECT_EQ(book.stats().lostRecords, 0u);
     for (const auto& [key, number] : least) {
       const auto got = book.get(key, now);
@@ -174,7 +174,7 @@
     }
     std::uint64_t folder = 0;
     for (const auto& entry : std::filesystem::directory_iterator(dir_)) folder += entry.file_size();
-    EXPECT_LE(folder, bounds.diskBytes);
+    EXPECT_LE(folder, bounds.maxDiskBytes);
     book.close();
   }
   EXPECT_FALSE(least.empty());
--- a/tests/store_crash_test.cpp
+++ b/tests/store_crash_test.cpp
@@ -19,38 +19,39 @@
 }
 
 // Starts on what a crash left, looks, works on, and starts again.
-void goesOn(Platter platter, Ledger ledger, UnixTime now, const std::string& where) {
-  History after(platter, 5);
+void expectRecoversAndContinues(SimulatedDisk platter, ReferenceModel ledger, UnixTime now,
+                                const std::string& where) {
+  OperationHistory after(platter, 5);
   after.now = now, after.ledger = std::move(ledger);
   ASSERT_TRUE(after.open()) << where;
-  ASSERT_EQ(after.ledger.wrongs(after.book(), after.now), "") << where << " after the start";
+  ASSERT_EQ(after.ledger.contradictions(after.book(), after.now), "") << where << " after the start";
   ASSERT_EQ(after.book().stats().lostRecords, 0u) << where;
-  after.tidyAll();
-  ASSERT_EQ(after.ledger.wrongs(after.book(), after.now), "") << where << " after compaction";
+  after.runAllMaintenance();
+  ASSERT_EQ(after.ledger.contradictions(after.book(), after.now), "") << where << " after compaction";
   after.play(15);
-  ASSERT_EQ(after.ledger.wrongs(after.book(), after.now), "") << where << " after more writes";
+  ASSERT_EQ(after.ledger.contradictions(after.book(), after.now), "") << where << " after more writes";
   ASSERT_TRUE(after.open()) << where;
-  ASSERT_EQ(after.ledger.wrongs(after.book(), after.now), "") << where << " after another start";
+  ASSERT_EQ(after.ledger.contradictions(after.book(), after.now), "") << where << " after another start";
 }
 
 TEST(StoreCrash, AtEveryOperationWithAnyChoiceOfWhatSurvives) {
   for (std::uint64_t seed = 1; seed <= seeds(3); ++seed) {
-    Platter whole;
-    History first(whole, seed);
+    SimulatedDisk whole;
+    OperationHistory first(whole, seed);
     ASSERT_TRUE(first.open());
     first.play(steps);
-    ASSERT_EQ(first.ledger.wrongs(first.book(), first.now), "");
+    ASSERT_EQ(first.ledger.contradictions(first.book(), first.now), "");
     ASSERT_GT(first.compactions + first.book().stats().compactions, 0u);
     for (std::uint64_t at = 0; at < whole.operations; ++at) {
-      Platter platter;
+      SimulatedDisk platter;
       platter.crashAt = at;
-      History history(platter, seed);
+      OperationHistory history(platter, seed);
       if (history.open()) history.play(steps);
       history.forget();
       for (int choice = 0; choice < choices; ++choice) {
-        goesOn(platter.after(choice), history.ledger, history.now,
-               "seed " + std::to_string(seed) + ", crash at " + std::to_string(at) + ", choice " +
-                   std::to_string(choice));
+        expectRecoversAndContinues(platter.after(choice), history.ledger, history.now,
+                                   "seed " + std::to_string(seed) + ", crash at " + std::to_string(at) +
+                                       ", choice " + std::to_string(choice));
         if (HasFatalFailure()) return;
       }
     }
@@ -58,30 +59,31 @@
 }
 
 TEST(StoreCrash, AgainAtEveryOperationOfTheRecovery) {
-  Platter whole;
-  History first(whole, 4);
+  SimulatedDisk whole;
+  OperationHistory first(whole, 4);
   ASSERT_TRUE(first.open());
   first.play(steps);
   for (std::uint64_t at = 3; at < whole.operations; at += 11) {
-    Platter platter;
+    SimulatedDisk platter;
     platter.crashAt = at;
-    History history(platter, 4);
+    OperationHistory history(platter, 4);
     if (history.open()) history.play(steps);
     history.forget();
     for (int choice = 0; choice < 3; ++choice) {
       const auto found = platter.after(choice);
       for (std::uint64_t again = 0;; ++again) {
-        Platter second = found;
+        SimulatedDisk second = found;
         // The inodes are shared by a copy; take bytes of its own.
-        second = Platter::of(second.image());
+        second = SimulatedDisk::of(second.image());
         second.crashAt = again;
-        History recovering(second, 5);
+        OperationHistory recovering(second, 5);
         recovering.now = history.now;
         recovering.open();
         recovering.forget();
         const bool over = second.operations <= again;
-        goesOn(second.after(static_cast<int>(again % choices)), history.ledger, history.now,
-               "crash at " + std::to_string(at) + ", again at " + std::to_string(again));
+        expectRecoversAndContinues(second.after(static_cast<int>(again % choices)), history.ledger,
+                                   history.now,
+                                   "crash at " + std::to_string(at) + ", again at " + std::to_string(again));
         if (HasFatalFailure()) return;
         if (over) break;
       }
@@ -92,24 +94,24 @@
 // Each fault once at each operation; the process lives on, and then the power fails.
 TEST(StoreCrash, AFaultAtEveryOperationLosesNothingAcknowledged) {
   for (std::uint64_t seed = 6; seed < 6 + seeds(1); ++seed)
-    for (const int fault : {EIO, ENOSPC, EMFILE, -1}) {
-      Platter whole;
-      History first(whole, seed);
+    for (const int error : {EIO, ENOSPC, EMFILE, -1}) {
+      SimulatedDisk whole;
+      OperationHistory first(whole, seed);
       ASSERT_TRUE(first.open());
       first.play(steps);
       for (std::uint64_t at = 0; at < whole.operations; ++at) {
-        Platter platter;
-        platter.faults[at] = fault;
-        History history(platter, seed);
+        SimulatedDisk platter;
+        platter.faults[at] = error;
+        OperationHistory history(platter, seed);
         const auto where =
-            "seed " + std::to_string(seed) + ", fault " + std::to_string(fault) + " at " + std::to_string(at);
+            "seed " + std::to_string(seed) + ", fault " + std::to_string(error) + " at " + std::to_string(at);
         ASSERT_TRUE(history.open()) << where;
         history.play(steps);
-        ASSERT_EQ(history.ledger.wrongs(history.book(), history.now), "") << where;
+        ASSERT_EQ(history.ledger.contradictions(history.book(), history.now), "") << where;
         history.forget();
         for (const int choice : {0, 2}) {
-          goesOn(platter.after(choice), history.ledger, history.now,
-                 where + ", choice " + std::to_string(choice));
+          expectRecoversAndContinues(platter.after(choice), history.ledger, history.now,
+                                     where + ", choice " + std::to_string(choice));
           if (HasFatalFailure()) return;
         }
       }
@@ -117,82 +119,84 @@
 }
 
 TEST(StoreCrash, ADiskWhoseEverySyncFailsAcknowledgesNothing) {
-  Platter platter;
-  History history(platter, 7);
+  SimulatedDisk platter;
+  OperationHistory history(platter, 7);
   ASSERT_TRUE(history.open());
   history.play(20);
   platter.everySync = EIO;
-  const std::vector<Write> writes{{false, "key1", "new", forever}};
+  const std::vector<WriteRequest> writes{{false, "key1", "new", neverExpires}};
   const auto names = platter.names.size();
   for (int i = 0; i < 20; ++i) {
     const auto outcome = history.book().commit(writes, history.now).front();
-    EXPECT_EQ(outcome.code, Outcome::Code::failed);
+    EXPECT_EQ(outcome.code, StoreErrorCode::ioError);
     history.ledger.wrote(writes[0], false);
   }
   EXPECT_LE(platter.names.size(), names + 6) << "a failing disk fills with files";
   platter.everySync = 0;
-  history.tidyAll();
-  EXPECT_TRUE(history.book().commit(writes, history.now).front().ok());
+  history.runAllMaintenance();
+  EXPECT_TRUE(history.book().commit(writes, history.now).front().isOk());
   history.ledger.wrote(writes[0], true);
-  EXPECT_EQ(history.ledger.wrongs(history.book(), history.now), "");
+  EXPECT_EQ(history.ledger.contradictions(history.book(), history.now), "");
   history.forget();
-  goesOn(platter.after(0), history.ledger, history.now, "after the syncs worked again");
+  expectRecoversAndContinues(platter.after(0), history.ledger, history.now, "after the syncs worked again");
 }
 
 // A sync that failed in one process says nothing to the next, whose own sync succeeds and means nothing.
 TEST(StoreCrash, WhatAFailedSyncLeftIsDistrustedByLaterStartsToo) {
-  Platter platter;
-  History history(platter, 13);
+  SimulatedDisk platter;
+  OperationHistory history(platter, 13);
   ASSERT_TRUE(history.open());
   // Each segment half dead: the second round writes every other key again.
   for (std::uint64_t i = 0; i < 18; ++i)
-    history.put({{false, named("key", i < 12 ? i : (i - 12) * 2), std::string(40, 'a'), forever}});
-  while (history.book().stats().compactedBytes == 0) ASSERT_TRUE(history.book().tidy(history.now));
+    history.put({{false, named("key", i < 12 ? i : (i - 12) * 2), std::string(40, 'a'), neverExpires}});
+  while (history.book().stats().compactedBytes == 0) ASSERT_TRUE(history.book().runMaintenance(history.now));
   ASSERT_EQ(history.book().stats().compactions, 0u) << "copies that were not synced, and their input";
   platter.everySync = EIO;
   ASSERT_TRUE(history.open());
   platter.everySync = 0;
   ASSERT_TRUE(history.open());
   ASSERT_TRUE(history.open()) << "and by one that knows of it from the manifest alone";
-  history.tidyAll();
-  goesOn(platter.after(0), history.ledger, history.now, "after a start whose syncs failed");
+  history.runAllMaintenance();
+  expectRecoversAndContinues(platter.after(0), history.ledger, history.now,
+                             "after a start whose syncs failed");
 }
 
 TEST(StoreCrash, WithoutDescriptorsItRefusesAndThenGoesOn) {
-  Platter platter;
-  History history(platter, 8);
+  SimulatedDisk platter;
+  OperationHistory history(platter, 8);
   ASSERT_TRUE(history.open());
   history.play(30);
   platter.everyOpen = EMFILE;
   history.play(30);
-  history.tidyAll();
+  history.runAllMaintenance();
   platter.everyOpen = 0;
   ASSERT_TRUE(history.open()) << "a start without descriptors may have failed";
-  EXPECT_EQ(history.ledger.wrongs(history.book(), history.now), "");
+  EXPECT_EQ(history.ledger.contradictions(history.book(), history.now), "");
   history.play(30);
-  EXPECT_EQ(history.ledger.wrongs(history.book(), history.now), "");
+  EXPECT_EQ(history.ledger.contradictions(history.book(), history.now), "");
   history.forget();
-  goesOn(platter.after(0), history.ledger, history.now, "after descriptors were short");
+  expectRecoversAndContinues(platter.after(0), history.ledger, history.now, "after descriptors were short");
 }
 
 TEST(StoreCrash, AFullDiskInACompactionKeepsWhatWasAcknowledgedAndGoesOn) {
   std::uint64_t refused = 0;
   for (std::uint64_t spare = 0; spare < 3000; spare += 60) {
-    Platter platter;
-    History history(platter, 9);
+    SimulatedDisk platter;
+    OperationHistory history(platter, 9);
     ASSERT_TRUE(history.open());
     history.play(40);
     platter.capacity = platter.used() + spare;
     history.play(40);
-    history.tidyAll();
-    ASSERT_EQ(history.ledger.wrongs(history.book(), history.now), "") << spare;
-    refused += history.book().stats().failed;
+    history.runAllMaintenance();
+    ASSERT_EQ(history.ledger.contradictions(history.book(), history.now), "") << spare;
+    refused += history.book().stats().failedWrites;
     platter.capacity = ~std::uint64_t{0};
-    const std::vector<Write> writes{{false, "key2", "room again", forever}};
-    ASSERT_TRUE(history.book().commit(writes, history.now).front().ok()) << spare;
+    const std::vector<WriteRequest> writes{{false, "key2", "room again", neverExpires}};
+    ASSERT_TRUE(history.book().commit(writes, history.now).front().isOk()) << spare;
     history.ledger.wrote(writes[0], true);
     history.forget();
-    goesOn(platter.after(0), history.ledger, history.now, "spare " + std::to_string(spare));
+    expectRecoversAndContinues(platter.after(0), history.ledger, history.now,
+                               "spare " + std::to_string(spare));
     if (HasFatalFailure()) return;
   }
   EXPECT_GT(refused, 100u) << "the disk was never full";
@@ -201,35 +205,37 @@
 TEST(StoreCrash, ASnapshotCutShortAtAnyOperationHarmsNothing) {
   std::uint64_t operations = 1;
   for (std::uint64_t at = 0; at <= operations; ++at) {
-    Platter platter, target;
-    History history(platter, 10);
+    SimulatedDisk platter, target;
+    OperationHistory history(platter, 10);
     ASSERT_TRUE(history.open());
     history.play(40);
     target.crashAt = at;
-    std::optional<Outcome> ended;
+    std::optional<StoreStatus> ended;
     auto copied = history.ledger;
-    const auto begun = history.book().beginSnapshot(std::make_unique<ForgettingDisk>(target),
-                                                    [&](Outcome outcome) { ended = std::move(outcome); });
-    if (!begun.ok()) ended = begun;
+    const auto begun = history.book().startSnapshot(std::make_unique<CrashSimulatingDisk>(target),
+                                                    [&](StoreStatus outcome) { ended = std::move(outcome); });
+    if (!begun.isOk()) ended = begun;
     for (int i = 0; i < 2000 && !ended; ++i) {
-      history.book().tidy(history.now);
+      history.book().runMaintenance(history.now);
       if (i % 3 == 0)
-        history.put({{false, named("key", static_cast<std::uint64_t>(i % 12)), "while copying", forever}});
+        history.put(
+            {{false, named("key", static_cast<std::uint64_t>(i % 12)), "while copying", neverExpires}});
     }
     ASSERT_TRUE(ended);
-    ASSERT_EQ(history.ledger.wrongs(history.book(), history.now), "");
+    ASSERT_EQ(history.ledger.contradictions(history.book(), history.now), "");
     operations = std::max(operations, target.operations);
     for (int choice = 0; choice < choices; ++choice) {
-      Platter found = target.after(choice);
-      History other(found, 11);
+      SimulatedDisk found = target.after(choice);
+      OperationHistory other(found, 11);
       other.now = history.now;
       // Cut short, it is refused or was never begun; whole, it is the store as it was at its beginning.
       const bool opened = other.open();
-      const bool begunThere = found.names.size() > 1 || ended->ok();  // beside the manifest of an empty store
+      const bool begunThere =
+          found.names.size() > 1 || ended->isOk();  // beside the manifest of an empty store
       if (opened && begunThere) {
-        ASSERT_EQ(copied.wrongs(other.book(), history.now), "") << at << ", choice " << choice;
+        ASSERT_EQ(copied.contradictions(other.book(), history.now), "") << at << ", choice " << choice;
       }
-      ASSERT_TRUE(opened || !ended->ok()) << at << ", choice " << choice;
+      ASSERT_TRUE(opened || !ended->isOk()) << at << ", choice " << choice;
     }
   }
 }
@@ -240,15 +246,15 @@
   for (const bool older : {false, true})
     for (const bool syncFails : {true, false})
       for (int choice = 0; choice < 40; ++choice) {
-        Platter platter;
-        History history(platter, 12);
+        SimulatedDisk platter;
+        OperationHistory history(platter, 12);
         ASSERT_TRUE(history.open());
         // Beside enough that lives to keep its segment from being compacted first.
         if (older)
-          history.put({{false, "key1", "older", forever},
-                       {false, "keeper", "0123456789abcdefghijklmnopqrstuvwxyz", forever}});
+          history.put({{false, "key1", "older", neverExpires},
+                       {false, "keeper", "0123456789abcdefghijklmnopqrstuvwxyz", neverExpires}});
         ASSERT_TRUE(history.open());  // what is older stands in a segment of its own
-        history.put({{false, "other", "there", forever}});
+        history.put({{false, "other", "there", neverExpires}});
         const auto next = platter.operations;
         platter.everyOpen = EMFILE;  // no new segment can be had for a second try
         if (syncFails) {
@@ -257,26 +263,26 @@
           platter.faults[next] = -1;  // half of the write, which holds the whole record of key1, ...
           platter.faults[next + 1] = EIO, platter.faults[next + 2] = EIO;  // no more of it, and no cut
         }
-        const std::vector<Write> failing{{false, "key1", "failed", forever},
-                                         {false, "key2", std::string(190, 'z'), forever}};
-        ASSERT_FALSE(history.book().commit(failing, history.now).front().ok());
+        const std::vector<WriteRequest> failing{{false, "key1", "failed", neverExpires},
+                                                {false, "key2", std::string(190, 'z'), neverExpires}};
+        ASSERT_FALSE(history.book().commit(failing, history.now).front().isOk());
         for (const auto& write : failing) history.ledger.wrote(write, false);
         platter.everyOpen = 0;
         platter.faults.clear();
-        const std::vector<Write> erasing{{true, "key1", {}, forever}};
-        ASSERT_TRUE(history.book().commit(erasing, history.now).front().ok());
+        const std::vector<WriteRequest> erasing{{true, "key1", {}, neverExpires}};
+        ASSERT_TRUE(history.book().commit(erasing, history.now).front().isOk());
         history.ledger.wrote(erasing[0], true);
         const auto where = std::string(older ? "older, " : "") + (syncFails ? "sync" : "cut") + ", choice " +
                            std::to_string(choice);
-        goesOn(platter.after(choice), history.ledger, history.now, where);
+        expectRecoversAndContinues(platter.after(choice), history.ledger, history.now, where);
         if (HasFatalFailure()) return;
         // Whatever is compacted, and whenever the power fails.
-        std::optional<Outcome> ended;
-        history.book().beginCompaction([&](Outcome outcome) { ended = std::move(outcome); });
+        std::optional<StoreStatus> ended;
+        history.book().startCompaction([&](StoreStatus outcome) { ended = std::move(outcome); });
         for (int step = 0; step < 200 && !ended; ++step) {
-          history.book().tidy(history.now);
-          goesOn(platter.after(choice % 4), history.ledger, history.now,
-                 where + ", step " + std::to_string(step));
+          history.book().runMaintenance(history.now);
+          expectRecoversAndContinues(platter.after(choice % 4), history.ledger, history.now,
+                                     where + ", step " + std::to_string(step));
           if (HasFatalFailure()) return;
         }
         ASSERT_TRUE(ended);
@@ -284,13 +290,13 @@
 }
 
 RC_GTEST_PROP(StoreCrash, AnyHistoryBesideAPlainMap, (std::uint64_t seed)) {
-  Platter platter;
-  History history(platter, seed);
+  SimulatedDisk platter;
+  OperationHistory history(platter, seed);
   RC_ASSERT(history.open());
   for (int round = 0; round < 4; ++round) {
     history.play(12);
-    RC_ASSERT(history.ledger.wrongs(history.book(), history.now) == "");
-    RC_ASSERT(platter.mostUsed <= smallBounds().diskBytes);
+    RC_ASSERT(history.ledger.contradictions(history.book(), history.now) == "");
+    RC_ASSERT(platter.mostUsed <= smallBounds().maxDiskBytes);
   }
 }
 
--- a/tests/store_damage_test.cpp
+++ b/tests/store_damage_test.cpp
@@ -5,7 +5,7 @@
 
 #include <functional>
 
-#include "store/scanner.h"
+#include "store/record_scanner.h"
 #include "store_world.h"
 
 namespace rainhook::store {
@@ -13,7 +13,7 @@
 
 struct Recorded {
   std::map<std::string, std::string> image;
-  Ledger ledger;
+  ReferenceModel ledger;
   UnixTime now;
   // Where the latest record of a living key stands; several after a compaction that was cut short.
   struct At {
@@ -25,26 +25,26 @@
 };
 
 Recorded record(std::uint64_t seed, int steps, bool closed) {
-  Platter platter;
-  History history(platter, seed);
+  SimulatedDisk platter;
+  OperationHistory history(platter, seed);
   EXPECT_TRUE(history.open());
   history.play(steps);
   if (closed) history.book().close();
   history.ledger.passed(history.now);
   const auto stats = history.book().stats();
   Recorded out{platter.image(), history.ledger, history.now, {}, {}};
-  out.all = history.erased > 0 && history.expired + stats.expired > 0 &&
+  out.all = history.erased > 0 && history.expired + stats.expiredEntries > 0 &&
             history.compactions + stats.compactions > 0;
-  const auto manifest = decodeManifest(out.image.at(manifestName)).manifest.value();
+  const auto manifest = decodeManifest(out.image.at(manifestFileName)).manifest.value();
   out.all = out.all && manifest.segments.size() >= 3;
-  std::map<std::string, Sequence> highest;
-  Platter copy = Platter::of(out.image);
-  ForgettingDisk disk(copy);
+  std::map<std::string, SequenceNumber> highest;
+  SimulatedDisk copy = SimulatedDisk::of(out.image);
+  CrashSimulatingDisk disk(copy);
   for (const auto& listed : manifest.segments) {
-    const auto name = segmentName(listed.number);
-    Scanner scanner(disk.open(name).file, {FileKind::segment, manifest.store, listed.number});
-    for (auto step = scanner.next(); step.what != Scanner::Step::What::end; step = scanner.next()) {
-      EXPECT_EQ(step.what, Scanner::Step::What::record);
+    const auto name = segmentFileName(listed.number);
+    RecordScanner scanner(disk.open(name).file, {FileKind::segment, manifest.store, listed.number});
+    for (auto step = scanner.next(); step.what != RecordScanner::Step::What::end; step = scanner.next()) {
+      EXPECT_EQ(step.what, RecordScanner::Step::What::record);
       const std::string key(step.record.key);
       if (step.record.sequence > highest[key]) out.latest[key].clear();
       if (step.record.sequence < highest[key]) continue;
@@ -71,16 +71,16 @@
 // Starts on it, looks, compacts everything, starts again.
 Seen judge(std::map<std::string, std::string> image, const Recorded& recorded,
            const std::set<std::string>& mayMiss, const std::string& where) {
-  Platter platter = Platter::of(image);
-  Verified verified;
+  SimulatedDisk platter = SimulatedDisk::of(image);
+  VerificationReport verified;
   {
-    ForgettingDisk disk(platter);
+    CrashSimulatingDisk disk(platter);
     verify(disk, verified);
   }
-  History history(platter, 1);
+  OperationHistory history(platter, 1);
   history.now = recorded.now, history.ledger = recorded.ledger;
   EXPECT_TRUE(history.open()) << where;
-  EXPECT_EQ(history.ledger.wrongs(history.book(), history.now, mayMiss), "") << where;
+  EXPECT_EQ(history.ledger.contradictions(history.book(), history.now, mayMiss), "") << where;
   Seen out;
   for (const auto& [key, states] : history.ledger.keys())
     out.missing += states.front().value && !history.book().get(key, history.now).value;
@@ -91,9 +91,10 @@
     EXPECT_TRUE(out.told) << where << ": a key is missing and nothing was told";
   }
   history.compactAll();
-  EXPECT_EQ(history.ledger.wrongs(history.book(), history.now, mayMiss), "") << where << " after compaction";
+  EXPECT_EQ(history.ledger.contradictions(history.book(), history.now, mayMiss), "")
+      << where << " after compaction";
   EXPECT_TRUE(history.open()) << where;
-  EXPECT_EQ(history.ledger.wrongs(history.book(), history.now, mayMiss), "")
+  EXPECT_EQ(history.ledger.contradictions(history.book(), history.now, mayMiss), "")
       << where << " after another start";
   return out;
 }
@@ -164,56 +165,57 @@
 TEST(StoreStrangers, AreSetAsideAndNeverDeleted) {
   const auto recorded = record(24, 40, true);
   auto image = recorded.image;
-  const auto foreignHead = encodeHead({FileKind::segment, StoreId{1234}, SegmentNumber{900}});
-  const auto newerHead = encodeHead({FileKind::segment, StoreId{77}, SegmentNumber{901}, formatVersion + 1});
+  const auto foreignHead = encodeHeader({FileKind::segment, StoreId{1234}, SegmentNumber{900}});
+  const auto newerHead =
+      encodeHeader({FileKind::segment, StoreId{77}, SegmentNumber{901}, formatVersion + 1});
   image["notes.txt"] = "kept";
-  image[segmentName(SegmentNumber{900})] = foreignHead + "whatever";
-  image[segmentName(SegmentNumber{901})] = newerHead + "of the future";
-  image[manifestTemporary] = "half a manifest";
-  Platter platter = Platter::of(image);
-  History history(platter, 1);
+  image[segmentFileName(SegmentNumber{900})] = foreignHead + "whatever";
+  image[segmentFileName(SegmentNumber{901})] = newerHead + "of the future";
+  image[manifestTemporaryFileName] = "half a manifest";
+  SimulatedDisk platter = SimulatedDisk::of(image);
+  OperationHistory history(platter, 1);
   history.now = recorded.now, history.ledger = recorded.ledger;
   ASSERT_TRUE(history.open());
-  EXPECT_EQ(history.ledger.wrongs(history.book(), history.now), "");
+  EXPECT_EQ(history.ledger.contradictions(history.book(), history.now), "");
   const auto after = platter.image();
   EXPECT_EQ(after.at("aside-unknown-notes.txt"), "kept");
-  EXPECT_EQ(after.at("aside-foreign-" + segmentName(SegmentNumber{900})), foreignHead + "whatever");
-  EXPECT_EQ(after.at("aside-newer-" + segmentName(SegmentNumber{901})), newerHead + "of the future");
-  EXPECT_FALSE(after.contains(manifestTemporary));
-  EXPECT_EQ(history.book().stats().asideFiles, 3u);
+  EXPECT_EQ(after.at("aside-foreign-" + segmentFileName(SegmentNumber{900})), foreignHead + "whatever");
+  EXPECT_EQ(after.at("aside-newer-" + segmentFileName(SegmentNumber{901})), newerHead + "of the future");
+  EXPECT_FALSE(after.contains(manifestTemporaryFileName));
+  EXPECT_EQ(history.book().stats().quarantinedFiles, 3u);
   ASSERT_TRUE(history.open());
-  EXPECT_EQ(history.book().stats().asideFiles, 3u) << "what is aside already stays as it is";
+  EXPECT_EQ(history.book().stats().quarantinedFiles, 3u) << "what is aside already stays as it is";
 }
 
 TEST(StoreStrangers, AManifestOfANewerVersionIsSetAsideAndTheSegmentsServe) {
   const auto recorded = record(25, 40, true);
   auto image = recorded.image;
-  auto head = encodeHead({FileKind::manifest, StoreId{77}, SegmentNumber{0}, formatVersion + 1});
-  image[manifestName] = head + "of the future";
-  Platter platter = Platter::of(image);
-  History history(platter, 1);
+  auto head = encodeHeader({FileKind::manifest, StoreId{77}, SegmentNumber{0}, formatVersion + 1});
+  image[manifestFileName] = head + "of the future";
+  SimulatedDisk platter = SimulatedDisk::of(image);
+  OperationHistory history(platter, 1);
   history.now = recorded.now, history.ledger = recorded.ledger;
   ASSERT_TRUE(history.open());
-  EXPECT_EQ(history.ledger.wrongs(history.book(), history.now), "");
+  EXPECT_EQ(history.ledger.contradictions(history.book(), history.now), "");
   EXPECT_TRUE(platter.image().contains("aside-newer-MANIFEST"));
 }
 
 TEST(StoreStrangers, ARecordWithinAValueIsNeverTakenForOne) {
-  Platter platter;
-  History history(platter, 1);
+  SimulatedDisk platter;
+  OperationHistory history(platter, 1);
   ASSERT_TRUE(history.open());
-  history.put({{false, "inner", "true", forever}});
+  history.put({{false, "inner", "true", neverExpires}});
   std::string inner;  // as it would be later in this file, at another place than where it comes to stand
-  append(inner, {Kind::put, false, Sequence{1000}, forever, "inner", "forged"},
-         {{FileKind::segment, history.book().id(), SegmentNumber{1}}, headBytes});
-  history.put({{false, "outer", inner, forever}});
-  const auto name = segmentName(SegmentNumber{1});
+  appendRecord(inner, {RecordKind::put, false, SequenceNumber{1000}, neverExpires, "inner", "forged"},
+               {{FileKind::segment, history.book().id(), SegmentNumber{1}}, fileHeaderBytes});
+  history.put({{false, "outer", inner, neverExpires}});
+  const auto name = segmentFileName(SegmentNumber{1});
   auto image = platter.image();
   const auto at = image.at(name).rfind("outer");
   image[name][at] = 'X';  // the outer record breaks, and the search for the next one runs through its value
-  image[hintName(SegmentNumber{1})].resize(headBytes);
-  Platter found = Platter::of(image);
-  History after(found, 1);
+  image[hintFileName(SegmentNumber{1})].resize(fileHeaderBytes);
+  SimulatedDisk found = SimulatedDisk::of(image);
+  OperationHistory after(found, 1);
   ASSERT_TRUE(after.open());
   EXPECT_EQ(after.book().get("inner", after.now).value, "true");
   EXPECT_FALSE(after.book().get("outer", after.now).value);
@@ -221,12 +223,12 @@
 
 TEST(StoreStrangers, WithoutALostSegmentAndItsHintNothingOlderIsServed) {
   for (const bool closed : {true, false}) {
-    Platter platter;
-    History history(platter, 1);
+    SimulatedDisk platter;
+    OperationHistory history(platter, 1);
     ASSERT_TRUE(history.open());
-    history.put({{false, "key1", "first", forever}});
+    history.put({{false, "key1", "first", neverExpires}});
     ASSERT_TRUE(history.open());
-    history.put({{false, "key1", "second", forever}});
+    history.put({{false, "key1", "second", neverExpires}});
     if (closed) history.book().close();
     auto image = platter.image();
     std::string last;
@@ -234,8 +236,8 @@
       if (name.ends_with(".seg") && bytes.find("second") != std::string::npos) last = name;
     ASSERT_NE(last, "");
     image.erase(last), image.erase(last.substr(0, 10) + ".hint");
-    Platter found = Platter::of(image);
-    History after(found, 1);
+    SimulatedDisk found = SimulatedDisk::of(image);
+    OperationHistory after(found, 1);
     for (int start = 0; start < 2; ++start) {
       ASSERT_TRUE(after.open());
       EXPECT_FALSE(after.book().get("key1", after.now).value) << "start " << start;
@@ -244,19 +246,19 @@
 }
 
 TEST(StoreStrangers, DamageFoundByAReadIsToldOnceAndNothingOlderComesBack) {
-  Platter platter;
-  History history(platter, 1);
+  SimulatedDisk platter;
+  OperationHistory history(platter, 1);
   ASSERT_TRUE(history.open());
-  history.put({{false, "key1", "first", forever}});
+  history.put({{false, "key1", "first", neverExpires}});
   history.book().close();
   ASSERT_TRUE(history.open());
-  history.put({{false, "key1", "second", forever}});
-  const auto name = segmentName(SegmentNumber{2});
+  history.put({{false, "key1", "second", neverExpires}});
+  const auto name = segmentFileName(SegmentNumber{2});
   auto& bytes = platter.names.at(name)->now;
   bytes[bytes.rfind("second")] = 'x';
   history.log.clear();
-  EXPECT_EQ(history.book().get("key1", history.now).outcome.code, Outcome::Code::damaged);
-  EXPECT_EQ(history.book().get("key1", history.now).outcome.code, Outcome::Code::damaged);
+  EXPECT_EQ(history.book().get("key1", history.now).status.code, StoreErrorCode::corruptRecord);
+  EXPECT_EQ(history.book().get("key1", history.now).status.code, StoreErrorCode::corruptRecord);
   EXPECT_EQ(history.log.size(), 1u);
   EXPECT_EQ(history.book().stats().lostRecords, 1u);
   history.compactAll();
@@ -269,10 +271,10 @@
   const auto recorded = record(22, 45, true);
   const auto& at = recorded.latest.begin()->second.front();
   auto image = recorded.image;
-  image[at.file][at.offset + recordHeadBytes] ^= 1;
+  image[at.file][at.offset + recordHeaderBytes] ^= 1;
   image.erase(at.file.substr(0, 10) + ".hint");
-  Platter platter = Platter::of(image);
-  History history(platter, 1);
+  SimulatedDisk platter = SimulatedDisk::of(image);
+  OperationHistory history(platter, 1);
   history.now = recorded.now;
   ASSERT_TRUE(history.open());
   const auto line = at.file + " at " + std::to_string(at.offset) + ": " + std::to_string(at.bytes) + " bytes";
@@ -283,8 +285,8 @@
 }
 
 TEST(StoreStrangers, ASweepKeepsTheLatestTimeThatWasSeen) {
-  Platter platter;
-  History history(platter, 1);
+  SimulatedDisk platter;
+  OperationHistory history(platter, 1);
   ASSERT_TRUE(history.open());
   const auto begin = history.now;
   const auto in = [&](int ms) { return begin + std::chrono::milliseconds(ms); };
@@ -293,7 +295,7 @@
   EXPECT_FALSE(history.book().get("key1", history.now).value);
   history.now = in(20);  // the clock steps back, and another is seen to expire before anything is written
   EXPECT_FALSE(history.book().get("key2", history.now).value);
-  history.put({{false, "key3", "carries the sweep", forever}});
+  history.put({{false, "key3", "carries the sweep", neverExpires}});
   history.now = begin;
   ASSERT_TRUE(history.open());
   EXPECT_FALSE(history.book().get("key1", history.now).value);
@@ -301,57 +303,58 @@
 }
 
 TEST(StoreStrangers, ASnapshotLetsTheCompactionBeforeItEnd) {
-  Platter platter, target;
-  History history(platter, 1);
+  SimulatedDisk platter, target;
+  OperationHistory history(platter, 1);
   ASSERT_TRUE(history.open());
-  history.put({{false, "key1", "v", forever}, {false, "key2", "v", forever}});
+  history.put({{false, "key1", "v", neverExpires}, {false, "key2", "v", neverExpires}});
   ASSERT_TRUE(history.open());  // its segment is closed by that
-  history.put({{true, "key1", {}, forever}, {true, "key2", {}, forever}});
-  while (history.book().stats().compactions == 0) ASSERT_TRUE(history.book().tidy(history.now));
-  std::optional<Outcome> ended;
-  ASSERT_TRUE(
-      history.book()
-          .beginSnapshot(std::make_unique<ForgettingDisk>(target), [&](Outcome o) { ended = std::move(o); })
-          .ok());
-  while (!ended) ASSERT_TRUE(history.book().tidy(history.now));
-  EXPECT_TRUE(ended->ok());
+  history.put({{true, "key1", {}, neverExpires}, {true, "key2", {}, neverExpires}});
+  while (history.book().stats().compactions == 0) ASSERT_TRUE(history.book().runMaintenance(history.now));
+  std::optional<StoreStatus> ended;
+  ASSERT_TRUE(history.book()
+                  .startSnapshot(std::make_unique<CrashSimulatingDisk>(target),
+                                 [&](StoreStatus o) { ended = std::move(o); })
+                  .isOk());
+  while (!ended) ASSERT_TRUE(history.book().runMaintenance(history.now));
+  EXPECT_TRUE(ended->isOk());
   history.compactAll();
   history.compactAll();
-  EXPECT_EQ(history.book().stats().gone, 0u) << "erasures of what is no longer on disk are kept for ever";
+  EXPECT_EQ(history.book().stats().tombstones, 0u)
+      << "erasures of what is no longer on disk are kept for ever";
 }
 
 TEST(StoreStrangers, ACompactionThatWasAskedForLeavesRoomForCommits) {
-  Platter platter;
-  History history(platter, 1);
+  SimulatedDisk platter;
+  OperationHistory history(platter, 1);
   ASSERT_TRUE(history.open());
   // A quarter of it dead: not worth the while until somebody asks.
   for (std::uint64_t i = 0; i < 50; ++i)
-    history.put({{false, named("n", i < 40 ? i : i * 4 % 40), std::string(40, 'x'), forever}});
-  history.tidyAll();
-  std::optional<Outcome> ended;
-  history.book().beginCompaction([&](Outcome outcome) { ended = std::move(outcome); });
+    history.put({{false, named("n", i < 40 ? i : i * 4 % 40), std::string(40, 'x'), neverExpires}});
+  history.runAllMaintenance();
+  std::optional<StoreStatus> ended;
+  history.book().startCompaction([&](StoreStatus outcome) { ended = std::move(outcome); });
   std::uint64_t between = 0;
   for (; !ended && between < 1000; ++between) {
-    history.book().tidy(history.now);
-    history.put({{false, "while", named("v", between), forever}});
+    history.book().runMaintenance(history.now);
+    history.put({{false, "while", named("v", between), neverExpires}});
   }
-  ASSERT_TRUE(ended && ended->ok());
+  ASSERT_TRUE(ended && ended->isOk());
   EXPECT_GT(between, 3u) << "it was done in one step";
-  EXPECT_EQ(history.ledger.wrongs(history.book(), history.now), "");
+  EXPECT_EQ(history.ledger.contradictions(history.book(), history.now), "");
 }
 
 TEST(StoreStrangers, WhatExpiredStaysSoWhenTheClockStepsBack) {
-  Platter platter;
-  History history(platter, 1);
+  SimulatedDisk platter;
+  OperationHistory history(platter, 1);
   ASSERT_TRUE(history.open());
   const auto begin = history.now;
-  history.put(
-      {{false, "key1", "short", begin + std::chrono::milliseconds(50)}, {false, "key2", "long", forever}});
+  history.put({{false, "key1", "short", begin + std::chrono::milliseconds(50)},
+               {false, "key2", "long", neverExpires}});
   history.now = begin + std::chrono::milliseconds(100);
   EXPECT_FALSE(history.book().get("key1", history.now).value);
   history.now = begin;
   EXPECT_FALSE(history.book().get("key1", history.now).value) << "in the same process";
-  history.put({{false, "key3", "carries the sweep", forever}});
+  history.put({{false, "key3", "carries the sweep", neverExpires}});
   ASSERT_TRUE(history.open());
   EXPECT_FALSE(history.book().get("key1", history.now).value) << "after a start";
   // A clock that was wrong once must not doom what is written later.
--- a/tests/store_world.h
+++ b/tests/store_world.h
@@ -29,7 +29,7 @@
 inline std::uint32_t below(Chance& chance, std::uint32_t bound) { return chance(bound); }
 
 // The bytes that a machine holds: what it would find after a loss of power, and what has not been synced yet.
-class Platter {
+class SimulatedDisk {
  public:
   struct Change {
     bool cut = false;
@@ -68,7 +68,7 @@
 
   // What is found after the power came back. 0: nothing unsynced survived, 1: all of it, else as chance has
   // it: each write whole, in part or not, in any order of the disk's liking.
-  Platter after(int choice) const {
+  SimulatedDisk after(int choice) const {
     Chance chance(static_cast<std::uint64_t>(choice) * 7919 + operations);
     const auto survives = [&] { return choice == 1 || (choice > 1 && below(chance, 2) == 0); };
     std::map<const Inode*, std::shared_ptr<Inode>> copies;
@@ -87,7 +87,7 @@
       out->now = out->kept;
       return out;
     };
-    Platter out;
+    SimulatedDisk out;
     out.capacity = capacity;
     for (const auto& [name, inode] : keptNames) out.names[name] = copy(inode);
     for (const NameChange& change : unsyncedNames) {
@@ -101,8 +101,8 @@
   }
 
   // The same bytes again, all of them kept; for trying one image many times.
-  static Platter of(const std::map<std::string, std::string>& image) {
-    Platter out;
+  static SimulatedDisk of(const std::map<std::string, std::string>& image) {
+    SimulatedDisk out;
     for (const auto& [name, bytes] : image) {
       auto inode = std::make_shared<Inode>();
       inode->now = inode->kept = bytes;
@@ -126,131 +126,133 @@
   }
 };
 
-class ForgettingDisk final : public Disk {
+class CrashSimulatingDisk final : public Disk {
  public:
-  explicit ForgettingDisk(Platter& platter) : p_(platter) {}
+  explicit CrashSimulatingDisk(SimulatedDisk& platter) : p_(platter) {}
 
-  Fault list(std::vector<Listed>& into) override {
+  DiskError list(std::vector<DirectoryEntry>& into) override {
     for (const auto& [name, inode] : p_.names) into.push_back({name, inode->now.size(), false});
     return {};
   }
-  Opened open(const std::string& name) override {
+  OpenResult open(const std::string& name) override {
     if (p_.everyOpen) return {nullptr, {p_.everyOpen}};
     const auto at = p_.names.find(name);
     if (at == p_.names.end()) return {nullptr, {ENOENT}};
     return {std::make_shared<Handle>(p_, at->second), {}};
   }
-  Opened create(const std::string& name) override {
+  OpenResult create(const std::string& name) override {
     if (p_.everyOpen) return {nullptr, {p_.everyOpen}};
-    if (const int fault = p_.next()) return {nullptr, {fault < 0 ? EIO : fault}};
-    auto inode = std::make_shared<Platter::Inode>();
+    if (const int error = p_.next()) return {nullptr, {error < 0 ? EIO : error}};
+    auto inode = std::make_shared<SimulatedDisk::Inode>();
     if (const auto at = p_.names.find(name); at != p_.names.end()) {
       inode = at->second;
-      const Platter::Change cut{true, 0, {}};
-      Platter::apply(inode->now, cut);
+      const SimulatedDisk::Change cut{true, 0, {}};
+      SimulatedDisk::apply(inode->now, cut);
       inode->unsynced.push_back(cut);
     } else {
       p_.names[name] = inode;
-      p_.unsyncedNames.push_back({Platter::NameChange::What::create, name, {}, inode});
+      p_.unsyncedNames.push_back({SimulatedDisk::NameChange::What::create, name, {}, inode});
     }
     return {std::make_shared<Handle>(p_, inode), {}};
   }
-  void willRead(const std::string&) override {}
-  Fault rename(const std::string& from, const std::string& to) override {
-    if (const int fault = p_.next()) return {fault < 0 ? EIO : fault};
+  void prefetch(const std::string&) override {}
+  DiskError rename(const std::string& from, const std::string& to) override {
+    if (const int error = p_.next()) return {error < 0 ? EIO : error};
     const auto at = p_.names.find(from);
     if (at == p_.names.end()) return {ENOENT};
     const auto inode = at->second;
     p_.names.erase(at);
     p_.names[to] = inode;
-    p_.unsyncedNames.push_back({Platter::NameChange::What::rename, from, to, inode});
+    p_.unsyncedNames.push_back({SimulatedDisk::NameChange::What::rename, from, to, inode});
     return {};
   }
-  Fault remove(const std::string& name) override {
-    if (const int fault = p_.next()) return {fault < 0 ? EIO : fault};
+  DiskError remove(const std::string& name) override {
+    if (const int error = p_.next()) return {error < 0 ? EIO : error};
     if (p_.names.erase(name) == 0) return {ENOENT};
-    p_.unsyncedNames.push_back({Platter::NameChange::What::remove, name, {}, {}});
+    p_.unsyncedNames.push_back({SimulatedDisk::NameChange::What::remove, name, {}, {}});
     return {};
   }
-  Fault syncFolder() override {
-    if (const int fault = p_.next()) return {fault < 0 ? EIO : fault};
+  DiskError syncDirectory() override {
+    if (const int error = p_.next()) return {error < 0 ? EIO : error};
     if (p_.everySync) return {p_.everySync};
     p_.keptNames = p_.names;
     p_.unsyncedNames.clear();
     return {};
   }
-  Locked lock(const std::string&) override { return {}; }
+  LockResult lock(const std::string&) override { return {}; }
   void unlock() override {}
 
  private:
   class Handle final : public File {
    public:
-    Handle(Platter& platter, std::shared_ptr<Platter::Inode> inode) : p_(platter), inode_(std::move(inode)) {}
-    Transfer read(std::uint64_t offset, std::span<char> into) override {
+    Handle(SimulatedDisk& platter, std::shared_ptr<SimulatedDisk::Inode> inode)
+        : p_(platter), inode_(std::move(inode)) {}
+    IoResult read(std::uint64_t offset, std::span<char> into) override {
       if (offset >= inode_->now.size()) return {};
       // Short reads are as good as whole ones.
       const auto count = std::min<std::size_t>({into.size(), inode_->now.size() - offset, 3000});
       std::copy_n(inode_->now.data() + offset, count, into.data());
       return {count, {}};
     }
-    Transfer write(std::uint64_t offset, std::string_view bytes) override {
-      const int fault = p_.next();
-      if (fault > 0) return {0, {fault}};
-      if (fault < 0) bytes = bytes.substr(0, std::max<std::size_t>(1, bytes.size() / 2));
+    IoResult write(std::uint64_t offset, std::string_view bytes) override {
+      const int error = p_.next();
+      if (error > 0) return {0, {error}};
+      if (error < 0) bytes = bytes.substr(0, std::max<std::size_t>(1, bytes.size() / 2));
       const auto used = p_.used();
       if (used + bytes.size() > p_.capacity)
         bytes = bytes.substr(0, p_.capacity - std::min(p_.capacity, used));
       if (bytes.empty()) return {0, {ENOSPC}};
-      const Platter::Change change{false, offset, std::string(bytes)};
-      Platter::apply(inode_->now, change);
+      const SimulatedDisk::Change change{false, offset, std::string(bytes)};
+      SimulatedDisk::apply(inode_->now, change);
       inode_->unsynced.push_back(change);
       p_.mostUsed = std::max(p_.mostUsed, p_.used());
       return {bytes.size(), {}};
     }
-    Fault sync() override {
-      int fault = p_.next();
-      if (fault == 0) fault = p_.everySync;
-      if (fault != 0) {
+    DiskError sync() override {
+      int error = p_.next();
+      if (error == 0) error = p_.everySync;
+      if (error != 0) {
         if (p_.operations <= p_.crashAt)
           for (auto& change : std::exchange(inode_->unsynced, {})) inode_->limbo.push_back(std::move(change));
-        return {fault < 0 ? EIO : fault};
+        return {error < 0 ? EIO : error};
       }
-      for (const auto& change : std::exchange(inode_->unsynced, {})) Platter::apply(inode_->kept, change);
+      for (const auto& change : std::exchange(inode_->unsynced, {}))
+        SimulatedDisk::apply(inode_->kept, change);
       return {};
     }
-    void willSync() override {}
-    Fault cut(std::uint64_t size) override {
-      if (const int fault = p_.next()) return {fault < 0 ? EIO : fault};
-      const Platter::Change change{true, size, {}};
-      Platter::apply(inode_->now, change);
+    void startWriteback() override {}
+    DiskError truncate(std::uint64_t size) override {
+      if (const int error = p_.next()) return {error < 0 ? EIO : error};
+      const SimulatedDisk::Change change{true, size, {}};
+      SimulatedDisk::apply(inode_->now, change);
       inode_->unsynced.push_back(change);
       return {};
     }
     std::uint64_t size() override { return inode_->now.size(); }
 
    private:
-    Platter& p_;
-    std::shared_ptr<Platter::Inode> inode_;
+    SimulatedDisk& p_;
+    std::shared_ptr<SimulatedDisk::Inode> inode_;
   };
 
-  Platter& p_;
+  SimulatedDisk& p_;
 };
 
 // What may be served for each key: one state once a write of it is acknowledged, more where a write came to
 // nothing that is known.
-class Ledger {
+class ReferenceModel {
  public:
   struct State {
     std::optional<std::string> value;
-    UnixTime until = forever;
+    UnixTime until = neverExpires;
     bool operator==(const State&) const = default;
   };
 
-  void wrote(const Write& write, bool acknowledged) {
+  void wrote(const WriteRequest& write, bool acknowledged) {
     auto& may = keys_[write.key];
     if (may.empty()) may.push_back({});
     if (acknowledged) may.clear();
-    may.push_back(write.erase ? State{} : State{write.value, write.goodUntil});
+    may.push_back(write.erase ? State{} : State{write.value, write.expiry});
   }
   // Expired once is expired for ever.
   void passed(UnixTime now) {
@@ -265,13 +267,14 @@
                        [&](const State& s) { return s.value == value; });
   }
   // The keys whose state is served wrongly, as text.
-  std::string wrongs(const Book& book, UnixTime now, const std::set<std::string>& mayMiss = {}) {
+  std::string contradictions(const LogStructuredStore& book, UnixTime now,
+                             const std::set<std::string>& mayMiss = {}) {
     passed(now);
     std::string out;
     for (const auto& [key, may] : keys_) {
       const auto got = book.get(key, now);
       if (!got.value && mayMiss.contains(key)) continue;
-      if (!got.outcome.ok()) out += key + " (" + got.outcome.what + ") ";
+      if (!got.status.isOk()) out += key + " (" + got.status.message + ") ";
       if (!allows(key, got.value)) out += key + "=" + got.value.value_or("(none)") + " ";
     }
     return out;
@@ -282,25 +285,27 @@
   std::map<std::string, std::vector<State>> keys_;
 };
 
-inline StoreBounds smallBounds() {
-  StoreBounds out;
-  out.diskBytes = 64 << 10, out.segmentBytes = 1200, out.stepBytes = 400, out.openFiles = 3;
-  out.longestKey = 40, out.longestValue = 200, out.compressFrom = 64;
+inline StoreSettings smallBounds() {
+  StoreSettings out;
+  out.maxDiskBytes = 64 << 10, out.maxSegmentBytes = 1200, out.maintenanceStepBytes = 400,
+  out.maxOpenFiles = 3;
+  out.maxKeyBytes = 40, out.maxValueBytes = 200, out.minCompressedValueBytes = 64;
   return out;
 }
 
 // A history from a seed: puts, overwrites, erases, expiries, compactions, restarts.
-class History {
+class OperationHistory {
  public:
-  explicit History(Platter& platter, std::uint64_t seed, StoreBounds bounds = smallBounds())
+  explicit OperationHistory(SimulatedDisk& platter, std::uint64_t seed, StoreSettings bounds = smallBounds())
       : platter_(platter), bounds_(bounds), chance_(seed) {}
 
   // False once the disk is dead.
   bool open() {
-    if (book_) compactions += book_->stats().compactions, expired += book_->stats().expired;
-    disk_ = std::make_unique<ForgettingDisk>(platter_);
-    book_ = std::make_unique<Book>(*disk_, bounds_, [this](const std::string& line) { log.push_back(line); });
-    return book_->open(77).ok();
+    if (book_) compactions += book_->stats().compactions, expired += book_->stats().expiredEntries;
+    disk_ = std::make_unique<CrashSimulatingDisk>(platter_);
+    book_ = std::make_unique<LogStructuredStore>(*disk_, bounds_,
+                                                 [this](const std::string& line) { log.push_back(line); });
+    return book_->open(77).isOk();
   }
   void play(int steps) {
     for (int i = 0; i < steps; ++i) step();
@@ -308,63 +313,63 @@
   void step() {
     const auto kind = below(chance_, 20);
     if (kind < 12) {
-      std::vector<Write> writes;
+      std::vector<WriteRequest> writes;
       for (auto left = 1 + below(chance_, 3); left > 0; --left) writes.push_back(write());
       put(writes);
     } else if (kind < 17) {
-      for (auto left = below(chance_, 12); left > 0; --left) book_->tidy(now);
+      for (auto left = below(chance_, 12); left > 0; --left) book_->runMaintenance(now);
     } else if (kind < 19) {
       now += std::chrono::milliseconds(below(chance_, 40));
     } else if (platter_.operations < platter_.crashAt) {
       if (below(chance_, 3) == 0) {  // what tidies follow carry it on; a start ends it
-        copy_ = Platter();
-        return void(book_->beginSnapshot(std::make_unique<ForgettingDisk>(copy_), {}));
+        copy_ = SimulatedDisk();
+        return void(book_->startSnapshot(std::make_unique<CrashSimulatingDisk>(copy_), {}));
       }
       if (below(chance_, 2) == 0) book_->close();
       open();
     }
   }
-  void put(const std::vector<Write>& writes) {
+  void put(const std::vector<WriteRequest>& writes) {
     const auto outcomes = book_->commit(writes, now);
-    for (std::size_t i = 0; i < writes.size(); ++i) ledger.wrote(writes[i], outcomes[i].ok());
+    for (std::size_t i = 0; i < writes.size(); ++i) ledger.wrote(writes[i], outcomes[i].isOk());
   }
-  void tidyAll() {
-    for (int i = 0; i < 10000 && book_->tidy(now); ++i) {
+  void runAllMaintenance() {
+    for (int i = 0; i < 10000 && book_->runMaintenance(now); ++i) {
     }
   }
   void compactAll() {
-    std::optional<Outcome> ended;
-    book_->beginCompaction([&](Outcome outcome) { ended = std::move(outcome); });
-    for (int i = 0; i < 10000 && !ended; ++i) book_->tidy(now);
+    std::optional<StoreStatus> ended;
+    book_->startCompaction([&](StoreStatus outcome) { ended = std::move(outcome); });
+    for (int i = 0; i < 10000 && !ended; ++i) book_->runMaintenance(now);
     EXPECT_TRUE(ended);
   }
-  Book& book() { return *book_; }
+  LogStructuredStore& book() { return *book_; }
   void forget() { book_.reset(); }
 
   UnixTime now{std::chrono::milliseconds(1'000'000)};
-  Ledger ledger;
+  ReferenceModel ledger;
   std::vector<std::string> log;
   std::uint64_t compactions = 0, expired = 0;  // of the books before the last
   std::uint64_t erased = 0;
 
  private:
-  Write write() {
-    Write out;
+  WriteRequest write() {
+    WriteRequest out;
     out.key = named("key", below(chance_, 12));
     out.erase = below(chance_, 5) == 0;
     erased += out.erase;
     if (out.erase) return out;
     out.value = std::to_string(++written_) + ":" + std::string(below(chance_, 90), 'v');
-    if (below(chance_, 4) == 0) out.goodUntil = now + std::chrono::milliseconds(1 + below(chance_, 60));
+    if (below(chance_, 4) == 0) out.expiry = now + std::chrono::milliseconds(1 + below(chance_, 60));
     return out;
   }
 
-  Platter copy_;
-  Platter& platter_;
-  StoreBounds bounds_;
+  SimulatedDisk copy_;
+  SimulatedDisk& platter_;
+  StoreSettings bounds_;
   Chance chance_;
-  std::unique_ptr<ForgettingDisk> disk_;
-  std::unique_ptr<Book> book_;
+  std::unique_ptr<CrashSimulatingDisk> disk_;
+  std::unique_ptr<LogStructuredStore> book_;
   int written_ = 0;
 };
 
