--- a/bench/store_measure.cpp
+++ b/bench/store_measure.cpp
@@ -1,6 +1,7 @@
-// make measure-store: what the store does on a real folder, against itself with group commit off and without
-// hints. Usage: store_measure FOLDER [entries of the start]. Takes about a minute; the folder is emptied at
-// the end.
+/// @file
+/// `make measure-store`: what the store does on a real folder, against itself with group commit off and
+/// without hint files. Usage: store_measure FOLDER [entries of the start]. Takes about a minute; the folder
+/// is removed at the end.
 #include <fcntl.h>
 #include <fmt/format.h>
 #include <malloc.h>
@@ -11,13 +12,16 @@
 #include <chrono>
 #include <cstdlib>
 #include <filesystem>
-#include <fstream>
 #include <functional>
+#include <memory>
 #include <pcg_random.hpp>
 #include <string>
+#include <utility>
 #include <vector>
 
+#include "store/compaction_policy.h"
 #include "store/posix_disk.h"
+#include "store/record_format.h"
 #include "store/store.h"
 
 namespace {
@@ -25,284 +29,342 @@
 using namespace rainhook::store;
 using Clock = std::chrono::steady_clock;
 using Seconds = std::chrono::duration<double>;
-namespace files = std::filesystem;
 
 constexpr int runs = 3;
+constexpr double microsecondsPerSecond = 1e6;
+constexpr double millisecondsPerSecond = 1e3;
 
-UnixTime now() { return std::chrono::floor<std::chrono::milliseconds>(std::chrono::system_clock::now()); }
-double since(Clock::time_point begin) { return Seconds(Clock::now() - begin).count(); }
+UnixTime systemTime() {
+  return std::chrono::floor<std::chrono::milliseconds>(std::chrono::system_clock::now());
+}
+double secondsSince(Clock::time_point begin) { return Seconds(Clock::now() - begin).count(); }
 
-double median(std::vector<double> all) {
-  std::sort(all.begin(), all.end());
-  return all[all.size() / 2];
+double median(std::vector<double> values) {
+  std::sort(values.begin(), values.end());
+  return values[values.size() / 2];
 }
-double medianOf(const std::function<double()>& measure) {
-  std::vector<double> all;
-  for (int i = 0; i < runs; ++i) all.push_back(measure());
-  return median(all);
+double medianOfRuns(const std::function<double()>& measure) {
+  std::vector<double> values;
+  for (int i = 0; i < runs; ++i) values.push_back(measure());
+  return median(values);
 }
-double share(std::vector<double>& all, double part) {
-  if (all.empty()) return 0;
-  std::sort(all.begin(), all.end());
-  return all[std::min(all.size() - 1, static_cast<std::size_t>(part * static_cast<double>(all.size())))];
+double quantile(std::vector<double>& values, double share) {
+  if (values.empty()) return 0;
+  std::sort(values.begin(), values.end());
+  const auto rank = static_cast<std::size_t>(share * static_cast<double>(values.size()));
+  return values[std::min(values.size() - 1, rank)];
 }
 
 std::string keyOf(std::uint64_t i) { return fmt::format("key{:08}", i); }
 
-// Bytes that zstd can't make shorter.
-std::string valueOf(pcg32& chance, std::size_t size) {
-  std::string out(size, '\0');
-  for (char& c : out) c = static_cast<char>(chance());
+/// Bytes that zstd can't make shorter.
+std::string randomValue(pcg32& random, std::size_t bytes) {
+  std::string out(bytes, '\0');
+  for (char& c : out) c = static_cast<char>(random());
   return out;
 }
 
+/// Prints rows as they are measured and all of them as one line at the end.
+class Report {
+ public:
+  void row(const std::string& text, const std::string& name, double value, int digits) {
+    fmt::print("  {:<42}{:>12.{}f}\n", text, value, digits);
+    values_.emplace_back(name, value);
+  }
+  /// The value of the row that was printed so many rows ago; 1 is the last.
+  double earlier(std::size_t rowsAgo) const { return values_[values_.size() - rowsAgo].second; }
+  void printSummary() const {
+    fmt::print("\nmeasure store:");
+    for (const auto& [name, value] : values_) fmt::print(" {}={:.2f}", name, value);
+    fmt::print("\n");
+  }
+
+ private:
+  std::vector<std::pair<std::string, double>> values_;
+};
+
+/// A folder for the stores that are measured, with their settings.
 struct Rig {
   std::string folder;
-  StoreSettings bounds;
-  std::unique_ptr<Store> open() const {
-    auto out = std::make_unique<Store>(std::make_unique<PosixDisk>(folder), bounds, now,
+  StoreSettings settings;
+
+  std::unique_ptr<Store> openStore() const {
+    auto out = std::make_unique<Store>(std::make_unique<PosixDisk>(folder), settings, systemTime,
                                        [](const std::string& line) { fmt::print(stderr, "{}\n", line); });
-    if (const auto outcome = out->open(1); !outcome.isOk()) {
-      fmt::print(stderr, "{}\n", outcome.message);
+    if (const auto status = out->open(1); !status.isOk()) {
+      fmt::print(stderr, "{}\n", status.message);
       std::exit(1);
     }
     return out;
   }
-  void clear() const { files::remove_all(folder); }
+  void clear() const { std::filesystem::remove_all(folder); }
 };
 
-struct Put {
-  double perSecond = 0, p50 = 0, p99 = 0;  // milliseconds
-  std::uint64_t refused = 0;
+struct PutMeasurement {
+  double perSecond = 0;
+  double p99Ms = 0;
 };
 
-// So many writes under way at a time; the next begins when one is acknowledged.
-Put puts(Store& store, std::uint64_t inFlight, double seconds, const std::function<std::string()>& key,
-         std::size_t valueBytes) {
-  pcg32 chance(7);
-  const auto value = valueOf(chance, valueBytes);
-  std::vector<double> took;
-  std::uint64_t open = 0;
-  Put out;
+/// Keeps so many writes in flight; the next begins when one is acknowledged.
+PutMeasurement measurePuts(Store& store, std::uint64_t inFlight, double seconds,
+                           const std::function<std::string()>& nextKey, std::size_t valueBytes) {
+  pcg32 random(7);
+  const auto value = randomValue(random, valueBytes);
+  std::vector<double> latenciesMs;
+  std::uint64_t pending = 0;
   const auto begin = Clock::now();
-  while (since(begin) < seconds || open > 0) {
-    while (open < inFlight && since(begin) < seconds) {
-      const auto said = Clock::now();
-      const auto outcome = store.put(key(), value, neverExpires, [&, said](const StoreStatus& o) {
-        --open;
-        o.isOk() ? took.push_back(since(said) * 1e3) : void(++out.refused);
+  while (secondsSince(begin) < seconds || pending > 0) {
+    while (pending < inFlight && secondsSince(begin) < seconds) {
+      const auto sent = Clock::now();
+      const auto status = store.put(nextKey(), value, neverExpires, [&, sent](const StoreStatus& result) {
+        --pending;
+        if (result.isOk()) latenciesMs.push_back(secondsSince(sent) * millisecondsPerSecond);
       });
-      outcome.isOk() ? ++open : ++out.refused;
+      if (status.isOk()) ++pending;
     }
-    pollfd ready{store.eventFd(), POLLIN, 0};
-    ::poll(&ready, 1, 100);
+    pollfd readable{store.eventFd(), POLLIN, 0};
+    ::poll(&readable, 1, 100);
     store.dispatchCompletions();
   }
-  out.perSecond = static_cast<double>(took.size()) / since(begin);
-  out.p50 = share(took, 0.5), out.p99 = share(took, 0.99);
+  PutMeasurement out;
+  out.perSecond = static_cast<double>(latenciesMs.size()) / secondsSince(begin);
+  out.p99Ms = quantile(latenciesMs, 0.99);
   return out;
 }
 
-double putsASecond(Rig rig, std::uint64_t inFlight, std::uint64_t maxCommitWrites) {
-  rig.bounds.maxCommitWrites = maxCommitWrites;
-  return medianOf([&] {
+double putsPerSecond(Rig rig, std::uint64_t inFlight, std::uint64_t maxCommitWrites) {
+  rig.settings.maxCommitWrites = maxCommitWrites;
+  return medianOfRuns([&] {
     rig.clear();
-    const auto store = rig.open();
+    const auto store = rig.openStore();
     std::uint64_t number = 0;
-    return puts(
-               *store, inFlight, 1.0, [&] { return keyOf(number++); }, 100)
-        .perSecond;
+    const auto nextKey = [&] { return keyOf(number++); };
+    return measurePuts(*store, inFlight, 1.0, nextKey, 100).perSecond;
   });
 }
 
-// Random overwrites with so large a part of the usable room living, once the folder has filled.
-struct Amplified {
-  double factor = 0;
-  std::uint64_t most = 0, bound = 0, refused = 0;
-};
-Amplified amplification(Rig rig, double living) {
+void measureGroupCommit(const Rig& rig, Report& report) {
+  fmt::print("{:<44}{:>12}\n", "durable puts a second", "");
+  for (const std::uint64_t inFlight : {1, 8, 64})
+    report.row(fmt::format("{} in flight", inFlight), fmt::format("puts_{}", inFlight),
+               putsPerSecond(rig, inFlight, 1024), 0);
+  report.row("64 in flight, a sync each", "puts_64_single", putsPerSecond(rig, 64, 1), 0);
+  report.row("group commit, times as many", "group_gain", report.earlier(2) / report.earlier(1), 1);
+}
+
+void measureGets(Rig rig, Report& report) {
   rig.clear();
-  rig.bounds.maxDiskBytes = 32 << 20, rig.bounds.maxSegmentBytes = 1 << 20;
+  rig.settings.maxDiskBytes = 512 << 20;
+  rig.settings.maxIndexBytes = 512 << 20;
+  const auto store = rig.openStore();
+  std::uint64_t entries = 0;
+  const auto nextKey = [&] { return keyOf(entries++); };
+  measurePuts(*store, 512, 2.0, nextKey, 100);
+  pcg32 random(3);
+  std::vector<double> latenciesUs;
+  std::uint64_t missing = 0;
+  const auto begin = Clock::now();
+  while (secondsSince(begin) < 2) {
+    const auto key = keyOf(random(static_cast<std::uint32_t>(entries)));
+    const auto sent = Clock::now();
+    missing += !store->get(key).value;
+    latenciesUs.push_back(secondsSince(sent) * microsecondsPerSecond);
+  }
+  fmt::print("gets from {} entries\n", entries);
+  report.row("a second", "gets", static_cast<double>(latenciesUs.size()) / secondsSince(begin), 0);
+  report.row("p99, microseconds", "get_p99_us", quantile(latenciesUs, 0.99), 1);
+  if (missing > 0) fmt::print("  {} were missing\n", missing);
+}
+
+void fillForStart(const Rig& rig, std::uint64_t entries) {
+  constexpr std::uint64_t keyStride = 7919;  // a prime, so that the keys are not written in their order
   PosixDisk disk(rig.folder);
-  LogStructuredStore book(disk, rig.bounds, {});
-  if (!book.open(1).isOk()) std::exit(1);
-  pcg32 chance(9);
-  constexpr std::size_t valueBytes = 300;
-  const double weight = static_cast<double>(recordBytes(11, valueBytes) + hintEntryBytes(11));
-  const double usable = static_cast<double>(rig.bounds.maxDiskBytes - CompactionPolicy(rig.bounds).reserve());
-  const auto entries = static_cast<std::uint32_t>(living * usable / weight);
-  Amplified out;
-  out.bound = rig.bounds.maxDiskBytes;
-  const auto write = [&](std::uint64_t count, const std::function<std::uint64_t(std::uint64_t)>& key) {
-    for (std::uint64_t i = 0; i < count;) {
-      std::vector<WriteRequest> batch;
-      for (int b = 0; b < 128 && i < count; ++b, ++i)
-        batch.push_back({false, keyOf(key(i)), valueOf(chance, valueBytes), neverExpires});
-      for (const auto& outcome : book.commit(batch, now())) out.refused += !outcome.isOk();
-      book.runMaintenance(now());
-      std::uint64_t folder = 0;
-      for (const auto& entry : files::directory_iterator(rig.folder)) folder += entry.file_size();
-      out.most = std::max(out.most, folder);
-    }
-  };
-  write(entries, [](std::uint64_t i) { return i; });
-  write(entries, [&](std::uint64_t) { return chance(entries); });
-  const auto before = book.stats();
-  write(entries * 3, [&](std::uint64_t) { return chance(entries); });
-  const auto after = book.stats();
-  const auto put = static_cast<double>(after.writtenBytes - before.writtenBytes);
-  out.factor = (put + static_cast<double>(after.compactedBytes - before.compactedBytes)) / put;
-  out.most = std::max(out.most, after.peakFolderBytes);
-  book.close();
-  return out;
+  LogStructuredStore store(disk, rig.settings, {});
+  if (!store.open(1).isOk()) std::exit(1);
+  pcg32 random(5);
+  for (std::uint64_t i = 0; i < entries;) {
+    std::vector<WriteRequest> batch;
+    for (int b = 0; b < 1024 && i < entries; ++b, ++i)
+      batch.push_back(WriteRequest::put(keyOf(i * keyStride % entries), randomValue(random, 1000)));
+    store.commit(batch, systemTime());
+  }
+  store.close();
 }
 
-std::uint64_t allocatedBytes() { return ::mallinfo2().uordblks; }
+/// Drops the folder's files from the page cache, as a start of the machine does.
+void dropPageCache(const std::string& folder) {
+  ::sync();
+  for (const auto& entry : std::filesystem::directory_iterator(folder)) {
+    const int descriptor = ::open(entry.path().c_str(), O_RDONLY);
+    ::posix_fadvise(descriptor, 0, 0, POSIX_FADV_DONTNEED);
+    ::close(descriptor);
+  }
+}
 
-}  // namespace
+void removeHintFiles(const std::string& folder) {
+  for (const auto& entry : std::filesystem::directory_iterator(folder))
+    if (entry.path().extension() == ".hint") std::filesystem::remove(entry.path());
+}
 
-int main(int count, char** words) {
-  if (count < 2) return fmt::print(stderr, "usage: store_measure FOLDER [ENTRIES]\n"), 2;
-  const std::uint64_t entries = count > 2 ? std::strtoull(words[2], nullptr, 10) : 1000000;
-  Rig rig{words[1], {}};
-  fmt::print("medians of {} runs, values of 100 bytes unless said\n\n", runs);
+enum class Hints { present, absent };
+enum class PageCache { cold, warm };
 
-  fmt::print("{:<44}{:>12}\n", "durable puts a second", "");
-  std::vector<std::pair<std::string, double>> named;
-  const auto row = [&](const std::string& text, const std::string& name, double value, int digits) {
-    fmt::print("  {:<42}{:>12.{}f}\n", text, value, digits);
-    named.emplace_back(name, value);
+double startSeconds(const Rig& rig, std::uint64_t entries, Hints hints, PageCache cache) {
+  return medianOfRuns([&] {
+    if (hints == Hints::absent) removeHintFiles(rig.folder);
+    if (cache == PageCache::cold) dropPageCache(rig.folder);
+    const auto begin = Clock::now();
+    PosixDisk disk(rig.folder);
+    LogStructuredStore store(disk, rig.settings, {});
+    if (!store.open(1).isOk() || store.statistics().entries != entries) std::exit(1);
+    return secondsSince(begin);
+  });
+}
+
+std::uint64_t allocatedBytes() { return ::mallinfo2().uordblks; }
+
+void measureMemory(const Rig& rig, std::uint64_t entries, Report& report) {
+  PosixDisk disk(rig.folder);
+  LogStructuredStore store(disk, rig.settings, {});
+  const std::uint64_t allocatedBefore = allocatedBytes();
+  if (!store.open(1).isOk()) std::exit(1);
+  const auto perEntry = [&](std::uint64_t bytes) {
+    return static_cast<double>(bytes) / static_cast<double>(entries);
   };
-  for (const std::uint64_t flight : {1, 8, 64})
-    row(fmt::format("{} in flight", flight), fmt::format("puts_{}", flight), putsASecond(rig, flight, 1024),
-        0);
-  row("64 in flight, a sync each", "puts_64_single", putsASecond(rig, 64, 1), 0);
-  row("group commit, times as many", "group_gain", named[2].second / named[3].second, 1);
+  report.row("index bytes an entry, as counted", "index_entry", perEntry(store.statistics().indexBytes), 0);
+  report.row("allocated bytes an entry, as measured", "allocated_entry",
+             perEntry(allocatedBytes() - allocatedBefore), 0);
+}
 
-  {
-    rig.clear();
-    auto bounds = rig;
-    bounds.bounds.maxDiskBytes = 512 << 20, bounds.bounds.maxIndexBytes = 512 << 20;
-    const auto store = bounds.open();
-    std::uint64_t number = 0;
-    puts(
-        *store, 512, 2.0, [&] { return keyOf(number++); }, 100);
-    pcg32 chance(3);
-    std::vector<double> took;
-    const auto begin = Clock::now();
-    std::uint64_t missing = 0;
-    while (since(begin) < 2) {
-      const auto key = keyOf(chance(static_cast<std::uint32_t>(number)));
-      const auto said = Clock::now();
-      missing += !store->get(key).value;
-      took.push_back(since(said) * 1e6);
-    }
-    fmt::print("gets from {} entries\n", number);
-    row("a second", "gets", static_cast<double>(took.size()) / since(begin), 0);
-    row("p99, microseconds", "get_p99_us", share(took, 0.99), 1);
-    if (missing > 0) fmt::print("  {} were missing\n", missing);
+void measureStart(Rig rig, std::uint64_t entries, Report& report) {
+  rig.clear();
+  rig.settings.maxDiskBytes = std::uint64_t{4} << 30;
+  rig.settings.maxIndexBytes = 1 << 30;
+  rig.settings.maxSegmentBytes = 16 << 20;
+  rig.settings.maxQueueBytes = 64 << 20;
+  fillForStart(rig, entries);
+  fmt::print("start with {} entries of 1000 bytes\n", entries);
+  for (const PageCache cache : {PageCache::cold, PageCache::warm}) {
+    const std::string name = cache == PageCache::cold ? "cold" : "warm";
+    report.row(name + ", with hints, seconds", "start_" + name + "_hints_s",
+               startSeconds(rig, entries, Hints::present, cache), 2);
+    report.row(name + ", without, seconds", "start_" + name + "_scan_s",
+               startSeconds(rig, entries, Hints::absent, cache), 2);
+    report.row("times as quick", "start_" + name + "_gain", report.earlier(1) / report.earlier(2), 1);
   }
+  measureMemory(rig, entries, report);
+}
 
-  {
+/// The latency of acknowledgements while nothing is overwritten, and while compaction never rests.
+void measureLatencyDuringCompaction(Rig rig, Report& report) {
+  constexpr std::uint32_t keys = 20000;
+  rig.settings.maxDiskBytes = 64 << 20;
+  rig.settings.maxSegmentBytes = 2 << 20;
+  std::vector<double> quietMs;
+  std::vector<double> compactingMs;
+  std::vector<double> compactions;
+  for (int i = 0; i < runs; ++i) {
     rig.clear();
-    auto large = rig;
-    large.bounds.maxDiskBytes = std::uint64_t{4} << 30, large.bounds.maxIndexBytes = 1 << 30;
-    large.bounds.maxSegmentBytes = 16 << 20, large.bounds.maxQueueBytes = 64 << 20;
-    {
-      PosixDisk disk(large.folder);
-      LogStructuredStore book(disk, large.bounds, {});
-      if (!book.open(1).isOk()) return 1;
-      pcg32 chance(5);
-      for (std::uint64_t i = 0; i < entries;) {
-        std::vector<WriteRequest> batch;
-        for (int b = 0; b < 1024 && i < entries; ++b, ++i)
-          batch.push_back({false, keyOf(i * 7919 % entries), valueOf(chance, 1000), neverExpires});
-        book.commit(batch, now());
-      }
-      book.close();
-    }
-    // A start after the machine's: nothing of the files is in the cache. Warm: a start after a stop.
-    const auto forget = [&] {
-      ::sync();
-      for (const auto& entry : files::directory_iterator(large.folder)) {
-        const int file = ::open(entry.path().c_str(), O_RDONLY);
-        ::posix_fadvise(file, 0, 0, POSIX_FADV_DONTNEED);
-        ::close(file);
-      }
-    };
-    const auto start = [&](bool hints, bool cold) {
-      return medianOf([&] {
-        if (!hints)
-          for (const auto& entry : files::directory_iterator(large.folder))
-            if (entry.path().extension() == ".hint") files::remove(entry.path());
-        if (cold) forget();
-        const auto begin = Clock::now();
-        PosixDisk disk(large.folder);
-        LogStructuredStore book(disk, large.bounds, {});
-        if (!book.open(1).isOk() || book.stats().entries != entries) std::exit(1);
-        return since(begin);
-      });
-    };
-    fmt::print("start with {} entries of 1000 bytes\n", entries);
-    for (const bool cold : {true, false}) {
-      const std::string how = cold ? "cold" : "warm";
-      row(how + ", with hints, seconds", "start_" + how + "_hints_s", start(true, cold), 2);
-      row(how + ", without, seconds", "start_" + how + "_scan_s", start(false, cold), 2);
-      row("times as quick", "start_" + how + "_gain", named.back().second / named[named.size() - 2].second,
-          1);
-    }
-    PosixDisk disk(large.folder);
-    LogStructuredStore book(disk, large.bounds, {});
-    const auto before = allocatedBytes();
-    book.open(1);
-    const auto stats = book.stats();
-    row("index bytes an entry, as counted", "index_entry",
-        static_cast<double>(stats.indexBytes) / static_cast<double>(entries), 0);
-    row("allocated bytes an entry, as measured", "allocated_entry",
-        static_cast<double>(allocatedBytes() - before) / static_cast<double>(entries), 0);
+    const auto store = rig.openStore();
+    std::uint64_t number = 0;
+    quietMs.push_back(measurePuts(
+                          *store, 8, 1.5, [&] { return keyOf(number++); }, 1000)
+                          .p99Ms);
+    pcg32 random(4);
+    for (std::uint64_t key = 0; key < keys;)
+      measurePuts(
+          *store, 64, 0.2, [&] { return keyOf(key++); }, 1000);
+    const auto before = store->statistics().log;
+    compactingMs.push_back(measurePuts(
+                               *store, 8, 3.0, [&] { return keyOf(random(keys)); }, 1000)
+                               .p99Ms);
+    compactions.push_back(static_cast<double>(store->statistics().log.compactions - before.compactions));
   }
+  fmt::print("acknowledgements, 8 in flight, values of 1000 bytes\n");
+  report.row("p99 quiet, ms", "ack_quiet_p99_ms", median(quietMs), 2);
+  report.row("p99 while compacting, ms", "ack_compact_p99_ms", median(compactingMs), 2);
+  report.row("times as long", "ack_ratio", median(compactingMs) / median(quietMs), 1);
+  report.row("segments compacted meanwhile", "compactions", median(compactions), 0);
+}
 
-  {
-    // Quiet: nothing is written over. Then the same load over few keys, so that compaction never rests.
-    std::vector<double> quiet, busy, compactions;
-    for (int i = 0; i < runs; ++i) {
-      auto small = rig;
-      small.bounds.maxDiskBytes = 64 << 20, small.bounds.maxSegmentBytes = 2 << 20;
-      rig.clear();
-      const auto store = small.open();
-      std::uint64_t number = 0;
-      quiet.push_back(puts(
-                          *store, 8, 1.5, [&] { return keyOf(number++); }, 1000)
-                          .p99);
-      pcg32 chance(4);
-      for (std::uint64_t k = 0; k < 20000;)
-        puts(
-            *store, 64, 0.2, [&] { return keyOf(k++); }, 1000);
-      const auto before = store->statistics().book;
-      busy.push_back(puts(
-                         *store, 8, 3.0, [&] { return keyOf(chance(20000)); }, 1000)
-                         .p99);
-      compactions.push_back(static_cast<double>(store->statistics().book.compactions - before.compactions));
+struct Amplification {
+  double factor = 0;
+  std::uint64_t peakFolderBytes = 0;
+  std::uint64_t maxFolderBytes = 0;
+  std::uint64_t refusedWrites = 0;
+};
+
+/// Random overwrites with this share of the usable room live, once the folder has filled.
+Amplification measureAmplification(Rig rig, double liveShare) {
+  constexpr std::size_t valueBytes = 300;
+  constexpr std::size_t keyBytes = 11;
+  rig.clear();
+  rig.settings.maxDiskBytes = 32 << 20;
+  rig.settings.maxSegmentBytes = 1 << 20;
+  PosixDisk disk(rig.folder);
+  LogStructuredStore store(disk, rig.settings, {});
+  if (!store.open(1).isOk()) std::exit(1);
+  pcg32 random(9);
+  const auto entryBytes = static_cast<double>(recordBytes(keyBytes, valueBytes) + hintEntryBytes(keyBytes));
+  const auto usableBytes =
+      static_cast<double>(rig.settings.maxDiskBytes - CompactionPolicy(rig.settings).reservedBytes());
+  const auto entries = static_cast<std::uint32_t>(liveShare * usableBytes / entryBytes);
+  Amplification out;
+  out.maxFolderBytes = rig.settings.maxDiskBytes;
+  const auto write = [&](std::uint64_t count, const std::function<std::uint64_t(std::uint64_t)>& keyNumber) {
+    for (std::uint64_t i = 0; i < count;) {
+      std::vector<WriteRequest> batch;
+      for (int b = 0; b < 128 && i < count; ++b, ++i)
+        batch.push_back(WriteRequest::put(keyOf(keyNumber(i)), randomValue(random, valueBytes)));
+      for (const auto& status : store.commit(batch, systemTime())) out.refusedWrites += !status.isOk();
+      store.runMaintenance(systemTime());
+      std::uint64_t folderBytes = 0;
+      for (const auto& entry : std::filesystem::directory_iterator(rig.folder))
+        folderBytes += entry.file_size();
+      out.peakFolderBytes = std::max(out.peakFolderBytes, folderBytes);
     }
-    fmt::print("acknowledgements, 8 in flight, values of 1000 bytes\n");
-    row("p99 quiet, ms", "ack_quiet_p99_ms", median(quiet), 2);
-    row("p99 while compacting, ms", "ack_compact_p99_ms", median(busy), 2);
-    row("times as long", "ack_ratio", median(busy) / median(quiet), 1);
-    row("segments compacted meanwhile", "compactions", median(compactions), 0);
+  };
+  write(entries, [](std::uint64_t i) { return i; });
+  write(entries, [&](std::uint64_t) { return random(entries); });
+  const auto before = store.statistics();
+  write(entries * 3, [&](std::uint64_t) { return random(entries); });
+  const auto after = store.statistics();
+  const auto writtenBytes = static_cast<double>(after.writtenBytes - before.writtenBytes);
+  const auto compactedBytes = static_cast<double>(after.compactedBytes - before.compactedBytes);
+  out.factor = (writtenBytes + compactedBytes) / writtenBytes;
+  out.peakFolderBytes = std::max(out.peakFolderBytes, after.peakFolderBytes);
+  store.close();
+  return out;
+}
+
+void reportAmplification(const Rig& rig, Report& report) {
+  for (const double liveShare : {0.5, 0.8}) {
+    const auto result = measureAmplification(rig, liveShare);
+    fmt::print("random overwrites, {:.0f}% of the usable room living, {} refused\n", liveShare * 100,
+               result.refusedWrites);
+    report.row("write amplification", fmt::format("amplification_{:.0f}", liveShare * 100), result.factor, 2);
+    report.row("largest folder, part of its bound", fmt::format("folder_most_{:.0f}", liveShare * 100),
+               static_cast<double>(result.peakFolderBytes) / static_cast<double>(result.maxFolderBytes), 3);
   }
+}
 
-  for (const double living : {0.5, 0.8}) {
-    const auto got = amplification(rig, living);
-    fmt::print("random overwrites, {:.0f}% of the usable room living, {} refused\n", living * 100,
-               got.refused);
-    row("write amplification", fmt::format("amplification_{:.0f}", living * 100), got.factor, 2);
-    row("largest folder, part of its bound", fmt::format("folder_most_{:.0f}", living * 100),
-        static_cast<double>(got.most) / static_cast<double>(got.bound), 3);
+}  // namespace
+
+int main(int argc, char** argv) {
+  if (argc < 2) {
+    fmt::print(stderr, "usage: store_measure FOLDER [ENTRIES]\n");
+    return 2;
   }
+  const std::uint64_t entries = argc > 2 ? std::strtoull(argv[2], nullptr, 10) : 1000000;
+  const Rig rig{argv[1], {}};
+  Report report;
+  fmt::print("medians of {} runs, values of 100 bytes unless said\n\n", runs);
+  measureGroupCommit(rig, report);
+  measureGets(rig, report);
+  measureStart(rig, entries, report);
+  measureLatencyDuringCompaction(rig, report);
+  reportAmplification(rig, report);
   rig.clear();
-
-  fmt::print("\nmeasure store:");
-  for (const auto& [name, value] : named) fmt::print(" {}={:.2f}", name, value);
-  fmt::print("\n");
+  report.printSummary();
   return 0;
 }
--- /dev/null
+++ b/src/commands/store_dump_commands.cpp
@@ -0,0 +1,115 @@
+#include "commands/store_dump_commands.h"
+
+#include <Poco/Base64Decoder.h>
+#include <Poco/Base64Encoder.h>
+#include <Poco/Exception.h>
+#include <fmt/format.h>
+
+#include <chrono>
+#include <cstdint>
+#include <cstdio>
+#include <iostream>
+#include <nlohmann/json.hpp>
+#include <sstream>
+#include <string>
+
+#include "commands/commands.h"
+#include "commands/store_entry_commands.h"
+
+namespace rainhook::commands {
+namespace {
+
+using store::StoreStatus;
+
+/// The keys of a line.
+constexpr const char* keyField = "key";
+constexpr const char* valueField = "value";
+constexpr const char* expiryField = "good_until_ms";
+
+std::string encodeBase64(const std::string& bytes) {
+  std::ostringstream out;
+  Poco::Base64Encoder encoder(out);
+  encoder.rdbuf()->setLineLength(0);
+  encoder << bytes;
+  encoder.close();
+  return out.str();
+}
+
+std::string decodeBase64Field(const nlohmann::json& line, const char* field) {
+  const auto found = line.find(field);
+  if (found == line.end() || !found->is_string())
+    throw StoreCommandError(fmt::format("a line has no text under {}", field));
+  const auto text = found->get<std::string>();
+  std::istringstream in(text);
+  Poco::Base64Decoder decoder(in);
+  std::string out;
+  try {
+    out = readAllInput(decoder);
+  } catch (const Poco::Exception&) {
+    throw StoreCommandError(fmt::format("{} is no base64", field));
+  }
+  // The decoder ignores what it does not know.
+  if (encodeBase64(out) != text) throw StoreCommandError(fmt::format("{} is no base64", field));
+  return out;
+}
+
+/// Throws StoreCommandError where the line is no entry.
+store::WriteRequest parseEntry(const std::string& text, std::uint64_t lineNumber) {
+  const auto line = nlohmann::json::parse(text, nullptr, false);
+  if (!line.is_object()) throw StoreCommandError(fmt::format("line {} is no JSON object", lineNumber));
+  const std::string key = decodeBase64Field(line, keyField);
+  const std::string value = decodeBase64Field(line, valueField);
+  auto out = store::WriteRequest::put(key, value);
+  const auto expiry = line.find(expiryField);
+  if (expiry == line.end()) return out;
+  if (!expiry->is_number_integer())
+    throw StoreCommandError(fmt::format("line {}: good_until_ms is no whole number", lineNumber));
+  out.expiry = store::UnixTime(std::chrono::milliseconds(expiry->get<std::int64_t>()));
+  return out;
+}
+
+}  // namespace
+
+int dumpStore(StoreSession& session) {
+  store::Store& store = session.openStore();
+  int status = fine;
+  forEachEntry(store, ListOrder::byAge, [&](const store::ScanPage::Row& row) {
+    const auto read = store.get(row.key);
+    if (!read.value) {
+      if (read.status.isOk()) return;
+      fmt::print(stderr, "store: {}\n", read.status.message);
+      status = damaged;
+      return;
+    }
+    nlohmann::json line{{keyField, encodeBase64(row.key)}, {valueField, encodeBase64(*read.value)}};
+    if (row.expiry != store::neverExpires) line[expiryField] = row.expiry.time_since_epoch().count();
+    std::cout << line.dump() << '\n';
+  });
+  std::cout << std::flush;
+  return status;
+}
+
+int loadStore(StoreSession& session) {
+  store::Store& store = session.openStore();
+  StoreStatus lastFailure;
+  std::uint64_t durableEntries = 0;
+  std::uint64_t lineNumber = 0;
+  const auto onDone = [&](const StoreStatus& status) {
+    if (status.isOk())
+      ++durableEntries;
+    else
+      lastFailure = status;
+  };
+  std::string text;
+  while (lastFailure.isOk() && std::getline(std::cin, text)) {
+    const store::WriteRequest entry = parseEntry(text, ++lineNumber);
+    session.acceptWhenQueueHasRoom([&] { return store.put(entry.key, entry.value, entry.expiry, onDone); });
+    store.dispatchCompletions();
+  }
+  store.waitUntilIdle();
+  requireSuccess(lastFailure);
+  fmt::print("{} entries are on the disk\n", durableEntries);
+  return fine;
+}
+
+}  // namespace rainhook::commands
--- a/src/store/compaction_policy.h
+++ b/src/store/compaction_policy.h
@@ -1,5 +1,6 @@
-// What decides in the store: when a segment is full, what is compacted next, what ages out, how much a step
-// may do. Pure: facts in, a choice out; no clock, no I/O.
+/// @file
+/// The decisions of the store: when a segment is full, what is compacted next, what ages out, how much a
+/// maintenance step may do. Pure: the store's occupancy in, a choice out; no clock, no I/O.
 #pragma once
 
 #include <cstdint>
@@ -13,66 +14,62 @@
 
 struct SegmentInfo {
   SegmentNumber number{};
-  std::uint64_t bytes = 0;   // with its hint file
-  std::uint64_t living = 0;  // what a compaction would have to copy
-  bool sealed = false;
-  bool isUntrusted = false;  // a sync of it failed: what it holds has to be written anew
-  bool damaged = false;
+  std::uint64_t bytes = 0;      ///< With its hint file.
+  std::uint64_t liveBytes = 0;  ///< What a compaction would have to copy.
+  bool isSealed = false;
+  bool isUntrusted = false;  ///< A sync of it failed: what it holds has to be written anew.
+  bool isDamaged = false;
 };
 
 struct StoreOccupancy {
-  std::uint64_t bytes = 0;  // of all files, whoever they belong to
+  std::uint64_t folderBytes = 0;  ///< Of all files, whoever they belong to.
   std::uint64_t indexBytes = 0;
   std::vector<SegmentInfo> segments;
 };
 
 class CompactionPolicy {
  public:
-  explicit CompactionPolicy(const StoreSettings& bounds) : bounds_(bounds) {}
-
-  // Kept free of new writes, so that a compaction can always copy one whole segment and replace the manifest.
-  std::uint64_t reserve() const {
-    return bounds_.maxSegmentBytes + bounds_.maxSegmentBytes / 4 + manifestRoom();
-  }
-  bool canWrite(std::uint64_t folder, std::uint64_t cost) const {
-    return folder + cost + reserve() <= bounds_.maxDiskBytes;
-  }
-  bool canCopy(std::uint64_t folder, std::uint64_t cost) const {
-    return folder + cost + manifestRoom() / 2 <= bounds_.maxDiskBytes;
-  }
-  bool isFull(std::uint64_t segmentWeight, std::uint64_t cost) const {
-    return segmentWeight + cost > bounds_.maxSegmentBytes;
-  }
-  // The segment to compact next: one that is distrusted, then one that holds nothing living, then a damaged
-  // one, then the one with the most dead where that is worth it. How much is worth it falls as room gets
-  // short.
-  std::optional<SegmentNumber> next(const StoreOccupancy& facts) const;
-  // How many bytes of the living (disk and index counted apart) are over what may live; the oldest are to age
-  // out.
+  /// Live bytes beyond what may live.
   struct Excess {
-    std::uint64_t disk = 0, index = 0;
-    bool any() const { return disk + index > 0; }
+    std::uint64_t diskBytes = 0;
+    std::uint64_t indexBytes = 0;
+    bool isAny() const { return diskBytes + indexBytes > 0; }
   };
-  Excess excess(const StoreOccupancy& facts) const;
-  // What a step of compaction may read: less while writers wait.
-  std::uint64_t step(bool writersWait) const {
-    return writersWait ? bounds_.maintenanceStepBytes / 4 : bounds_.maintenanceStepBytes;
-  }
-  // Time to make the next segment, before a commit has to wait for that.
-  bool isNearlyFull(std::uint64_t segmentWeight) const {
-    return segmentWeight >= bounds_.maxSegmentBytes / 4 * 3;
-  }
-  // Where a write finds no room and nothing is dead, so much of the oldest gives way at once.
-  std::uint64_t minAgeOutBytes() const { return bounds_.maxSegmentBytes / 4; }
-  // Anything to be gained by writing it anew, whatever the copy costs.
+
+  explicit CompactionPolicy(const StoreSettings& settings) : settings_(settings) {}
+
+  /// Kept free of new writes, so that a compaction can always copy one whole segment and replace the
+  /// manifest.
+  std::uint64_t reservedBytes() const;
+  /// Whether the folder has room for a new write.
+  bool canWrite(std::uint64_t folderBytes, std::uint64_t bytes) const;
+  /// Whether the folder has room for the output of a compaction, which may use the reserve.
+  bool canCopy(std::uint64_t folderBytes, std::uint64_t bytes) const;
+
+  bool isFull(std::uint64_t segmentBytes, std::uint64_t addedBytes) const;
+  /// Time to prepare the next segment, before a commit would have to wait for that.
+  bool isNearlyFull(std::uint64_t segmentBytes) const;
+
+  /// The segment to compact next: one that is untrusted, then one that holds nothing live, then a damaged
+  /// one, then the one with the largest dead share where that is worth a copy. How much is worth it falls as
+  /// room gets scarce.
+  std::optional<SegmentNumber> selectInput(const StoreOccupancy& occupancy) const;
+  /// Whether anything would be gained by writing this segment anew, whatever the copy costs.
   bool hasReclaimableBytes(const SegmentInfo& segment) const;
 
+  /// How much of the live entries, the oldest first, has to age out.
+  Excess excess(const StoreOccupancy& occupancy) const;
+  /// How much of the oldest ages out at once where a write finds no room and nothing is dead.
+  std::uint64_t minAgeOutBytes() const;
+
+  /// What one step of a compaction may read: less while writers wait.
+  std::uint64_t stepBytes(bool hasWaitingWriters) const;
+
  private:
-  // Two manifests stand in the folder while one replaces the other.
-  std::uint64_t manifestRoom() const { return 4096 + 128 * (bounds_.maxDiskBytes / bounds_.maxSegmentBytes); }
-  std::uint64_t usable() const { return bounds_.maxDiskBytes - reserve(); }
+  std::uint64_t manifestRoom() const;
+  std::uint64_t usableBytes() const;
 
-  StoreSettings bounds_;
+  StoreSettings settings_;
 };
 
 }  // namespace rainhook::store
--- /dev/null
+++ b/src/store/compactor.cpp
@@ -0,0 +1,256 @@
+#include "store/compactor.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "store/file_names.h"
+
+namespace rainhook::store {
+namespace {
+
+constexpr std::size_t forgottenRecordsPerStep = 4096;
+
+}  // namespace
+
+Compactor::Compactor(Disk& disk, const CompactionPolicy& policy, SegmentCatalog& catalog, StoreState& state,
+                     FolderUsage& usage, SegmentFileCache& files, LogCallback log)
+    : disk_(disk),
+      policy_(policy),
+      catalog_(catalog),
+      state_(state),
+      usage_(usage),
+      files_(files),
+      log_(std::move(log)) {}
+
+bool Compactor::step(std::uint64_t budgetBytes) {
+  hasFailed_ = false;
+  if (!job_) {
+    const auto input = nextInput();
+    if (!input) {
+      endRequests({});
+      return false;
+    }
+    if (!startJob(*input)) return false;
+  }
+  // Each stage that syncs is a step of its own, so that a commit waits for one sync at most.
+  switch (job_->stage) {
+    case Stage::copying:
+      return copyStep(budgetBytes);
+    case Stage::removing:
+      return removeInput();
+    case Stage::forgetting:
+      return forgetStep();
+  }
+  return false;
+}
+
+std::optional<SegmentNumber> Compactor::nextInput() {
+  if (const auto input = policy_.selectInput(catalog_.occupancy())) return input;
+  while (!requested_.empty()) {
+    const SegmentNumber input = requested_.back();
+    requested_.pop_back();
+    if (catalog_.findSealed(input)) return input;
+  }
+  return std::nullopt;
+}
+
+bool Compactor::startJob(SegmentNumber input) {
+  job_.emplace();
+  job_->input = input;
+  const std::string name = segmentFileName(input);
+  auto opened = disk_.open(name);
+  if (opened.error && opened.error != std::errc::no_such_file_or_directory)
+    return fail(describeError(name, opened.error));
+  const FileHeader header{FileKind::segment, catalog_.storeId(), input};
+  if (opened.file) job_->scanner.emplace(opened.file, header);
+  return true;
+}
+
+bool Compactor::fail(const std::string& reason) {
+  job_.reset();
+  SegmentWriter* output = catalog_.writer(SegmentRole::compaction);
+  if (output) {
+    output->rollBack();
+    if (output->isBroken()) catalog_.seal(SegmentRole::compaction, SegmentTrust::untrusted);
+  }
+  hasFailed_ = true;
+  if (log_) log_("compaction paused: " + reason);
+  endRequests({StoreErrorCode::ioError, reason});
+  return false;
+}
+
+bool Compactor::copyStep(std::uint64_t budgetBytes) {
+  const std::uint64_t end = job_->scanner ? job_->scanner->position() + budgetBytes : 0;
+  while (job_->scanner && job_->scanner->position() < end) {
+    const RecordScanner::Step step = job_->scanner->next();
+    if (step.kind == RecordScanner::Step::Kind::end ||
+        step.offset >= catalog_.findSealed(job_->input)->committedBytes) {
+      job_->scanner.reset();
+      break;
+    }
+    // Corruption was reported at the start, or nobody was promised what stood there.
+    if (step.kind != RecordScanner::Step::Kind::record) continue;
+    const Record& record = step.record;
+    if (record.kind != RecordKind::put && record.kind != RecordKind::erase) continue;
+    job_->inputRecords.push_back({std::string(record.key), record.sequence});
+    const RecordLocation location{job_->input, static_cast<std::uint32_t>(step.offset),
+                                  static_cast<std::uint32_t>(step.bytes)};
+    if (!copyIfCurrent(record, location)) return false;
+  }
+  if (job_->scanner) {
+    if (!flushOutput()) return false;
+    if (SegmentWriter* output = catalog_.writer(SegmentRole::compaction)) output->startWriteback();
+    return true;
+  }
+  if (!copyLostRecords() || !flushOutput() || !syncOutput()) return false;
+  job_->stage = Stage::removing;
+  return true;
+}
+
+bool Compactor::copyIfCurrent(const Record& record, const RecordLocation& location) {
+  bool isLive = false;
+  {
+    const std::lock_guard lock(state_.mutex);
+    const IndexEntry* entry = state_.index.find(record.key);
+    if (!entry || entry->sequence != record.sequence || entry->location != location) return true;
+    isLive = entry->state == EntryState::live;
+    // Deleted, and no other record of it on disk: the deletion may be forgotten.
+    if (!isLive && entry->recordCount <= 1) return true;
+  }
+  if (isLive) return writeToOutput(record);
+  return writeToOutput({RecordKind::erase, false, record.sequence, neverExpires, record.key, {}});
+}
+
+/// Copies as erasures what can't be read any more but still hides older records of its key.
+bool Compactor::copyLostRecords() {
+  for (const auto& [key, sequence] : catalog_.findSealed(job_->input)->lostRecords) {
+    {
+      const std::lock_guard lock(state_.mutex);
+      const IndexEntry* entry = state_.index.find(key);
+      if (!entry || entry->state != EntryState::lost || entry->sequence != sequence) continue;
+    }
+    if (!writeToOutput({RecordKind::erase, false, sequence, neverExpires, key, {}})) return false;
+  }
+  return true;
+}
+
+bool Compactor::ensureOutput(std::uint64_t addedBytes) {
+  SegmentWriter* output = catalog_.writer(SegmentRole::compaction);
+  if (output && policy_.isFull(output->projectedBytes(), addedBytes)) {
+    if (!flushOutput() || !syncOutput()) return false;
+    catalog_.seal(SegmentRole::compaction, SegmentTrust::trusted);
+    output = nullptr;
+  }
+  if (output) return true;
+  const StoreStatus status = catalog_.openWriter(SegmentRole::compaction);
+  return status.isOk() || fail(status.message);
+}
+
+bool Compactor::writeToOutput(const Record& record) {
+  const std::uint64_t bytes =
+      recordBytes(record.key.size(), record.value.size()) + hintEntryBytes(record.key.size());
+  if (!ensureOutput(bytes)) return false;
+  SegmentWriter* output = catalog_.writer(SegmentRole::compaction);
+  const std::uint64_t unwrittenBytes = output->projectedBytes() - output->bytes() - output->hintBytes();
+  if (!policy_.canCopy(usage_.bytes(), unwrittenBytes + bytes))
+    return fail("no room under disk_bytes for its output");
+  const RecordLocation location = output->append(record);
+  job_->pendingCopies.push_back({{std::string(record.key), record.sequence}, location});
+  return true;
+}
+
+/// Writes what was appended to the output; the copies serve from then on, since their originals still stand.
+bool Compactor::flushOutput() {
+  SegmentWriter* output = catalog_.writer(SegmentRole::compaction);
+  if (!output) return true;
+  const std::string name = segmentFileName(output->number());
+  if (const DiskError error = output->flush()) return fail(describeError(name, error));
+  output->commit();
+  if (job_) publishCopies();
+  return true;
+}
+
+void Compactor::publishCopies() {
+  const std::lock_guard lock(state_.mutex);
+  for (const PendingCopy& copy : job_->pendingCopies) {
+    state_.index.addCopy(copy.record.key, copy.record.sequence, copy.location);
+    state_.statistics.compactedBytes += copy.location.bytes + hintEntryBytes(copy.record.key.size());
+  }
+  job_->pendingCopies.clear();
+}
+
+bool Compactor::syncOutput() {
+  SegmentWriter* output = catalog_.writer(SegmentRole::compaction);
+  if (!output) return true;
+  const std::string name = segmentFileName(output->number());
+  const DiskError error = output->sync();
+  if (!error) return true;
+  // The input has to stay until all of the output has been written anew; the policy takes an untrusted
+  // segment first.
+  catalog_.seal(SegmentRole::compaction, SegmentTrust::untrusted);
+  {
+    const std::lock_guard lock(state_.mutex);
+    ++state_.statistics.failedSyncs;
+  }
+  return fail(describeError(name, error));
+}
+
+bool Compactor::removeInput() {
+  const SegmentNumber input = job_->input;
+  // Some of it may have been copied into a segment whose sync failed; the policy takes that one first.
+  if (!catalog_.findSealed(input)->isUntrusted && catalog_.hasUntrustedSegment()) {
+    job_.reset();
+    return true;
+  }
+  if (const DiskError error = catalog_.removeSealed(input))
+    return fail(describeError(manifestFileName, error));
+  files_.evict(input);
+  job_->stage = Stage::forgetting;
+  const std::lock_guard lock(state_.mutex);
+  ++state_.statistics.compactions;
+  return true;
+}
+
+bool Compactor::forgetStep() {
+  {
+    const std::lock_guard lock(state_.mutex);
+    const std::size_t end =
+        std::min(job_->inputRecords.size(), job_->forgottenRecords + forgottenRecordsPerStep);
+    for (; job_->forgottenRecords < end; ++job_->forgottenRecords) {
+      const RecordId& record = job_->inputRecords[job_->forgottenRecords];
+      state_.index.removeRecord(record.key, record.sequence);
+    }
+  }
+  if (job_->forgottenRecords == job_->inputRecords.size()) job_.reset();
+  return true;
+}
+
+void Compactor::requestAll(StatusCallback onEnded) {
+  const bool isOutputDurable = !job_ && flushOutput() && syncOutput();
+  if (isOutputDurable && catalog_.writer(SegmentRole::compaction))
+    catalog_.seal(SegmentRole::compaction, SegmentTrust::trusted);
+  for (const SegmentInfo& segment : catalog_.occupancy().segments)
+    if (policy_.hasReclaimableBytes(segment)) requested_.push_back(segment.number);
+  onRequestsEnded_.push_back(std::move(onEnded));
+}
+
+void Compactor::endRequests(const StoreStatus& status) {
+  requested_.clear();
+  for (const StatusCallback& onEnded : std::exchange(onRequestsEnded_, {}))
+    if (onEnded) onEnded(status);
+}
+
+void Compactor::suspend() {
+  // The index still has to forget the records of a segment that is gone.
+  while (job_ && job_->stage == Stage::forgetting) forgetStep();
+  abandon();
+  sealOutput();
+}
+
+void Compactor::sealOutput() {
+  if (flushOutput()) syncOutput();
+  // Also after a failed write: what was committed before it counts.
+  if (catalog_.writer(SegmentRole::compaction)) catalog_.seal(SegmentRole::compaction, SegmentTrust::trusted);
+}
+
+}  // namespace rainhook::store
--- a/src/store/disk.h
+++ b/src/store/disk.h
@@ -1,5 +1,6 @@
-// The folder that a store lives in, as the store sees it: one flat folder of files. POSIX in service
-// (posix_disk.h); in tests one that forgets what was not synced. Faults are values: errno as it was.
+/// @file
+/// The folder that a store lives in: one flat directory of files. PosixDisk in service; the tests have one
+/// that simulates crashes and failures. Nothing here throws: every operation returns its error.
 #pragma once
 
 #include <cstddef>
@@ -8,20 +9,19 @@
 #include <span>
 #include <string>
 #include <string_view>
+#include <system_error>
 #include <vector>
 
 namespace rainhook::store {
 
-struct DiskError {
-  int errorNumber = 0;  // errno; 0 is none
+/// An error of the operating system in the generic category; compares with std::errc.
+using DiskError = std::error_code;
 
-  explicit operator bool() const { return errorNumber != 0; }
-  std::string message() const;
-  bool operator==(const DiskError&) const = default;
-};
+/// The error of an errno value; 0 is success.
+inline DiskError diskError(int errorNumber) { return {errorNumber, std::generic_category()}; }
 
 struct IoResult {
-  std::size_t bytes = 0;  // may be fewer than asked for; 0 without a fault is the end of the file
+  std::size_t bytes = 0;  ///< May be fewer than asked for; 0 without an error is the end of the file.
   DiskError error;
 };
 
@@ -30,9 +30,10 @@
   virtual ~File() = default;
   virtual IoResult read(std::uint64_t offset, std::span<char> into) = 0;
   virtual IoResult write(std::uint64_t offset, std::string_view bytes) = 0;
-  virtual DiskError sync() = 0;  // what was written before is on the disk when this says so
-  virtual void
-  startWriteback() = 0;  // what was written may go to the disk now, so that the sync finds less to do
+  /// What was written before is durable once this succeeds.
+  virtual DiskError sync() = 0;
+  /// A hint to begin writing back what was written, so that a later sync finds less to do.
+  virtual void startWriteback() = 0;
   virtual DiskError truncate(std::uint64_t size) = 0;
   virtual std::uint64_t size() = 0;
 };
@@ -45,29 +46,34 @@
     bool isDirectory = false;
   };
   struct OpenResult {
-    std::shared_ptr<File> file;  // null with a fault
+    std::shared_ptr<File> file;  ///< Null with an error.
     DiskError error;
   };
   struct LockResult {
     DiskError error;
-    std::string holder;  // the pid that holds it, where that is known
+    std::string holder;  ///< The process id that holds the lock, where that is known.
   };
 
   virtual ~Disk() = default;
   virtual DiskError list(std::vector<DirectoryEntry>& into) = 0;
-  virtual OpenResult open(const std::string& name) = 0;    // to read
-  virtual OpenResult create(const std::string& name) = 0;  // to read and write; empties one that is there
-  virtual void prefetch(const std::string& name) = 0;      // soon and whole; only makes it quicker
+  /// Opens an existing file for reading.
+  virtual OpenResult open(const std::string& name) = 0;
+  /// Opens a file for reading and writing; truncates one that exists.
+  virtual OpenResult create(const std::string& name) = 0;
+  /// A hint that the whole file will be read soon.
+  virtual void prefetch(const std::string& name) = 0;
   virtual DiskError rename(const std::string& from, const std::string& to) = 0;
   virtual DiskError remove(const std::string& name) = 0;
-  virtual DiskError syncDirectory() = 0;  // names made, changed and removed before are on the disk
-  virtual LockResult lock(const std::string& name) = 0;  // until unlocked, or the Disk goes, or its process
+  /// Names created, changed and removed before are durable once this succeeds.
+  virtual DiskError syncDirectory() = 0;
+  /// Locks the folder until `unlock`, the end of this object or of its process.
+  virtual LockResult lock(const std::string& name) = 0;
   virtual void unlock() = 0;
 };
 
-// Goes on after short transfers; a transfer that moves nothing is EIO.
+/// Continues after short writes; a write that moves nothing is an I/O error.
 DiskError writeAll(File& file, std::uint64_t offset, std::string_view bytes);
-// Up to the end of the file; `bytes` tells how far it came.
+/// Reads until `into` is full or the file ends; `bytes` tells how many were read, also with an error.
 IoResult readAll(File& file, std::uint64_t offset, std::span<char> into);
 
 }  // namespace rainhook::store
--- /dev/null
+++ b/src/store/expiry_sweeps.h
@@ -0,0 +1,31 @@
+/// @file
+/// The expiry sweeps that a store remembers. Pure.
+#pragma once
+
+#include <utility>
+#include <vector>
+
+#include "store/key_index.h"
+#include "store/manifest.h"
+
+namespace rainhook::store {
+
+/// A sweep is dropped once a later one covers it. Several remain only where the clock stepped back between
+/// them; of more than `maxSweeps` such steps the oldest is forgotten.
+class ExpirySweeps {
+ public:
+  static constexpr std::size_t maxSweeps = 64;
+
+  ExpirySweeps() = default;
+  explicit ExpirySweeps(std::vector<ExpirySweep> sweeps) : sweeps_(std::move(sweeps)) {}
+
+  void add(ExpirySweep sweep);
+  /// Whether the entry was seen as expired by one of them.
+  bool cover(const IndexEntry& entry) const;
+  const std::vector<ExpirySweep>& all() const { return sweeps_; }
+
+ private:
+  std::vector<ExpirySweep> sweeps_;  // in the order of writing, with falling times
+};
+
+}  // namespace rainhook::store
--- a/src/store/ids.h
+++ b/src/store/ids.h
@@ -1,4 +1,5 @@
-// The kinds of number that the store deals in, each a type of its own.
+/// @file
+/// The identifiers and times of the store, each a type of its own.
 #pragma once
 
 #include <chrono>
@@ -6,13 +7,17 @@
 
 namespace rainhook::store {
 
-// Milliseconds since 1970, since what is kept outlives the process.
+/// Milliseconds since 1970: what is stored outlives the process, so no monotonic clock will do.
 using UnixTime = std::chrono::sys_time<std::chrono::milliseconds>;
+/// The expiry of an entry that never expires.
 inline constexpr UnixTime neverExpires = UnixTime::max();
 
-enum class StoreId : std::uint64_t {};         // drawn when a store is made; its snapshots carry it too
-enum class SegmentNumber : std::uint64_t {};   // never used twice in one store
-enum class SequenceNumber : std::uint64_t {};  // the order of all writes; the higher one of a key holds
+/// Chosen at random when a store is created; its snapshots carry the same one.
+enum class StoreId : std::uint64_t {};
+/// Numbers the segments of one store; never used twice.
+enum class SegmentNumber : std::uint64_t {};
+/// Orders all writes of one store; of two records of a key the higher one is current.
+enum class SequenceNumber : std::uint64_t {};
 
 template <typename Id>
 constexpr std::uint64_t rawValue(Id id) {
--- a/src/store/key_index.cpp
+++ b/src/store/key_index.cpp
@@ -2,198 +2,230 @@
 
 #include <algorithm>
 #include <utility>
+#include <vector>
 
 namespace rainhook::store {
 namespace {
 
-// A node with its links and what the allocator adds, measured; a key that does not fit into its string is a
-// block of its own.
-constexpr std::uint64_t nodeBytes = 192, inString = 15, blockBytes = 24;
+// A container node with its links and the allocator's overhead, as measured. A key that does not fit into the
+// string object is an allocation of its own.
+constexpr std::uint64_t nodeBytes = 192;
+constexpr std::size_t inlineKeyBytes = 15;
+constexpr std::uint64_t allocationOverhead = 24;
 
-std::uint64_t indexBytes(const IndexEntry& entry) {
-  return nodeBytes + (entry.key.size() > inString ? entry.key.size() + blockBytes : 0);
+std::uint64_t memoryBytesOf(const IndexEntry& entry) {
+  if (entry.key.size() <= inlineKeyBytes) return nodeBytes;
+  return nodeBytes + entry.key.size() + allocationOverhead;
 }
 
-std::uint64_t weight(const IndexEntry& entry) {
+/// What a compaction has to copy for this entry.
+std::uint64_t diskBytesOf(const IndexEntry& entry) {
   if (entry.state == EntryState::live) return entry.location.bytes + hintEntryBytes(entry.key.size());
-  if (entry.state == EntryState::deleted && entry.records > 1)
+  if (entry.state == EntryState::deleted && entry.recordCount > 1)
     return KeyIndex::tombstoneBytes(entry.key.size());
   return 0;
 }
 
+/// Whether a record that is added becomes the current one of its key.
+bool supersedes(SequenceNumber sequence, EntryState state, const RecordLocation& location,
+                const IndexEntry& current) {
+  if (sequence != current.sequence) return sequence > current.sequence;
+  if (current.state == EntryState::lost) return true;
+  if (state != current.state) return state == EntryState::deleted;
+  return location.segment > current.location.segment;
+}
+
 }  // namespace
 
 const IndexEntry* KeyIndex::find(std::string_view key) const {
-  const auto at = this->at(key);
-  return at == entries_.end() ? nullptr : &*at;
+  const auto entry = entries_.find(key);
+  return entry == entries_.end() ? nullptr : &*entry;
+}
+
+void KeyIndex::addToTotals(const IndexEntry& entry) {
+  if (const std::uint64_t bytes = diskBytesOf(entry)) {
+    liveBytesBySegment_[entry.location.segment] += bytes;
+    liveBytes_ += bytes;
+  }
+  memoryBytes_ += memoryBytesOf(entry);
+  if (entry.state == EntryState::live) ++liveEntryCount_;
 }
 
-void KeyIndex::count(const IndexEntry& entry, bool in) {
-  if (const auto bytes = weight(entry)) {
-    auto& sum = living_[entry.location.segment];
-    in ? sum += bytes : sum -= bytes;
-    in ? liveBytes_ += bytes : liveBytes_ -= bytes;
-    if (sum == 0) living_.erase(entry.location.segment);
+void KeyIndex::subtractFromTotals(const IndexEntry& entry) {
+  if (const std::uint64_t bytes = diskBytesOf(entry)) {
+    const auto segment = liveBytesBySegment_.find(entry.location.segment);
+    segment->second -= bytes;
+    if (segment->second == 0) liveBytesBySegment_.erase(segment);
+    liveBytes_ -= bytes;
   }
-  const auto own = indexBytes(entry);
-  in ? bytes_ += own : bytes_ -= own;
-  if (entry.state == EntryState::live) in ? ++liveEntries_ : --liveEntries_;
+  memoryBytes_ -= memoryBytesOf(entry);
+  if (entry.state == EntryState::live) --liveEntryCount_;
 }
 
 template <typename Change>
-void KeyIndex::change(At at, Change change) {
-  count(*at, false);
-  entries_.modify(at, change);
-  count(*at, true);
+void KeyIndex::modify(Iterator entry, Change change) {
+  subtractFromTotals(*entry);
+  entries_.modify(entry, change);
+  addToTotals(*entry);
 }
 
-void KeyIndex::drop(At at) {
-  count(*at, false);
-  entries_.erase(at);
+void KeyIndex::remove(Iterator entry) {
+  subtractFromTotals(*entry);
+  entries_.erase(entry);
 }
 
 bool KeyIndex::addRecord(std::string_view key, RecordKind kind, SequenceNumber sequence, UnixTime expiry,
-                         RecordLocation where) {
+                         RecordLocation location) {
   if (sequence < floor_) return false;
   const EntryState state = kind == RecordKind::put ? EntryState::live : EntryState::deleted;
   if (state != EntryState::live) expiry = neverExpires;
-  const auto at = entries_.lower_bound(key);
-  inOrder_ = inOrder_ && sequence >= newest_;
-  newest_ = std::max(newest_, sequence);
-  if (at == entries_.end() || at->key != key) {
-    const auto made = entries_.insert(at, {std::string(key), sequence, sequence, expiry, where, 1, state});
-    count(*made, true);
+  isSortedByAge_ = isSortedByAge_ && sequence >= newestSequence_;
+  newestSequence_ = std::max(newestSequence_, sequence);
+
+  const auto entry = entries_.lower_bound(key);
+  if (entry == entries_.end() || entry->key != key) {
+    const auto inserted =
+        entries_.insert(entry, {std::string(key), sequence, sequence, expiry, location, 1, state});
+    addToTotals(*inserted);
     return true;
   }
-  const auto precedes = [&] {
-    if (sequence != at->sequence) return sequence > at->sequence;
-    if (at->state == EntryState::lost) return true;
-    if (state != at->state) return state == EntryState::deleted;
-    return where.segment > at->location.segment;
-  };
-  const bool newer = sequence > at->sequence, latest = precedes();
-  change(at, [&](IndexEntry& entry) {
-    ++entry.records;
-    entry.born = std::min(entry.born, sequence);
-    if (!latest) return;
-    entry.sequence = sequence, entry.expiry = expiry, entry.location = where, entry.state = state;
+  const bool isNewer = sequence > entry->sequence;
+  const bool isCurrent = supersedes(sequence, state, location, *entry);
+  modify(entry, [&](IndexEntry& changed) {
+    ++changed.recordCount;
+    changed.oldestSequence = std::min(changed.oldestSequence, sequence);
+    if (!isCurrent) return;
+    changed.sequence = sequence;
+    changed.expiry = expiry;
+    changed.location = location;
+    changed.state = state;
   });
-  if (newer) {
-    auto& age = entries_.get<ByAge>();
-    age.relocate(age.end(), entries_.project<ByAge>(at));
+  if (isNewer) {
+    auto& byAge = entries_.get<ByAge>();
+    byAge.relocate(byAge.end(), entries_.project<ByAge>(entry));
   }
-  return latest;
+  return isCurrent;
 }
 
-void KeyIndex::addCopy(std::string_view key, SequenceNumber sequence, RecordLocation where) {
-  const auto at = this->at(key);
-  if (at == entries_.end() || sequence < at->born) return;
-  change(at, [&](IndexEntry& entry) {
-    ++entry.records;
-    if (entry.sequence != sequence) return;  // overwritten meanwhile
-    entry.location = where;
-    if (entry.state == EntryState::lost) entry.state = EntryState::deleted;
+void KeyIndex::addCopy(std::string_view key, SequenceNumber sequence, RecordLocation location) {
+  const auto entry = entries_.find(key);
+  if (entry == entries_.end() || sequence < entry->oldestSequence) return;
+  modify(entry, [&](IndexEntry& changed) {
+    ++changed.recordCount;
+    if (changed.sequence != sequence) return;  // overwritten since it was copied
+    changed.location = location;
+    if (changed.state == EntryState::lost) changed.state = EntryState::deleted;
   });
 }
 
 bool KeyIndex::markLost(std::string_view key, SequenceNumber sequence, SegmentNumber segment) {
-  const auto at = this->at(key);
-  if (at == entries_.end() || sequence < floor_ || at->sequence > sequence) return false;
-  // Another whole copy of the same record serves as well.
-  if (at->sequence == sequence && at->location.segment != segment) return false;
-  const bool own = at->sequence == sequence;  // it was counted as a record
-  inOrder_ = inOrder_ && own;
-  newest_ = std::max(newest_, sequence);
-  if (own && at->records <= 1) return drop(at), false;
-  change(at, [&](IndexEntry& entry) {
-    entry.records -= own;
-    entry.sequence = sequence, entry.expiry = neverExpires, entry.state = EntryState::lost;
-    entry.location = {segment, 0, 0};
+  const auto entry = entries_.find(key);
+  if (entry == entries_.end() || sequence < floor_ || entry->sequence > sequence) return false;
+  const bool isCurrent = entry->sequence == sequence;
+  // Another intact copy of the same record serves as well.
+  if (isCurrent && entry->location.segment != segment) return false;
+  isSortedByAge_ = isSortedByAge_ && isCurrent;
+  newestSequence_ = std::max(newestSequence_, sequence);
+  if (isCurrent && entry->recordCount <= 1) {
+    remove(entry);
+    return false;
+  }
+  modify(entry, [&](IndexEntry& changed) {
+    if (isCurrent) --changed.recordCount;
+    changed.sequence = sequence;
+    changed.expiry = neverExpires;
+    changed.state = EntryState::lost;
+    changed.location = {segment, 0, 0};
   });
   return true;
 }
 
 void KeyIndex::removeRecord(std::string_view key, SequenceNumber sequence) {
-  const auto at = this->at(key);
-  if (at == entries_.end() || sequence < at->born) return;
-  if (at->records <= 1) return drop(at);
-  change(at, [](IndexEntry& entry) { --entry.records; });
+  const auto entry = entries_.find(key);
+  if (entry == entries_.end() || sequence < entry->oldestSequence) return;
+  if (entry->recordCount <= 1) return remove(entry);
+  modify(entry, [](IndexEntry& changed) { --changed.recordCount; });
 }
 
 void KeyIndex::expireKey(std::string_view key) {
-  const auto at = this->at(key);
-  if (at == entries_.end() || at->state != EntryState::live) return;
-  change(at, [](IndexEntry& entry) { entry.state = EntryState::deleted, entry.expiry = neverExpires; });
+  const auto entry = entries_.find(key);
+  if (entry == entries_.end() || entry->state != EntryState::live) return;
+  modify(entry, [](IndexEntry& changed) {
+    changed.state = EntryState::deleted;
+    changed.expiry = neverExpires;
+  });
 }
 
-std::size_t KeyIndex::expireUpTo(UnixTime now, std::size_t most) {
-  auto& ends = entries_.get<ByEnd>();
+std::size_t KeyIndex::expireUpTo(UnixTime now, std::size_t maxEntries) {
+  auto& byExpiry = entries_.get<ByExpiry>();
   std::size_t count = 0;
-  for (; count < most && !ends.empty() && ends.begin()->expiry <= now; ++count)
-    expireKey(std::string(ends.begin()->key));
+  while (count < maxEntries && !byExpiry.empty() && byExpiry.begin()->expiry <= now) {
+    expireKey(std::string(byExpiry.begin()->key));
+    ++count;
+  }
   return count;
 }
 
 std::size_t KeyIndex::raiseFloor(SequenceNumber floor) {
   if (floor <= floor_) return 0;
   floor_ = floor;
-  const auto before = liveEntries_;
-  auto& age = entries_.get<ByAge>();
-  while (!age.empty() && age.front().sequence < floor) drop(entries_.project<0>(age.begin()));
-  return before - liveEntries_;
+  const std::size_t liveBefore = liveEntryCount_;
+  auto& byAge = entries_.get<ByAge>();
+  while (!byAge.empty() && byAge.front().sequence < floor) remove(entries_.project<0>(byAge.begin()));
+  return liveBefore - liveEntryCount_;
 }
 
-SequenceNumber KeyIndex::floorToFree(std::uint64_t disk, std::uint64_t index) const {
-  std::uint64_t freedDisk = 0, freedIndex = 0;
+SequenceNumber KeyIndex::floorToFree(std::uint64_t diskBytes, std::uint64_t indexBytes) const {
+  std::uint64_t freedDiskBytes = 0;
+  std::uint64_t freedIndexBytes = 0;
   for (const IndexEntry& entry : entries_.get<ByAge>()) {
-    if (freedDisk >= disk && freedIndex >= index) return entry.sequence;
-    freedDisk += weight(entry);
-    freedIndex += indexBytes(entry);
+    if (freedDiskBytes >= diskBytes && freedIndexBytes >= indexBytes) return entry.sequence;
+    freedDiskBytes += diskBytesOf(entry);
+    freedIndexBytes += memoryBytesOf(entry);
   }
   return entries_.empty() ? floor_ : successor(entries_.get<ByAge>().back().sequence);
 }
 
 void KeyIndex::sortByAge() {
-  auto& age = entries_.get<ByAge>();
-  if (std::exchange(inOrder_, true)) return;
+  if (std::exchange(isSortedByAge_, true)) return;
+  auto& byAge = entries_.get<ByAge>();
   std::vector<std::pair<SequenceNumber, const IndexEntry*>> sorted;
-  sorted.reserve(age.size());
-  for (const IndexEntry& entry : age) sorted.emplace_back(entry.sequence, &entry);
+  sorted.reserve(byAge.size());
+  for (const IndexEntry& entry : byAge) sorted.emplace_back(entry.sequence, &entry);
   std::sort(sorted.begin(), sorted.end());
   std::vector<std::reference_wrapper<const IndexEntry>> order;
   order.reserve(sorted.size());
   for (const auto& [sequence, entry] : sorted) order.emplace_back(*entry);
-  age.rearrange(order.begin());
+  byAge.rearrange(order.begin());
 }
 
 std::uint64_t KeyIndex::liveBytesIn(SegmentNumber segment) const {
-  const auto at = living_.find(segment);
-  return at == living_.end() ? 0 : at->second;
-}
-
-void KeyIndex::scanByKey(std::string_view from, bool beyond,
-                         const std::function<bool(const IndexEntry&)>& hear) const {
-  for (auto next = beyond ? entries_.upper_bound(from) : entries_.lower_bound(from); next != entries_.end();
-       ++next)
-    if (next->state == EntryState::live && !hear(*next)) return;
-}
-
-void KeyIndex::scanByAge(const std::optional<AgeCursor>& behind,
-                         const std::function<bool(const IndexEntry&)>& hear) const {
-  const auto& age = entries_.get<ByAge>();
-  auto next = age.begin();
-  if (behind) {
-    // Where that one has been written again meanwhile, it stands at the end: the place is found by its
-    // sequence.
-    const auto known = at(behind->key);
-    if (known != entries_.end() && known->sequence == behind->sequence)
-      next = std::next(entries_.project<ByAge>(known));
-    else
-      next = std::find_if(next, age.end(),
-                          [&](const IndexEntry& entry) { return entry.sequence > behind->sequence; });
+  const auto found = liveBytesBySegment_.find(segment);
+  return found == liveBytesBySegment_.end() ? 0 : found->second;
+}
+
+void KeyIndex::scanByKey(std::string_view from, ScanStart start, const Visitor& visit) const {
+  auto entry = start == ScanStart::afterKey ? entries_.upper_bound(from) : entries_.lower_bound(from);
+  for (; entry != entries_.end(); ++entry)
+    if (entry->state == EntryState::live && !visit(*entry)) return;
+}
+
+void KeyIndex::scanByAge(const std::optional<AgeCursor>& cursor, const Visitor& visit) const {
+  const auto& byAge = entries_.get<ByAge>();
+  auto entry = byAge.begin();
+  if (cursor) {
+    const auto visited = entries_.find(cursor->key);
+    if (visited != entries_.end() && visited->sequence == cursor->sequence) {
+      entry = std::next(entries_.project<ByAge>(visited));
+    } else {
+      // It was written again and stands at the end now: the position is found by its sequence number.
+      entry = std::find_if(entry, byAge.end(), [&](const IndexEntry& candidate) {
+        return candidate.sequence > cursor->sequence;
+      });
+    }
   }
-  for (; next != age.end(); ++next)
-    if (next->state == EntryState::live && !hear(*next)) return;
+  for (; entry != byAge.end(); ++entry)
+    if (entry->state == EntryState::live && !visit(*entry)) return;
 }
 
 }  // namespace rainhook::store
--- a/src/store/key_index.h
+++ b/src/store/key_index.h
@@ -1,10 +1,11 @@
-// What is known of every key: where its latest record stands, whether it lives, and how many records of it
-// are on disk. Pure.
-//
-// Invariants: an entry stands as long as any record of its key does (at or above the floor), so that an
-// erased key is remembered until nothing on disk could bring it back; of two records the one with the higher
-// sequence holds, of two copies of one the erased one, then the one in the newer segment. Emptied by what
-// removes segments and by the floor; bounded by the plan, from `bytes`.
+/// @file
+/// What is known of every key: where its latest record stands, whether it is live, and how many records of it
+/// are on disk. No I/O, no clock, no lock: the owner synchronizes.
+///
+/// Invariants: an entry stands as long as any record of its key does (at or above the floor), so that a
+/// deleted key is remembered until nothing on disk could bring it back. Of two records the one with the
+/// higher sequence number is current; of two copies of one record the erasure, then the one in the segment
+/// with the higher number. Memory is bounded by CompactionPolicy, from `memoryBytes`.
 #pragma once
 
 #include <boost/multi_index/member.hpp>
@@ -17,108 +18,119 @@
 #include <string>
 #include <string_view>
 #include <unordered_map>
-#include <vector>
 
-#include "store/format.h"
 #include "store/ids.h"
+#include "store/record_format.h"
+#include "store/requests.h"
 
 namespace rainhook::store {
 
 struct RecordLocation {
   SegmentNumber segment{};
-  std::uint32_t offset = 0, bytes = 0;
+  std::uint32_t offset = 0;
+  std::uint32_t bytes = 0;
 
   bool operator==(const RecordLocation&) const = default;
 };
 
 enum class EntryState : std::uint8_t {
   live,
-  deleted,  // erased or expired; the record that says so stands on disk
-  lost,     // its latest record can't be read any more, so nothing older may be served
+  deleted,  ///< Erased or expired; the record that says so stands on disk.
+  lost,     ///< Its latest record can't be read any more, so nothing older may be served.
 };
 
 struct IndexEntry {
   std::string key;
-  SequenceNumber sequence{}, born{};  // born: the lowest that `records` counts
+  SequenceNumber sequence{};
+  SequenceNumber oldestSequence{};  ///< The lowest that `recordCount` includes.
   UnixTime expiry = neverExpires;
   RecordLocation location;
-  std::uint32_t records = 0;
+  std::uint32_t recordCount = 0;  ///< Records of the key on disk.
   EntryState state = EntryState::live;
 };
 
 class KeyIndex {
  public:
+  /// Returns false to end the scan.
+  using Visitor = std::function<bool(const IndexEntry&)>;
+
+  /// The position of a scan by age: the entry that was visited last.
+  struct AgeCursor {
+    std::string key;
+    SequenceNumber sequence{};
+  };
+
+  /// Null where nothing is known; valid until the next change.
   const IndexEntry* find(std::string_view key) const;
 
-  // A record that stands on disk. True where it is the latest of its key now.
+  /// Adds a record that stands on disk. True where it is now the latest of its key.
   bool addRecord(std::string_view key, RecordKind kind, SequenceNumber sequence, UnixTime expiry,
-                 RecordLocation where);
-  // A copy that a compaction wrote of the latest record of a key, or of its absence: what is there to be
-  // served stands here now. Whether it lives does not change by that.
-  void addCopy(std::string_view key, SequenceNumber sequence, RecordLocation where);
-  // A record that stood there and can't be read; true where it suppresses anything, and has to be remembered.
+                 RecordLocation location);
+  /// Adds a copy that a compaction wrote of the latest record of a key, or of its erasure. Reads go to the
+  /// copy from now on; whether the key is live does not change.
+  void addCopy(std::string_view key, SequenceNumber sequence, RecordLocation location);
+  /// Notes that a record can't be read. True where it hides older records and has to be remembered.
   bool markLost(std::string_view key, SequenceNumber sequence, SegmentNumber segment);
-  // A record that has left the disk with its segment.
+  /// Removes a record that has left the disk with its segment.
   void removeRecord(std::string_view key, SequenceNumber sequence);
-  // It was seen as expired: whatever the clock says later, it is gone.
+
+  /// Deletes a key that was seen as expired; it stays deleted whatever the clock says later.
   void expireKey(std::string_view key);
-  // The same for all that were good until `now` at most, at most so many; gives how many.
-  std::size_t expireUpTo(UnixTime now, std::size_t most);
-  // Forgets all below; gives how many living ones that were.
+  /// Deletes keys that have expired at `now`, at most `maxEntries`; returns how many.
+  std::size_t expireUpTo(UnixTime now, std::size_t maxEntries);
+
+  /// Forgets all entries below the floor; returns how many live ones that were.
   std::size_t raiseFloor(SequenceNumber floor);
   SequenceNumber floor() const { return floor_; }
-  // The floor under which so many bytes (living on disk, of the index) are forgotten.
-  SequenceNumber floorToFree(std::uint64_t disk, std::uint64_t index) const;
-  // After recovery, which reads in no order of age.
+  /// The floor below which entries with so many bytes on disk and in the index stand.
+  SequenceNumber floorToFree(std::uint64_t diskBytes, std::uint64_t indexBytes) const;
+  /// Restores the order of age after recovery, which adds records in any order.
   void sortByAge();
 
-  // What a compaction of a segment has to copy, with the hint entries.
+  /// What a compaction of this segment would have to copy, with the hint entries.
   std::uint64_t liveBytesIn(SegmentNumber segment) const;
   std::uint64_t liveBytes() const { return liveBytes_; }
-  std::uint64_t bytes() const { return bytes_; }
-  std::size_t size() const { return entries_.size(); }
-  std::size_t liveEntries() const { return liveEntries_; }
-
-  // Living entries in order of their keys, from `from` on (beyond it where told), until `hear` says false.
-  void scanByKey(std::string_view from, bool beyond,
-                 const std::function<bool(const IndexEntry&)>& hear) const;
-  // Living entries, the oldest first, from the one behind this key and sequence on, until `hear` says false.
-  struct AgeCursor {
-    std::string key;
-    SequenceNumber sequence{};
-  };
-  void scanByAge(const std::optional<AgeCursor>& behind,
-                 const std::function<bool(const IndexEntry&)>& hear) const;
+  std::uint64_t memoryBytes() const { return memoryBytes_; }
+  std::size_t entryCount() const { return entries_.size(); }
+  std::size_t liveEntryCount() const { return liveEntryCount_; }
+
+  /// Visits live entries in the order of their keys.
+  void scanByKey(std::string_view from, ScanStart start, const Visitor& visit) const;
+  /// Visits live entries, the oldest first, beginning after the cursor.
+  void scanByAge(const std::optional<AgeCursor>& cursor, const Visitor& visit) const;
 
-  // What a gone entry needs on disk while older records of its key stand there.
-  static std::uint64_t tombstoneBytes(std::size_t key) { return recordBytes(key, 0) + hintEntryBytes(key); }
+  /// Bytes on disk of a deletion that has to be kept while older records of its key stand there.
+  static std::uint64_t tombstoneBytes(std::size_t keyBytes) {
+    return recordBytes(keyBytes, 0) + hintEntryBytes(keyBytes);
+  }
 
  private:
   struct ByAge {};
-  struct ByEnd {};
+  struct ByExpiry {};
   using Entries = boost::multi_index_container<
       IndexEntry, boost::multi_index::indexed_by<
                       boost::multi_index::ordered_unique<
                           boost::multi_index::member<IndexEntry, std::string, &IndexEntry::key>, std::less<>>,
                       boost::multi_index::sequenced<boost::multi_index::tag<ByAge>>,
                       boost::multi_index::ordered_non_unique<
-                          boost::multi_index::tag<ByEnd>,
+                          boost::multi_index::tag<ByExpiry>,
                           boost::multi_index::member<IndexEntry, UnixTime, &IndexEntry::expiry>>>>;
-  using At = Entries::iterator;
-
-  At at(std::string_view key) const { return entries_.find(key); }
+  using Iterator = Entries::iterator;
 
-  void drop(At at);
+  void remove(Iterator entry);
   template <typename Change>
-  void change(At at, Change change);
-  void count(const IndexEntry& entry, bool in);
+  void modify(Iterator entry, Change change);
+  void addToTotals(const IndexEntry& entry);
+  void subtractFromTotals(const IndexEntry& entry);
 
   Entries entries_;
-  std::unordered_map<SegmentNumber, std::uint64_t> living_;  // a segment leaves with its last living entry
-  std::uint64_t bytes_ = 0, liveBytes_ = 0;
-  std::size_t liveEntries_ = 0;
-  SequenceNumber floor_{}, newest_{};
-  bool inOrder_ = true;  // of age
+  std::unordered_map<SegmentNumber, std::uint64_t> liveBytesBySegment_;  // no entry where it would be 0
+  std::uint64_t memoryBytes_ = 0;
+  std::uint64_t liveBytes_ = 0;
+  std::size_t liveEntryCount_ = 0;
+  SequenceNumber floor_{};
+  SequenceNumber newestSequence_{};
+  bool isSortedByAge_ = true;
 };
 
 }  // namespace rainhook::store
--- a/src/store/log_structured_store.cpp
+++ b/src/store/log_structured_store.cpp
@@ -3,400 +3,385 @@
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <utility>
 
-#include "store/log_structured_store_jobs.h"
+#include "store/compression.h"
+#include "store/file_names.h"
+#include "store/recovery.h"
 
 namespace rainhook::store {
 namespace {
 
-constexpr std::size_t unpackedMost = std::size_t{256} << 20;  // no value is longer, whatever the bounds were
-constexpr std::size_t sweepsMost =
-    64;  // so many steps back of the clock are remembered; beyond, the oldest goes
+constexpr std::size_t expiredEntriesPerStep = 512;
+constexpr int maxCommitAttempts = 2;
 
-std::string faultIn(const std::string& name, const DiskError& error) { return name + ": " + error.message(); }
-
-}  // namespace
-
-LogStructuredStore::LogStructuredStore(Disk& disk, const StoreSettings& bounds, LogCallback tell)
-    : disk_(disk), bounds_(bounds), plan_(bounds), tell_(std::move(tell)) {}
-
-LogStructuredStore::~LogStructuredStore() = default;
+/// What a write takes in the folder at most.
+std::uint64_t bytesOf(const WriteRequest& write) {
+  return recordBytes(write.key.size(), write.value.size()) + hintEntryBytes(write.key.size());
+}
 
-void LogStructuredStore::say(const std::string& line) const {
-  if (tell_) tell_(line);
+std::uint64_t bytesOf(std::span<const WriteRequest> writes) {
+  std::uint64_t sum = 0;
+  for (const WriteRequest& write : writes) sum += bytesOf(write);
+  return sum;
 }
 
-void LogStructuredStore::addBytes(std::uint64_t bytes) const {
-  const std::lock_guard lock(mutex_);
-  stats_.folderBytes += bytes;
-  stats_.peakFolderBytes = std::max(stats_.peakFolderBytes, stats_.folderBytes);
+StoreStatus lockFolder(Disk& disk) {
+  const auto locked = disk.lock(lockFileName);
+  if (!locked.error) return {};
+  if (locked.error != std::errc::operation_would_block)
+    return {StoreErrorCode::ioError, describeError(lockFileName, locked.error)};
+  return {StoreErrorCode::locked, fmt::format("the store is open in process {}",
+                                              locked.holder.empty() ? "(unknown)" : locked.holder)};
 }
 
-void LogStructuredStore::lessBytes(std::uint64_t bytes) const {
-  const std::lock_guard lock(mutex_);
-  stats_.folderBytes -= std::min(stats_.folderBytes, bytes);
+/// Collects the entries of a scan that have not expired.
+template <typename Scan>
+ScanPage collectPage(std::size_t maxRows, UnixTime now, Scan scan) {
+  ScanPage out;
+  scan([&](const IndexEntry& entry) {
+    if (entry.expiry <= now) return true;
+    if (out.rows.size() == maxRows) {
+      out.hasMore = true;
+      return false;
+    }
+    out.rows.push_back({entry.key, entry.expiry, entry.sequence, entry.location.bytes});
+    return true;
+  });
+  return out;
 }
 
-std::uint64_t LogStructuredStore::costOf(const WriteRequest& write) {
-  return recordBytes(write.key.size(), write.value.size()) + hintEntryBytes(write.key.size());
+}  // namespace
+
+LogStructuredStore::LogStructuredStore(Disk& disk, const StoreSettings& settings, LogCallback log)
+    : disk_(disk),
+      settings_(settings),
+      policy_(settings),
+      log_(std::move(log)),
+      catalog_(disk, usage_, state_),
+      files_(disk, settings.maxOpenFiles),
+      reader_(state_, files_, log_),
+      compactor_(disk, policy_, catalog_, state_, usage_, files_, log_) {}
+
+void LogStructuredStore::log(const std::string& line) const {
+  if (log_) log_(line);
 }
 
-StoreStatus validateWrite(const WriteRequest& write, const StoreSettings& bounds) {
-  if (write.key.empty()) return {StoreErrorCode::invalidArgument, "the key is empty"};
-  if (write.key.size() > bounds.maxKeyBytes)
-    return {StoreErrorCode::entryTooLarge,
-            fmt::format("a key of {} bytes; {} are allowed", write.key.size(), bounds.maxKeyBytes)};
-  if (write.value.size() > bounds.maxValueBytes)
-    return {StoreErrorCode::entryTooLarge,
-            fmt::format("a value of {} bytes; {} are allowed", write.value.size(), bounds.maxValueBytes)};
+StoreStatus LogStructuredStore::open(std::uint64_t seed) {
+  if (auto status = lockFolder(disk_); !status.isOk()) return status;
+  Recovery recovery(disk_, policy_, usage_, state_, log_);
+  if (auto status = recovery.run(StoreId{seed}); !status.isOk()) return status;
+  catalog_.restore(recovery.takeContents());
+  isOpen_ = true;
+  if (const DiskError error = catalog_.writeManifest())
+    log(describeError(manifestFileName, error) + "; writes are refused until it can be written");
   return {};
 }
 
+// --- Commits ---
+
 std::vector<StoreStatus> LogStructuredStore::commit(std::span<const WriteRequest> writes, UnixTime now) {
-  std::vector<StoreStatus> out(writes.size());
-  for (std::size_t at = 0; at < writes.size();) {
-    out[at] = opened_ ? validateWrite(writes[at], bounds_)
-                      : StoreStatus{StoreErrorCode::closed, "the store is not open"};
-    if (!out[at].isOk()) {
-      ++at;
+  std::vector<StoreStatus> statuses(writes.size());
+  for (std::size_t begin = 0; begin < writes.size();) {
+    statuses[begin] = isOpen_ ? validateWrite(writes[begin], settings_)
+                              : StoreStatus{StoreErrorCode::closed, "the store is not open"};
+    if (!statuses[begin].isOk()) {
+      ++begin;
       continue;
     }
-    if (active_ && plan_.isFull(active_->weight(), costOf(writes[at]))) seal(active_, false);
-    // As many as fit into one segment go with one sync.
-    const auto base = active_ ? active_->weight() : 2 * fileHeaderBytes;
-    std::uint64_t cost = costOf(writes[at]);
-    std::size_t end = at + 1;
-    while (end < writes.size() && end - at < bounds_.maxCommitWrites &&
-           validateWrite(writes[end], bounds_).isOk() && !plan_.isFull(base + cost, costOf(writes[end])))
-      cost += costOf(writes[end++]);
-    const auto outcome = commitPortion(writes.subspan(at, end - at), cost, now);
-    for (; at < end; ++at) out[at] = outcome;
+    const SegmentWriter* active = activeSegment();
+    if (active && policy_.isFull(active->projectedBytes(), bytesOf(writes[begin])))
+      catalog_.seal(SegmentRole::commits, SegmentTrust::trusted);
+    const auto batch = writes.subspan(begin, batchSize(writes.subspan(begin)));
+    const StoreStatus status = commitBatch(batch, now);
+    std::fill_n(statuses.begin() + static_cast<std::ptrdiff_t>(begin), batch.size(), status);
+    begin += batch.size();
   }
-  return out;
+  return statuses;
+}
+
+/// How many writes from the first on go with one sync: as many valid ones as fit into one segment.
+std::size_t LogStructuredStore::batchSize(std::span<const WriteRequest> writes) const {
+  const SegmentWriter* active = catalog_.writer(SegmentRole::commits);
+  std::uint64_t segmentBytes = active ? active->projectedBytes() : 2 * fileHeaderBytes;
+  segmentBytes += bytesOf(writes.front());
+  std::size_t size = 1;
+  while (size < writes.size() && size < settings_.maxCommitWrites) {
+    const WriteRequest& next = writes[size];
+    if (!validateWrite(next, settings_).isOk() || policy_.isFull(segmentBytes, bytesOf(next))) break;
+    segmentBytes += bytesOf(next);
+    ++size;
+  }
+  return size;
 }
 
-StoreStatus LogStructuredStore::commitPortion(std::span<const WriteRequest> writes, std::uint64_t cost,
-                                              UnixTime now) {
-  const auto refuse = [&](StoreStatus outcome) {
-    const std::lock_guard lock(mutex_);
-    (outcome.code == StoreErrorCode::storeFull ? stats_.rejectedWrites : stats_.failedWrites) +=
-        writes.size();
-    return outcome;
-  };
-  if (!makeRoom(cost + recordBytes(0, 0) + 2 * fileHeaderBytes, now))
-    return refuse({StoreErrorCode::storeFull, "no room under disk_bytes, and none could be made"});
+StoreStatus LogStructuredStore::commitBatch(std::span<const WriteRequest> writes, UnixTime now) {
+  const std::uint64_t sweepAndHeaders = recordBytes(0, 0) + 2 * fileHeaderBytes;
+  if (!makeRoom(bytesOf(writes) + sweepAndHeaders, now))
+    return countRefused(writes.size(),
+                        {StoreErrorCode::storeFull, "no room under disk_bytes, and none could be made"});
   DiskError error;
   // A sync that failed says that what was written before may be lost, and a second sync of the same file
-  // can't be believed; so these go once more, into a new segment.
-  for (int attempt = 0; attempt < 2; ++attempt) {
-    if (auto outcome = ensureActive(); !outcome.isOk() || !active_) return refuse(std::move(outcome));
-    error = writePortion(writes, now);
+  // can't be believed; so these writes go once more, into a new segment.
+  for (int attempt = 0; attempt < maxCommitAttempts; ++attempt) {
+    auto status = ensureActiveSegment();
+    if (!status.isOk()) return countRefused(writes.size(), std::move(status));
+    error = writeBatch(writes, now);
     if (!error) return {};
-    if (active_) break;  // not a sync: the file is as it was before
+    if (activeSegment()) break;  // not a sync: the file is as it was before
   }
-  return refuse({StoreErrorCode::ioError,
-                 faultIn(active_ ? segmentFileName(active_->number()) : "a new segment", error)});
-}
-
-void LogStructuredStore::addWrite(const WriteRequest& write, std::span<const WriteRequest> before,
-                                  UnixTime now, std::vector<Move>& moves) {
-  const bool erase = write.erase || write.expiry <= now;
-  if (erase) {
-    const bool here =
-        std::any_of(before.begin(), before.end(), [&](const WriteRequest& w) { return w.key == write.key; });
-    const std::lock_guard lock(mutex_);
-    const IndexEntry* entry = index_.find(write.key);
-    // There is nothing to erase, unless a write that failed may have left something.
-    if (!here && !uncertain_ && (!entry || entry->state == EntryState::deleted)) return;
-  }
-  Record record{erase ? RecordKind::erase : RecordKind::put, false,     nextSequence_,
-                erase ? neverExpires : write.expiry,         write.key, {}};
-  nextSequence_ = successor(nextSequence_);
-  std::optional<std::string> packed;
-  if (!erase) {
-    if (write.value.size() >= bounds_.minCompressedValueBytes) packed = compress(write.value);
-    record.isCompressed = packed.has_value();
-    record.value = packed ? *packed : write.value;
-  }
-  moves.push_back({write.key, record.kind, record.sequence, record.expiry, active_->add(record)});
+  const SegmentWriter* active = activeSegment();
+  const std::string name = active ? segmentFileName(active->number()) : "a new segment";
+  return countRefused(writes.size(), {StoreErrorCode::ioError, describeError(name, error)});
+}
+
+StoreStatus LogStructuredStore::countRefused(std::size_t writes, StoreStatus status) {
+  const std::lock_guard lock(state_.mutex);
+  StoreStatistics& statistics = state_.statistics;
+  (status.code == StoreErrorCode::storeFull ? statistics.rejectedWrites : statistics.failedWrites) += writes;
+  return status;
+}
+
+StoreStatus LogStructuredStore::ensureActiveSegment() {
+  return activeSegment() ? StoreStatus{} : catalog_.openWriter(SegmentRole::commits);
 }
 
-DiskError LogStructuredStore::writePortion(std::span<const WriteRequest> writes, UnixTime now) {
-  std::vector<Move> moves;
-  std::optional<ExpirySweep> sweep;
+DiskError LogStructuredStore::writeBatch(std::span<const WriteRequest> writes, UnixTime now) {
+  const auto sweep = appendExpirySweep();
+  const auto updates = appendWrites(writes, now);
+  if (updates.empty() && !sweep) return {};
+  if (const DiskError error = makeDurable()) return error;
+  if (sweep) catalog_.addSweep(*sweep);
+  publish(writes, updates, sweep);
+  return {};
+}
+
+/// Records what was seen as expired since the last commit.
+std::optional<ExpirySweep> LogStructuredStore::appendExpirySweep() {
+  std::optional<UnixTime> expiredBy;
   {
-    const std::lock_guard lock(mutex_);
-    if (sweepDue_) sweep = {nextSequence_, sweptUntil_};
+    const std::lock_guard lock(state_.mutex);
+    expiredBy = state_.unrecordedExpiry;
   }
-  if (sweep) {
-    active_->add({RecordKind::expirySweep, false, sweep->before, sweep->until, {}, {}});
-    nextSequence_ = successor(nextSequence_);
+  if (!expiredBy) return std::nullopt;
+  const ExpirySweep sweep{catalog_.takeSequence(), *expiredBy};
+  activeSegment()->append({RecordKind::expirySweep, false, sweep.before, sweep.expiredBy, {}, {}});
+  return sweep;
+}
+
+std::vector<LogStructuredStore::IndexUpdate> LogStructuredStore::appendWrites(
+    std::span<const WriteRequest> writes, UnixTime now) {
+  std::vector<IndexUpdate> updates;
+  for (std::size_t i = 0; i < writes.size(); ++i) {
+    const WriteRequest& write = writes[i];
+    const bool isErasure = write.isErase() || write.expiry <= now;
+    if (!isErasure)
+      updates.push_back(appendWrite(write, RecordKind::put));
+    else if (isErasureNeeded(write.key, writes.first(i)))
+      updates.push_back(appendWrite(write, RecordKind::erase));
   }
-  for (std::size_t i = 0; i < writes.size(); ++i) addWrite(writes[i], writes.first(i), now, moves);
-  if (moves.empty() && !sweep) return {};
-  if (const auto error = counted(*active_, [&] { return active_->write(); })) {
-    uncertain_ = true;
-    if (active_->broken()) seal(active_, true);
-    return error;
+  return updates;
+}
+
+/// Whether there is anything to erase: in the index, earlier in the batch, or left by a write that failed.
+bool LogStructuredStore::isErasureNeeded(std::string_view key,
+                                         std::span<const WriteRequest> earlierWrites) const {
+  const bool isInBatch = std::any_of(earlierWrites.begin(), earlierWrites.end(),
+                                     [&](const WriteRequest& earlier) { return earlier.key == key; });
+  if (isInBatch || mayHoldFailedWrite_) return true;
+  const std::lock_guard lock(state_.mutex);
+  const IndexEntry* entry = state_.index.find(key);
+  return entry && entry->state != EntryState::deleted;
+}
+
+LogStructuredStore::IndexUpdate LogStructuredStore::appendWrite(const WriteRequest& write, RecordKind kind) {
+  Record record{kind, false, catalog_.takeSequence(), neverExpires, write.key, {}};
+  std::optional<std::string> compressed;
+  if (kind == RecordKind::put) {
+    record.expiry = write.expiry;
+    if (write.value.size() >= settings_.minCompressedValueBytes) compressed = compress(write.value);
+    record.isCompressed = compressed.has_value();
+    record.value = compressed ? *compressed : write.value;
   }
-  const auto error = active_->sync();
-  if (error) {
-    say(fmt::format("{}; it is not trusted any more, and what lives in it is written anew",
-                    faultIn(segmentFileName(active_->number()), error)));
-    uncertain_ = true;
-    counted(*active_, [&] { return active_->takeBack(), 0; });
-    seal(active_, true);
-    const std::lock_guard lock(mutex_);
-    ++stats_.failedSyncs;
+  const RecordLocation location = activeSegment()->append(record);
+  return {write.key, kind, record.sequence, record.expiry, location};
+}
+
+/// Writes and syncs what was appended to the active segment. On an error none of it counts; where the
+/// segment can't be trusted any more it is sealed.
+DiskError LogStructuredStore::makeDurable() {
+  SegmentWriter& segment = *activeSegment();
+  if (const DiskError error = segment.flush()) {
+    mayHoldFailedWrite_ = true;
+    if (segment.isBroken()) catalog_.seal(SegmentRole::commits, SegmentTrust::untrusted);
     return error;
   }
-  counted(*active_, [&] { return active_->waitUntilIdle(), 0; });
-  if (sweep) addSweep(sweep->before, sweep->until);
-  const std::lock_guard lock(mutex_);
-  for (const Move& move : moves)
-    index_.addRecord(move.key, move.kind, move.sequence, move.expiry, move.where);
-  ++stats_.commits;
-  for (const WriteRequest& write : writes) {
-    ++(write.erase ? stats_.erases : stats_.puts);
-    stats_.writtenBytes += costOf(write);
+  if (const DiskError error = segment.sync()) {
+    log(describeError(segmentFileName(segment.number()), error) +
+        "; the segment is untrusted, its live records will be rewritten");
+    mayHoldFailedWrite_ = true;
+    segment.rollBack();
+    catalog_.seal(SegmentRole::commits, SegmentTrust::untrusted);
+    const std::lock_guard lock(state_.mutex);
+    ++state_.statistics.failedSyncs;
+    return error;
   }
-  if (sweep && sweptUntil_ == sweep->until) sweepDue_ = false;
+  segment.commit();
   return {};
 }
 
-void LogStructuredStore::addSweep(SequenceNumber before, UnixTime until) {
-  while (!sweeps_.empty() && sweeps_.back().until <= until) sweeps_.pop_back();
-  sweeps_.push_back({before, until});
-  if (sweeps_.size() > sweepsMost) sweeps_.erase(sweeps_.begin());
+void LogStructuredStore::publish(std::span<const WriteRequest> writes,
+                                 const std::vector<IndexUpdate>& updates,
+                                 const std::optional<ExpirySweep>& sweep) {
+  const std::lock_guard lock(state_.mutex);
+  for (const IndexUpdate& update : updates)
+    state_.index.addRecord(update.key, update.kind, update.sequence, update.expiry, update.location);
+  StoreStatistics& statistics = state_.statistics;
+  ++statistics.commits;
+  for (const WriteRequest& write : writes) ++(write.isErase() ? statistics.erases : statistics.puts);
+  statistics.writtenBytes += bytesOf(writes);
+  // A reader may have seen something expire later since the sweep was appended.
+  if (sweep && state_.unrecordedExpiry == sweep->expiredBy) state_.unrecordedExpiry.reset();
 }
 
-// A clock that steps back before the next commit must not take back what was seen.
-void LogStructuredStore::sawExpired(UnixTime now) const {
-  sweptUntil_ = std::exchange(sweepDue_, true) ? std::max(sweptUntil_, now) : now;
-}
+// --- Reads ---
 
-bool LogStructuredStore::makeRoom(std::uint64_t cost, UnixTime now) {
-  const auto folder = [this] {
-    const std::lock_guard lock(mutex_);
-    return stats_.folderBytes;
-  };
-  // Each round removes, copies or ages out something, and there is a bounded amount of that.
-  while (!plan_.canWrite(folder(), cost)) {
-    if (copying_) return false;  // a snapshot holds all segments in place
-    if (runMaintenance(now)) continue;
-    if (tidyFailed_ || !ageOut(plan_.minAgeOutBytes())) return false;
-  }
-  return true;
+ReadResult LogStructuredStore::get(std::string_view key, UnixTime now) const {
+  return reader_.read(catalog_.storeId(), key, now);
 }
 
-StoreStatus LogStructuredStore::ensureActive() { return active_ ? StoreStatus{} : makeSegment(active_); }
+ScanPage LogStructuredStore::scanByKey(std::string_view from, ScanStart start, std::size_t maxRows,
+                                       UnixTime now) const {
+  const std::lock_guard lock(state_.mutex);
+  return collectPage(maxRows, now,
+                     [&](const KeyIndex::Visitor& visit) { state_.index.scanByKey(from, start, visit); });
+}
 
-StoreStatus LogStructuredStore::makeSpare() {
-  if (!spare_) {
-    DiskError error;
-    auto made = SegmentWriter::make(disk_, store_, nextNumber_, error);
-    if (error) return {StoreErrorCode::ioError, faultIn(segmentFileName(nextNumber_), error)};
-    nextNumber_ = successor(nextNumber_);
-    addBytes(made->bytes() + made->hintEntryBytes());
-    spare_ = std::move(made);
-    spareNamed_ = false;
-  }
-  // Its name has to be on the disk before the manifest tells of it: a listed segment that is not there counts
-  // as lost.
-  if (spareNamed_) return {};
-  if (const auto error = disk_.syncDirectory())
-    return {StoreErrorCode::ioError, faultIn("the folder", error)};
-  spareNamed_ = true;
-  return {};
+ScanPage LogStructuredStore::scanByAge(const std::optional<KeyIndex::AgeCursor>& cursor, std::size_t maxRows,
+                                       UnixTime now) const {
+  const std::lock_guard lock(state_.mutex);
+  return collectPage(maxRows, now,
+                     [&](const KeyIndex::Visitor& visit) { state_.index.scanByAge(cursor, visit); });
 }
 
-StoreStatus LogStructuredStore::makeSegment(std::unique_ptr<SegmentWriter>& into) {
-  if (auto outcome = makeSpare(); !outcome.isOk()) return outcome;
-  into = std::move(spare_);
-  const auto error = writeManifest();
-  if (!error) return {};
-  spare_ = std::move(into);
-  return {StoreErrorCode::ioError, faultIn(manifestFileName, error)};
-}
-
-void LogStructuredStore::seal(std::unique_ptr<SegmentWriter>& segment, bool isUntrusted) {
-  counted(*segment, [&] { return segment->seal(), 0; });
-  sealed_[segment->number()] = {segment->bytes(),
-                                segment->hintEntryBytes(),
-                                segment->committedBytes(),
-                                segment->last(),
-                                isUntrusted,
-                                false,
-                                {}};
-  segment.reset();
-}
-
-Manifest LogStructuredStore::manifest(bool sealedOnly) const {
-  Manifest out{store_, nextNumber_, nextSequence_, index_.floor(), sweeps_, {}};
-  for (const auto& [number, segment] : sealed_)
-    // A distrusted one is listed like one that is still written, so that the next start distrusts it too.
-    out.segments.push_back({number, !segment.isUntrusted, segment.bytes, segment.last});
-  for (const SegmentWriter* segment : {active_.get(), output_.get()})
-    if (segment && !sealedOnly) out.segments.push_back({segment->number(), false, 0, {}});
+StoreStatistics LogStructuredStore::statistics() const {
+  const std::lock_guard lock(state_.mutex);
+  StoreStatistics out = state_.statistics;
+  out.entries = state_.index.liveEntryCount();
+  out.tombstones = state_.index.entryCount() - out.entries;
+  out.indexBytes = state_.index.memoryBytes();
+  out.liveBytes = state_.index.liveBytes();
+  out.folderBytes = usage_.bytes();
+  out.peakFolderBytes = usage_.peakBytes();
   return out;
 }
 
-DiskError LogStructuredStore::writeManifest() {
-  const auto bytes = encodeManifest(manifest(false));
-  auto opened = disk_.create(manifestTemporaryFileName);
-  if (opened.error) return opened.error;
-  addBytes(bytes.size());
-  const auto undo = [&](DiskError error) {
-    disk_.remove(manifestTemporaryFileName);
-    lessBytes(bytes.size());
-    return error;
-  };
-  if (const auto error = writeAll(*opened.file, 0, bytes)) return undo(error);
-  if (const auto error = opened.file->sync()) return undo(error);
-  if (const auto error = disk_.rename(manifestTemporaryFileName, manifestFileName)) return undo(error);
-  lessBytes(std::exchange(manifestBytes_, bytes.size()));
-  return disk_.syncDirectory();
-}
-
-std::shared_ptr<File> LogStructuredStore::fileOf(SegmentNumber number, DiskError& error) const {
-  const std::lock_guard lock(mutex_);
-  if (const auto at = files_.find(number); at != files_.end()) {
-    at->second.second = ++uses_;
-    return at->second.first;
-  }
-  auto opened = disk_.open(segmentFileName(number));
-  error = opened.error;
-  if (error) return nullptr;
-  if (files_.size() >= bounds_.maxOpenFiles)
-    files_.erase(std::min_element(files_.begin(), files_.end(), [](const auto& a, const auto& b) {
-      return a.second.second < b.second.second;
-    }));
-  files_[number] = {opened.file, ++uses_};
-  return opened.file;
-}
+// --- Maintenance ---
 
-void LogStructuredStore::forgetFile(SegmentNumber number) {
-  const std::lock_guard lock(mutex_);
-  files_.erase(number);
+bool LogStructuredStore::runMaintenance(UnixTime now, bool hasWaitingWriters) {
+  if (!isOpen_) return false;
+  takeOverCorruptRecords();
+  const bool hasExpired = expireEntries(now);
+  const std::uint64_t budgetBytes = policy_.stepBytes(hasWaitingWriters);
+  if (snapshot_) return stepSnapshot(budgetBytes);
+  const bool hasAgedOut = ageOut(0);
+  return prepareNextSegment() || compactor_.step(budgetBytes) || hasExpired || hasAgedOut;
 }
 
-ReadResult LogStructuredStore::get(std::string_view key, UnixTime now) const {
-  // A compaction may move the record between the look into the index and the read; the old file stays
-  // readable for whoever holds it, so more than a second look is rare.
-  for (int attempt = 0; attempt < 4; ++attempt) {
-    IndexEntry entry;
-    {
-      const std::lock_guard lock(mutex_);
-      const IndexEntry* found = index_.find(key);
-      if (!found || found->state == EntryState::deleted) return {};
-      if (found->state == EntryState::lost)
-        return {{}, neverExpires, {StoreErrorCode::corruptRecord, "its record can't be read"}};
-      if (found->expiry <= now) {
-        index_.expireKey(key);
-        ++stats_.expiredEntries;
-        sawExpired(now);
-        return {};
-      }
-      entry = *found;
-    }
-    DiskError error;
-    const auto file = fileOf(entry.location.segment, error);
-    std::string bytes(entry.location.bytes, '\0');
-    IoResult read{0, error};
-    if (file) read = readAll(*file, entry.location.offset, bytes);
-    if (!read.error) {
-      const auto found =
-          readRecord(std::string_view(bytes).substr(0, read.bytes),
-                     {{FileKind::segment, store_, entry.location.segment}, entry.location.offset});
-      if (found.state == RecordReadResult::State::complete && found.record.key == key &&
-          found.record.sequence == entry.sequence) {
-        if (!found.record.isCompressed) return {std::string(found.record.value), entry.expiry, {}};
-        if (auto plain = decompress(found.record.value, unpackedMost))
-          return {std::move(plain), entry.expiry, {}};
-      }
+/// Notes which segments readers have found damaged; those of a segment that is still being written wait.
+void LogStructuredStore::takeOverCorruptRecords() {
+  const std::lock_guard lock(state_.mutex);
+  for (CorruptRecord& corrupt : std::exchange(state_.corruptRecords, {})) {
+    if (SealedSegment* sealed = catalog_.findSealed(corrupt.segment)) {
+      sealed->isDamaged = true;
+      sealed->lostRecords.push_back(std::move(corrupt.record));
+    } else {
+      state_.corruptRecords.push_back(std::move(corrupt));
     }
-    const auto name = segmentFileName(entry.location.segment);
-    {
-      const std::lock_guard lock(mutex_);
-      const IndexEntry* still = index_.find(key);
-      if (!still || still->location != entry.location || still->sequence != entry.sequence) continue;
-      if (read.error) return {{}, neverExpires, {StoreErrorCode::ioError, faultIn(name, read.error)}};
-      ++stats_.lostRecords, stats_.lostBytes += entry.location.bytes;
-      if (index_.markLost(key, entry.sequence, entry.location.segment))
-        foundDamaged_.push_back({entry.location.segment, entry.key, entry.sequence});
-    }
-    say(fmt::format("{} at {}: a record of {} bytes is damaged; its key is not served any more", name,
-                    entry.location.offset, entry.location.bytes));
-    return {{},
-            neverExpires,
-            {StoreErrorCode::corruptRecord, fmt::format("{} at {}: damaged", name, entry.location.offset)}};
   }
-  return {{}, neverExpires, {StoreErrorCode::ioError, "it moved too often while it was read"}};
 }
 
-namespace {
+bool LogStructuredStore::expireEntries(UnixTime now) {
+  const std::lock_guard lock(state_.mutex);
+  const std::size_t count = state_.index.expireUpTo(now, expiredEntriesPerStep);
+  if (count == 0) return false;
+  state_.statistics.expiredEntries += count;
+  state_.noteExpired(now);
+  return true;
+}
 
-ScanPage pageOf(std::size_t most, UnixTime now,
-                const std::function<void(const std::function<bool(const IndexEntry&)>&)>& walk) {
-  ScanPage out;
-  walk([&](const IndexEntry& entry) {
-    if (entry.expiry <= now) return true;
-    if (out.rows.size() == most) return out.hasMore = true, false;
-    out.rows.push_back({entry.key, entry.expiry, entry.sequence, entry.location.bytes});
-    return true;
-  });
-  return out;
+bool LogStructuredStore::ageOut(std::uint64_t minBytes) {
+  auto excess = policy_.excess(catalog_.occupancy());
+  excess.diskBytes = std::max(excess.diskBytes, minBytes);
+  if (!excess.isAny()) return false;
+  const std::lock_guard lock(state_.mutex);
+  const SequenceNumber floor = state_.index.floorToFree(excess.diskBytes, excess.indexBytes);
+  if (floor <= state_.index.floor()) return false;
+  state_.statistics.agedOutEntries += state_.index.raiseFloor(floor);
+  return true;
 }
 
-}  // namespace
+/// Creates the next segment before the active one is full, so that the commit that fills it waits for less.
+bool LogStructuredStore::prepareNextSegment() {
+  const SegmentWriter* active = activeSegment();
+  if (catalog_.hasDurableSpare() || !active || !policy_.isNearlyFull(active->projectedBytes())) return false;
+  return catalog_.prepareSpare().isOk();
+}
 
-ScanPage LogStructuredStore::scanByKey(std::string_view from, bool beyond, std::size_t most,
-                                       UnixTime now) const {
-  const std::lock_guard lock(mutex_);
-  return pageOf(most, now, [&](const auto& hear) { index_.scanByKey(from, beyond, hear); });
+bool LogStructuredStore::makeRoom(std::uint64_t bytes, UnixTime now) {
+  // Each round removes, copies or ages out something, and there is a bounded amount of that.
+  while (!policy_.canWrite(usage_.bytes(), bytes)) {
+    if (snapshot_) return false;  // it holds all segments in place
+    if (runMaintenance(now)) continue;
+    if (compactor_.hasFailed() || !ageOut(policy_.minAgeOutBytes())) return false;
+  }
+  return true;
 }
 
-ScanPage LogStructuredStore::scanByAge(const std::optional<KeyIndex::AgeCursor>& behind, std::size_t most,
-                                       UnixTime now) const {
-  const std::lock_guard lock(mutex_);
-  return pageOf(most, now, [&](const auto& hear) { index_.scanByAge(behind, hear); });
-}
-
-StoreOccupancy LogStructuredStore::facts() const {
-  const std::lock_guard lock(mutex_);
-  StoreOccupancy out{stats_.folderBytes, index_.bytes(), {}};
-  for (const auto& [number, segment] : sealed_)
-    out.segments.push_back({number, segment.bytes + segment.hintEntryBytes, index_.liveBytesIn(number), true,
-                            segment.isUntrusted, segment.damaged});
-  for (const SegmentWriter* segment : {active_.get(), output_.get()})
-    if (segment)
-      out.segments.push_back({segment->number(), segment->bytes() + segment->hintEntryBytes(),
-                              index_.liveBytesIn(segment->number()), false, false, false});
-  return out;
+void LogStructuredStore::startCompaction(StatusCallback onEnded) {
+  if (activeSegment()) catalog_.seal(SegmentRole::commits, SegmentTrust::trusted);
+  compactor_.requestAll(std::move(onEnded));
 }
 
-StoreStatistics LogStructuredStore::stats() const {
-  const std::lock_guard lock(mutex_);
-  StoreStatistics out = stats_;
-  out.entries = index_.liveEntries();
-  out.tombstones = index_.size() - out.entries;
-  out.indexBytes = index_.bytes();
-  out.liveBytes = index_.liveBytes();
-  return out;
+StoreStatus LogStructuredStore::startSnapshot(std::unique_ptr<Disk> destination, StatusCallback onEnded) {
+  if (!isOpen_) return {StoreErrorCode::closed, "the store is not open"};
+  if (snapshot_) return {StoreErrorCode::invalidArgument, "a snapshot is under way"};
+  if (auto status = SnapshotCopy::prepare(*destination); !status.isOk()) return status;
+  compactor_.suspend();
+  if (activeSegment()) catalog_.seal(SegmentRole::commits, SegmentTrust::trusted);
+  std::vector<std::string> files;
+  for (const auto& [number, segment] : catalog_.sealedSegments()) {
+    files.push_back(segmentFileName(number));
+    files.push_back(hintFileName(number));
+  }
+  auto manifest = encodeManifest(catalog_.manifest(SegmentCatalog::ManifestScope::sealedSegments));
+  snapshot_ = std::make_unique<SnapshotCopy>(disk_, std::move(destination), std::move(files),
+                                             std::move(manifest), std::move(onEnded));
+  return {};
+}
+
+bool LogStructuredStore::stepSnapshot(std::uint64_t budgetBytes) {
+  if (auto ended = snapshot_->step(budgetBytes)) endSnapshot(std::move(*ended));
+  return true;
+}
+
+void LogStructuredStore::endSnapshot(StoreStatus status) {
+  const auto ended = std::move(snapshot_);
+  ended->finish(std::move(status));
 }
 
 void LogStructuredStore::close() {
-  if (!opened_) return;
-  if (copying_) endSnapshot({StoreErrorCode::closed, "the store was closed"});
-  job_.reset();
-  if (output_) flushOutput(true);
-  if (output_) seal(output_, false);
-  if (active_) seal(active_, false);
-  compactionEnded({StoreErrorCode::closed, "the store was closed"});
-  if (const auto error = writeManifest())
-    say(faultIn(manifestFileName, error) + "; the next start reads more");
+  if (!isOpen_) return;
+  const StoreStatus closed{StoreErrorCode::closed, "the store was closed"};
+  if (snapshot_) endSnapshot(closed);
+  compactor_.abandon();
+  compactor_.sealOutput();
+  if (activeSegment()) catalog_.seal(SegmentRole::commits, SegmentTrust::trusted);
+  compactor_.endRequests(closed);
+  if (const DiskError error = catalog_.writeManifest())
+    log(describeError(manifestFileName, error) + "; the next start will read more");
   disk_.unlock();
-  opened_ = false;
+  isOpen_ = false;
 }
 
 }  // namespace rainhook::store
--- a/src/store/posix_disk.h
+++ b/src/store/posix_disk.h
@@ -1,5 +1,7 @@
-// The disk in service: files of one folder by POSIX. Source: POSIX.1-2017 open, pread, pwrite, fdatasync,
-// rename; flock(2) for the lock, which the kernel gives back when its process ends, however it ends.
+/// @file
+/// The disk in service: the files of one folder by POSIX. Source: POSIX.1-2017 open, pread, pwrite,
+/// fdatasync, rename; flock(2) for the lock, which the kernel releases when its process ends, however it
+/// ends.
 #pragma once
 
 #include <string>
@@ -8,9 +10,10 @@
 
 namespace rainhook::store {
 
+/// Owns the descriptors of the folder and of its lock. Any thread may open and read; one at a time changes.
 class PosixDisk final : public Disk {
  public:
-  // Makes the folder where it is absent (not its parents).
+  /// Creates the folder where it is absent, not its parents; an error shows in the operations that follow.
   explicit PosixDisk(std::string folder);
   ~PosixDisk() override;
   PosixDisk(const PosixDisk&) = delete;
@@ -27,10 +30,12 @@
   void unlock() override;
 
  private:
-  OpenResult openAt(const std::string& name, int flags);
+  OpenResult openWithFlags(const std::string& name, int flags) const;
+  std::string lockHolder() const;
 
   std::string folder_;
-  int directory_ = -1, lock_ = -1;
+  int directoryDescriptor_ = -1;
+  int lockDescriptor_ = -1;
   DiskError openError_;
 };
 
--- a/src/store/record_scanner.cpp
+++ b/src/store/record_scanner.cpp
@@ -4,35 +4,40 @@
 #include <utility>
 
 namespace rainhook::store {
+namespace {
 
-RecordScanner::RecordScanner(std::shared_ptr<File> file, FileHeader head)
-    : file_(std::move(file)), head_(head), size_(file_->size()) {}
+constexpr std::uint64_t windowBytes = 256 << 10;
 
-std::string_view RecordScanner::window(std::uint64_t at, std::size_t least) {
-  const auto wanted = std::min<std::uint64_t>(least, size_ - at);
-  if (at < windowAt_ || at + wanted > windowAt_ + window_.size()) {
-    window_.resize(static_cast<std::size_t>(
-        std::min<std::uint64_t>(std::max<std::uint64_t>(wanted, windowBytes), size_ - at)));
-    const auto read = readAll(*file_, at, window_);
+}  // namespace
+
+RecordScanner::RecordScanner(std::shared_ptr<File> file, FileHeader header)
+    : file_(std::move(file)), header_(header), fileBytes_(file_->size()) {}
+
+std::string_view RecordScanner::window(std::uint64_t offset, std::size_t minBytes) {
+  const std::uint64_t fileRest = fileBytes_ - offset;
+  const std::uint64_t wanted = std::min<std::uint64_t>(minBytes, fileRest);
+  if (offset < windowOffset_ || offset + wanted > windowOffset_ + window_.size()) {
+    window_.resize(static_cast<std::size_t>(std::min(std::max(wanted, windowBytes), fileRest)));
+    const IoResult read = readAll(*file_, offset, window_);
     window_.resize(read.bytes);
-    windowAt_ = at;
+    windowOffset_ = offset;
   }
-  return std::string_view(window_).substr(static_cast<std::size_t>(at - windowAt_));
+  return std::string_view(window_).substr(static_cast<std::size_t>(offset - windowOffset_));
 }
 
-RecordReadResult RecordScanner::readAt(std::uint64_t at) {
-  const RecordPosition spot{head_, at};
-  auto read = readRecord(window(at, recordHeaderBytes), spot);
-  if (read.state == RecordReadResult::State::needsMoreBytes && read.bytes <= size_ - at)
-    read = readRecord(window(at, read.bytes), spot);
+RecordReadResult RecordScanner::readAt(std::uint64_t offset) {
+  const RecordPosition position{header_, offset};
+  RecordReadResult read = readRecord(window(offset, recordHeaderBytes), position);
+  if (read.state == RecordReadResult::State::needsMoreBytes && read.bytes <= fileBytes_ - offset)
+    read = readRecord(window(offset, read.bytes), position);
   return read;
 }
 
-std::uint64_t RecordScanner::nextWhole(std::uint64_t from) {
-  while (from < size_) {
-    const auto bytes = window(from, recordHeaderBytes);
-    if (bytes.empty()) return size_;  // can't be read from here on
-    const auto candidate = findRecordCandidate(bytes, 0);
+std::uint64_t RecordScanner::findIntactRecord(std::uint64_t from) {
+  while (from < fileBytes_) {
+    const std::string_view bytes = window(from, recordHeaderBytes);
+    if (bytes.empty()) return fileBytes_;  // the disk can't read from here on
+    const std::size_t candidate = findRecordCandidate(bytes, 0);
     if (candidate == std::string_view::npos) {
       from += bytes.size();
       continue;
@@ -41,19 +46,19 @@
     if (readAt(from).state == RecordReadResult::State::complete) return from;
     ++from;
   }
-  return size_;
+  return fileBytes_;
 }
 
 RecordScanner::Step RecordScanner::next() {
-  if (at_ >= size_) return {};
-  auto read = readAt(at_);
+  if (position_ >= fileBytes_) return {};
+  const RecordReadResult read = readAt(position_);
   if (read.state == RecordReadResult::State::complete) {
-    const auto offset = at_;
-    at_ += read.bytes;
-    return {Step::What::record, read.record, offset, read.bytes};
+    const std::uint64_t offset = position_;
+    position_ += read.bytes;
+    return {Step::Kind::record, read.record, offset, read.bytes};
   }
-  const auto from = std::exchange(at_, nextWhole(at_ + 1));
-  return {Step::What::damage, {}, from, at_ - from};
+  const std::uint64_t offset = std::exchange(position_, findIntactRecord(position_ + 1));
+  return {Step::Kind::corruption, {}, offset, position_ - offset};
 }
 
 }  // namespace rainhook::store
--- a/src/store/record_scanner.h
+++ b/src/store/record_scanner.h
@@ -1,41 +1,45 @@
-// Reads a file of records from front to back, a window at a time, and finds the next whole record behind a
-// damaged stretch.
+/// @file
+/// Reads a file of records from front to back, a window at a time, and finds the next intact record behind a
+/// corrupt stretch.
 #pragma once
 
+#include <cstdint>
 #include <memory>
 #include <string>
+#include <string_view>
 
 #include "store/disk.h"
-#include "store/format.h"
+#include "store/record_format.h"
 
 namespace rainhook::store {
 
 class RecordScanner {
  public:
   struct Step {
-    enum class What { record, damage, end } what = What::end;
-    Record record;             // its views last until the next call
-    std::uint64_t offset = 0;  // of the record or the damaged stretch
+    enum class Kind { record, corruption, end } kind = Kind::end;
+    Record record;             ///< Its views are valid until the next call.
+    std::uint64_t offset = 0;  ///< Of the record or the corrupt stretch.
     std::uint64_t bytes = 0;
   };
 
-  RecordScanner(std::shared_ptr<File> file, FileHeader head);
-  // Also where the disk gives an error: what can't be read is damage.
+  RecordScanner(std::shared_ptr<File> file, FileHeader header);
+
+  /// What the disk can't read counts as corrupt.
   Step next();
-  std::uint64_t position() const { return at_; }
+  /// The offset that the next call reads from.
+  std::uint64_t position() const { return position_; }
 
  private:
-  static constexpr std::size_t windowBytes = 256 << 10;
-
-  // At least this many bytes from `at` on, or all up to the end of the file.
-  std::string_view window(std::uint64_t at, std::size_t least);
-  RecordReadResult readAt(std::uint64_t at);
-  std::uint64_t nextWhole(std::uint64_t from);
+  /// At least `minBytes` from the offset on, or all up to the end of the file.
+  std::string_view window(std::uint64_t offset, std::size_t minBytes);
+  RecordReadResult readAt(std::uint64_t offset);
+  std::uint64_t findIntactRecord(std::uint64_t from);
 
   std::shared_ptr<File> file_;
-  FileHeader head_;
-  std::uint64_t size_, at_ = fileHeaderBytes;
-  std::uint64_t windowAt_ = 0;
+  FileHeader header_;
+  std::uint64_t fileBytes_;
+  std::uint64_t position_ = fileHeaderBytes;
+  std::uint64_t windowOffset_ = 0;
   std::string window_;  // grows to the longest record of the file at most
 };
 
--- a/src/store/recovery.cpp
+++ b/src/store/recovery.cpp
@@ -1,392 +1,295 @@
-// Recovery starts from whatever a crash, a fault of the disk or a stranger left. Hints serve twice: a whole
-// one saves reading its segment, and any tells of records that can't be read any more, whose keys then serve
-// nothing rather than something older.
 #include "store/recovery.h"
 
 #include <fmt/format.h>
 
 #include <algorithm>
-#include <cerrno>
-#include <map>
+
+#include "store/file_names.h"
+#include "store/record_scanner.h"
 
 namespace rainhook::store {
 namespace {
 
-// What a file says of itself at its beginning.
-HeaderReadResult headOf(Disk& disk, const std::string& name) {
-  const auto opened = disk.open(name);
-  if (opened.error) return {{}, HeaderError::truncated};
-  std::string bytes(fileHeaderBytes, '\0');
-  const auto read = readAll(*opened.file, 0, bytes);
-  return decodeHeader(std::string_view(bytes).substr(0, read.bytes));
-}
+constexpr SequenceNumber maxSequence{~std::uint64_t{0}};
 
-// No matter of what the files hold: the same start works once there are descriptors and memory again.
-bool ofTheProcess(const DiskError& error) {
-  return error.errorNumber == EMFILE || error.errorNumber == ENFILE || error.errorNumber == ENOMEM;
+/// Not a matter of the files: the same start succeeds once there are descriptors and memory again.
+bool isShortageOfProcess(const DiskError& error) {
+  return error == std::errc::too_many_files_open || error == std::errc::too_many_files_open_in_system ||
+         error == std::errc::not_enough_memory;
 }
 
 }  // namespace
 
-StoreStatus LogStructuredStore::open(std::uint64_t seed) { return Recovery(*this).run(seed); }
-
-StoreStatus LogStructuredStore::Recovery::run(std::uint64_t seed) {
-  if (auto outcome = list(); !outcome.isOk()) return outcome;
-  readManifest();
-  chooseId(seed);
-  sortOut();
-  if (manifest_) {
-    book_.nextNumber_ = manifest_->nextNumber, book_.nextSequence_ = manifest_->nextSequence;
-    book_.sweeps_ = manifest_->sweeps;
-    book_.index_.raiseFloor(manifest_->floor);
-    for (const auto& segment : manifest_->segments)
-      if (!found_.contains(segment.number)) {
-        doubt(segment);
-        book_.say(fmt::format("{} and its hint are gone: what is older is not served",
-                              segmentFileName(segment.number)));
-      }
-  }
-  for (const auto& [number, found] : found_)
-    if (found.hint) book_.disk_.prefetch(hintFileName(number));
-  for (const auto& [number, found] : found_) {
-    book_.nextNumber_ = std::max(book_.nextNumber_, successor(number));
-    if (auto outcome = recover(number, found); !outcome.isOk()) return outcome;
-  }
-  if (highest_ >= book_.nextSequence_) book_.nextSequence_ = successor(highest_);
-  suppressLost();
-  report();
-  book_.index_.sortByAge();
-  if (doubt_)
-    book_.stats_.discardedEntries = book_.index_.raiseFloor(std::min(doubtBelow_, book_.nextSequence_));
-  sweep();
-  book_.opened_ = true;
-  if (const auto error = book_.writeManifest())
-    book_.say(fmt::format("{}: {}; nothing can be written until it can", manifestFileName, error.message()));
-  return {};
-}
+Recovery::Recovery(Disk& disk, const CompactionPolicy& policy, FolderUsage& usage, StoreState& state,
+                   const LogCallback& log)
+    : disk_(disk), policy_(policy), usage_(usage), state_(state), log_(log), inventory_(disk, usage, log) {}
 
-// Nobody can say what of the older records this one had erased or written over.
-void LogStructuredStore::Recovery::doubt(const Manifest::Listed& gone) {
-  ++book_.stats_.lostFiles;
-  book_.stats_.lostBytes += gone.bytes;
-  doubt_ = true;
-  doubtBelow_ = gone.sealed ? std::max(doubtBelow_, successor(gone.last)) : SequenceNumber{~std::uint64_t{0}};
+void Recovery::log(const std::string& line) const {
+  if (log_) log_(line);
 }
 
-StoreStatus LogStructuredStore::Recovery::list() {
-  if (const auto locked = book_.disk_.lock(lockFileName); locked.error) {
-    if (locked.error.errorNumber != EWOULDBLOCK)
-      return {StoreErrorCode::ioError, fmt::format("{}: {}", lockFileName, locked.error.message())};
-    return {StoreErrorCode::locked, fmt::format("the store is open in process {}",
-                                                locked.holder.empty() ? "(unknown)" : locked.holder)};
-  }
-  std::vector<Disk::DirectoryEntry> there;
-  if (const auto error = book_.disk_.list(there))
-    return {StoreErrorCode::ioError, "the folder: " + error.message()};
-  for (const auto& file : there)
-    if (file.name == incompleteMarkerFileName)
-      return {StoreErrorCode::invalidArgument,
-              "the folder holds a snapshot that was cut short; remove it and make another"};
-  for (const auto& file : there) {
-    names_.insert(file.name);
-    if (file.isDirectory) continue;
-    const auto named = parseFileName(file.name);
-    if (file.name == manifestTemporaryFileName || (named && named->temporary)) {
-      if (!book_.disk_.remove(file.name)) continue;  // it never replaced what it was to replace
-    }
-    book_.addBytes(file.bytes);
-    if (named && !named->temporary) {
-      Found& found = found_[named->number];
-      (named->kind == FileKind::segment ? found.segment : found.hint) = true;
-      (named->kind == FileKind::segment ? found.maxSegmentBytes : found.hintEntryBytes) = file.bytes;
-    } else if (file.name == manifestFileName) {
-      book_.manifestBytes_ = file.bytes;
-    } else if (file.name.starts_with(quarantinePrefix)) {
-      ++book_.stats_.quarantinedFiles;
-    } else if (file.name != lockFileName && file.name != manifestTemporaryFileName && !named) {
-      setAside(file.name, "unknown");
-    }
+StoreStatus Recovery::run(StoreId newStoreId) {
+  if (auto status = inventory_.take(newStoreId); !status.isOk()) return status;
+  state_.statistics.quarantinedFiles = inventory_.quarantinedFiles();
+  contents_.storeId = inventory_.storeId();
+  contents_.manifestBytes = inventory_.manifestBytes();
+  takeManifest();
+  for (const auto& [number, files] : inventory_.segments())
+    if (files.hasHint) disk_.prefetch(hintFileName(number));
+  for (const auto& [number, files] : inventory_.segments()) {
+    contents_.nextSegment = std::max(contents_.nextSegment, successor(number));
+    if (auto status = recoverSegment(number, files); !status.isOk()) return status;
   }
+  advanceSequencePast(highestSequence_);
+  hideRecordsOlderThanLost();
+  reportDamage();
+  state_.index.sortByAge();
+  if (hasLostSegment_)
+    state_.statistics.discardedEntries =
+        state_.index.raiseFloor(std::min(doubtfulBelow_, contents_.nextSequence));
+  expireSweptEntries();
   return {};
 }
 
-void LogStructuredStore::Recovery::setAside(const std::string& name, const char* why) {
-  auto to = fmt::format("{}{}-{}", quarantinePrefix, why, name);
-  for (int i = 2; names_.contains(to); ++i) to = fmt::format("{}{}-{}.{}", quarantinePrefix, why, name, i);
-  if (const auto error = book_.disk_.rename(name, to))
-    return book_.say(fmt::format("{} ({}) can't be set aside: {}", name, why, error.message()));
-  names_.insert(to);
-  ++book_.stats_.quarantinedFiles;
-  book_.say(fmt::format("{} ({}) is set aside as {}", name, why, to));
+void Recovery::takeManifest() {
+  const auto& manifest = inventory_.manifest();
+  if (!manifest) return;
+  contents_.nextSegment = manifest->nextSegment;
+  contents_.nextSequence = manifest->nextSequence;
+  contents_.sweeps = ExpirySweeps(manifest->sweeps);
+  state_.index.raiseFloor(manifest->floor);
+  for (const Manifest::Segment& segment : manifest->segments) {
+    if (inventory_.segments().contains(segment.number)) continue;
+    noteLostSegment(segment);
+    log(fmt::format("{} and its hint file are missing: older records are not served",
+                    segmentFileName(segment.number)));
+  }
 }
 
-void LogStructuredStore::Recovery::readManifest() {
-  if (!names_.contains(manifestFileName)) return;
-  auto opened = book_.disk_.open(manifestFileName);
-  ManifestReadResult read{std::nullopt, HeaderError::corrupt};
-  if (opened.file) {
-    std::string bytes(static_cast<std::size_t>(opened.file->size()), '\0');
-    const auto got = readAll(*opened.file, 0, bytes);
-    read = decodeManifest(std::string_view(bytes).substr(0, got.bytes));
-  }
-  if (read.manifest) {
-    manifest_ = std::move(read.manifest);
-    return;
-  }
-  setAside(manifestFileName, read.error == HeaderError::newerVersion ? "newer" : "damaged");
-  book_.manifestBytes_ = 0;
-  book_.say("the manifest can't be read: all segments in the folder are taken");
+/// Nobody can say which older records the lost segment had erased or overwritten.
+void Recovery::noteLostSegment(const Manifest::Segment& segment) {
+  ++state_.statistics.lostFiles;
+  state_.statistics.lostBytes += segment.bytes;
+  hasLostSegment_ = true;
+  doubtfulBelow_ = segment.isSealed ? std::max(doubtfulBelow_, successor(segment.lastSequence)) : maxSequence;
 }
 
-void LogStructuredStore::Recovery::chooseId(std::uint64_t seed) {
-  if (manifest_) {
-    book_.store_ = manifest_->store;
-    return;
+StoreStatus Recovery::recoverSegment(SegmentNumber number, const FolderInventory::SegmentFiles& files) {
+  SealedSegment& sealed = contents_.sealed[number];
+  sealed.bytes = files.segmentBytes;
+  sealed.committedBytes = files.segmentBytes;
+  sealed.hintBytes = files.hintBytes;
+  const HintFile hints = readHints(number);
+  const std::string name = segmentFileName(number);
+  Disk::OpenResult opened{nullptr, make_error_code(std::errc::no_such_file_or_directory)};
+  if (files.hasSegment) opened = disk_.open(name);
+  if (isShortageOfProcess(opened.error)) return {StoreErrorCode::ioError, describeError(name, opened.error)};
+  if (opened.file) {
+    recoverPresentSegment(number, opened.file, hints);
+  } else {
+    log(describeError(name, opened.error));
+    recoverMissingSegment(number, files.segmentBytes, hints);
   }
-  // The id that most files carry; the lower where two are equal.
-  std::map<StoreId, int> votes;
-  for (const auto& [number, found] : found_)
-    for (const auto& name : {segmentFileName(number), hintFileName(number)})
-      if (const auto read = headOf(book_.disk_, name); read.error == HeaderError::none)
-        ++votes[read.head.store];
-  const auto most = std::max_element(votes.begin(), votes.end(),
-                                     [](const auto& a, const auto& b) { return a.second < b.second; });
-  book_.store_ = most == votes.end() ? StoreId{seed} : most->first;
+  for (const HintEntry& entry : hints.entries)
+    sealed.lastSequence = std::max(sealed.lastSequence, entry.sequence);
+  highestSequence_ = std::max(highestSequence_, sealed.lastSequence);
+  return {};
 }
 
-const Manifest::Listed* LogStructuredStore::Recovery::listed(SegmentNumber number) const {
-  if (!manifest_) return nullptr;
-  const auto& all = manifest_->segments;
-  const auto at = std::find_if(all.begin(), all.end(), [&](const auto& s) { return s.number == number; });
-  return at == all.end() ? nullptr : &*at;
+HintFile Recovery::readHints(SegmentNumber number) {
+  auto opened = disk_.open(hintFileName(number));
+  if (!opened.file) return {};
+  return readHintFile(std::move(opened.file), contents_.storeId, number);
 }
 
-// Leaves in found_ what belongs to this store now.
-void LogStructuredStore::Recovery::sortOut() {
-  for (auto at = found_.begin(); at != found_.end();) {
-    const SegmentNumber number = at->first;
-    const Found found = at->second;
-    const auto name = found.segment ? segmentFileName(number) : hintFileName(number);
-    const auto head = headOf(book_.disk_, name);
-    const bool whole = head.error == HeaderError::none || head.error == HeaderError::newerVersion;
-    const bool ours = !whole || head.head.store == book_.store_;
-    const bool left = manifest_ && number < manifest_->nextNumber && !listed(number);
-    const char* why = whole && !ours                            ? "foreign"
-                      : head.error == HeaderError::newerVersion ? "newer"
-                                                                : nullptr;
-    const auto each = [&](const auto& act) {
-      if (found.segment) act(segmentFileName(number), found.maxSegmentBytes);
-      if (found.hint) act(hintFileName(number), found.hintEntryBytes);
-    };
-    if (why) {
-      each([&](const std::string& file, std::uint64_t) { setAside(file, why); });
-    } else if (left) {
-      // Compacted away; a crash came between the manifest and the removal.
-      each([&](const std::string& file, std::uint64_t bytes) {
-        if (!book_.disk_.remove(file)) book_.lessBytes(bytes);
-      });
-    } else {
-      ++at;
-      continue;
-    }
-    at = found_.erase(at);
-  }
+void Recovery::recoverPresentSegment(SegmentNumber number, const std::shared_ptr<File>& file,
+                                     const HintFile& hints) {
+  // What a killed process wrote may stand in the page cache alone: it is synced before it is served. That
+  // sync may succeed after one that the process saw fail, and mean nothing, so what was not sealed is
+  // untrusted and will be written anew as well.
+  const Manifest::Segment* listed = inventory_.listed(number);
+  const bool wasSealed = listed && listed->isSealed;
+  const bool hasFailedSync = !wasSealed && file->sync();
+  contents_.sealed[number].isUntrusted = hasFailedSync || (listed && !listed->isSealed);
+  if (!hints.describes(file->size())) return scanSegment(number, file, hints);
+  for (const HintEntry& entry : hints.entries) addEntry(number, entry);
 }
 
-StoreStatus LogStructuredStore::Recovery::recover(SegmentNumber number, const Found& found) {
-  const auto name = segmentFileName(number);
-  auto& sealed = book_.sealed_[number];
-  sealed.bytes = sealed.committedBytes = found.maxSegmentBytes, sealed.hintEntryBytes = found.hintEntryBytes;
-  const auto hint = readHint(number);
-  auto opened = found.segment ? book_.disk_.open(name) : Disk::OpenResult{nullptr, {ENOENT}};
-  if (ofTheProcess(opened.error)) return {StoreErrorCode::ioError, name + ": " + opened.error.message()};
-  const auto* terms = listed(number);
-  if (opened.file) {
-    // What a killed process wrote may stand in the cache alone: it is synced before it is served. That may
-    // succeed after a sync that the process saw fail, and mean nothing, so what was not closed is written
-    // anew as well.
-    const bool failed = !(terms && terms->sealed) && opened.file->sync();
-    sealed.isUntrusted = failed || (terms && !terms->sealed);
-    if (!takeHint(number, hint, opened.file->size())) scan(number, opened.file, hint);
-  } else {
-    book_.say(fmt::format("{}: {}", name, opened.error.message()));
-    for (const auto& row : hint.rows)
-      if (row.kind != RecordKind::expirySweep)
-        lost_.push_back({number, row.key, row.sequence, row.kind == RecordKind::lost ? 0 : row.place.bytes});
-    damage_[number].size = found.maxSegmentBytes;
-    sealed.damaged = true;
-    if (terms && !hint.end) doubt(*terms);  // the hint may tell of fewer than there were
-  }
-  for (const auto& row : hint.rows) sealed.last = std::max(sealed.last, row.sequence);
-  highest_ = std::max(highest_, sealed.last);
-  return {};
+void Recovery::recoverMissingSegment(SegmentNumber number, std::uint64_t bytes, const HintFile& hints) {
+  for (const HintEntry& entry : hints.entries)
+    if (entry.kind != RecordKind::expirySweep) addLostRecord(number, entry);
+  damage_[number].fileBytes = bytes;
+  contents_.sealed[number].isDamaged = true;
+  // Without its end the hint file may know of fewer records than there were.
+  const Manifest::Segment* listed = inventory_.listed(number);
+  if (listed && !hints.end) noteLostSegment(*listed);
 }
 
-LogStructuredStore::Recovery::Hint LogStructuredStore::Recovery::readHint(SegmentNumber number) {
-  Hint out;
-  auto opened = book_.disk_.open(hintFileName(number));
-  if (!opened.file) return out;
-  RecordScanner scanner(opened.file, {FileKind::hint, book_.store_, number});
-  bool whole = true;
-  for (;;) {
-    const auto step = scanner.next();
-    if (step.what == RecordScanner::Step::What::end) break;
-    const auto place =
-        step.what == RecordScanner::Step::What::record ? decodeHintLocation(step.record.value) : std::nullopt;
-    if (!place || out.end) {
-      whole = false;
-      if (!place) continue;
-    }
-    if (step.record.kind == RecordKind::hintEnd)
-      out.end = place;
-    else
-      out.rows.push_back(
-          {step.record.kind, std::string(step.record.key), step.record.sequence, step.record.expiry, *place});
+void Recovery::addEntry(SegmentNumber number, const HintEntry& entry) {
+  highestSequence_ = std::max(highestSequence_, entry.sequence);
+  SealedSegment& sealed = contents_.sealed[number];
+  sealed.lastSequence = std::max(sealed.lastSequence, entry.sequence);
+  switch (entry.kind) {
+    case RecordKind::expirySweep:
+      contents_.sweeps.add({entry.sequence, entry.expiry});
+      return;
+    case RecordKind::lost:
+      addLostRecord(number, entry);
+      return;
+    case RecordKind::put:
+    case RecordKind::erase:
+      state_.index.addRecord(entry.key, entry.kind, entry.sequence, entry.expiry,
+                             {number, static_cast<std::uint32_t>(entry.location.offset),
+                              static_cast<std::uint32_t>(entry.location.bytes)});
+      return;
+    case RecordKind::hintEnd:
+    case RecordKind::manifest:
+      return;
   }
-  if (!whole) out.end.reset();
-  return out;
 }
 
-void LogStructuredStore::Recovery::see(const Hint::Row& row, SegmentNumber number) {
-  highest_ = std::max(highest_, row.sequence);
-  book_.sealed_[number].last = std::max(book_.sealed_[number].last, row.sequence);
-  if (row.kind == RecordKind::expirySweep) return book_.addSweep(row.sequence, row.expiry);
-  if (row.kind == RecordKind::lost) return lost_.push_back({number, row.key, row.sequence});
-  if (row.kind != RecordKind::put && row.kind != RecordKind::erase) return;
-  book_.index_.addRecord(
-      row.key, row.kind, row.sequence, row.expiry,
-      {number, static_cast<std::uint32_t>(row.place.offset), static_cast<std::uint32_t>(row.place.bytes)});
+void Recovery::addLostRecord(SegmentNumber number, const HintEntry& entry) {
+  const std::uint64_t bytes = entry.kind == RecordKind::lost ? 0 : entry.location.bytes;
+  lostRecords_.push_back({number, {entry.key, entry.sequence}, bytes});
 }
 
-// A hint that agrees with the length of its segment saves reading the segment.
-bool LogStructuredStore::Recovery::takeHint(SegmentNumber number, const Hint& hint, std::uint64_t bytes) {
-  if (!hint.end || hint.end->offset != bytes || hint.end->bytes != hint.rows.size()) return false;
-  for (const auto& row : hint.rows)
-    if (row.kind != RecordKind::lost &&
-        (row.place.bytes > bytes || row.place.offset > bytes - row.place.bytes))
-      return false;
-  for (const auto& row : hint.rows) see(row, number);
-  return true;
+void Recovery::scanSegment(SegmentNumber number, const std::shared_ptr<File>& file, const HintFile& hints) {
+  const std::uint64_t fileBytes = file->size();
+  damage_[number].fileBytes = fileBytes;
+  std::vector<HintEntry> entries = readRecords(number, file);
+  addHintsWithoutRecord(number, hints, entries);
+  rewriteHints(number, entries, fileBytes);
 }
 
-void LogStructuredStore::Recovery::scan(SegmentNumber number, std::shared_ptr<File> file, const Hint& hint) {
-  const auto size = file->size();
-  std::vector<Hint::Row> rows;
-  Damage& damage = damage_[number];
-  damage.size = size;
-  RecordScanner scanner(std::move(file), {FileKind::segment, book_.store_, number});
+std::vector<HintEntry> Recovery::readRecords(SegmentNumber number, const std::shared_ptr<File>& file) {
+  std::vector<HintEntry> out;
+  RecordScanner scanner(file, {FileKind::segment, contents_.storeId, number});
   for (;;) {
     const auto step = scanner.next();
-    if (step.what == RecordScanner::Step::What::end) break;
-    if (step.what == RecordScanner::Step::What::damage) {
-      damage.stretches.emplace_back(step.offset, step.bytes);
+    if (step.kind == RecordScanner::Step::Kind::end) return out;
+    if (step.kind == RecordScanner::Step::Kind::corruption) {
+      damage_[number].stretches.push_back({step.offset, step.bytes});
       continue;
     }
-    rows.push_back({step.record.kind,
-                    std::string(step.record.key),
-                    step.record.sequence,
-                    step.record.expiry,
-                    {step.offset, step.bytes}});
-    see(rows.back(), number);
+    const Record& record = step.record;
+    out.push_back(
+        {record.kind, std::string(record.key), record.sequence, record.expiry, {step.offset, step.bytes}});
+    addEntry(number, out.back());
   }
-  // What the hint tells of and the segment no longer holds.
-  const auto whole = rows.size();
-  for (const auto& row : hint.rows) {
-    const auto end = rows.begin() + static_cast<std::ptrdiff_t>(whole);
-    const auto at =
-        std::lower_bound(rows.begin(), end, row.place.offset,
-                         [](const Hint::Row& a, std::uint64_t offset) { return a.place.offset < offset; });
-    if (at != end && at->place.offset == row.place.offset && at->sequence == row.sequence) continue;
-    if (row.kind == RecordKind::expirySweep) {
-      see(row, number);
+}
+
+/// Appends to the entries of a segment, which stand in the order of their offsets, what its hints tell of and
+/// the segment no longer holds.
+void Recovery::addHintsWithoutRecord(SegmentNumber number, const HintFile& hints,
+                                     std::vector<HintEntry>& entries) {
+  const auto recordCount = static_cast<std::ptrdiff_t>(entries.size());
+  const auto standsBefore = [](const HintEntry& entry, std::uint64_t offset) {
+    return entry.location.offset < offset;
+  };
+  for (const HintEntry& hint : hints.entries) {
+    const auto end = entries.begin() + recordCount;
+    const auto found = std::lower_bound(entries.begin(), end, hint.location.offset, standsBefore);
+    const bool isPresent =
+        found != end && found->location.offset == hint.location.offset && found->sequence == hint.sequence;
+    if (isPresent) continue;
+    if (hint.kind == RecordKind::expirySweep) {
+      addEntry(number, hint);
       continue;
     }
-    lost_.push_back({number, row.key, row.sequence, row.kind == RecordKind::lost ? 0 : row.place.bytes});
-    rows.push_back(row);
-    rows.back().kind = RecordKind::lost;
+    addLostRecord(number, hint);
+    entries.push_back(hint);
+    entries.back().kind = RecordKind::lost;
   }
-  writeHint(number, rows, size);
 }
 
-// The next start is quick again, and what is lost stays known. Without room it is left as it is.
-void LogStructuredStore::Recovery::writeHint(SegmentNumber number, const std::vector<Hint::Row>& rows,
-                                             std::uint64_t end) {
-  const FileHeader head{FileKind::hint, book_.store_, number};
-  auto bytes = encodeHeader(head);
-  for (const auto& row : rows)
-    appendRecord(bytes, {row.kind, false, row.sequence, row.expiry, row.key, encodeHintLocation(row.place)},
-                 {head, bytes.size()});
-  appendRecord(bytes,
-               {RecordKind::hintEnd, false, {}, neverExpires, {}, encodeHintLocation({end, rows.size()})},
-               {head, bytes.size()});
-  if (!book_.plan_.canCopy(book_.stats_.folderBytes, bytes.size())) return;
-  const auto name = hintTemporaryFileName(number);
-  auto made = book_.disk_.create(name);
-  if (made.error) return;
-  if (writeAll(*made.file, 0, bytes) || made.file->sync() || book_.disk_.rename(name, hintFileName(number))) {
-    book_.disk_.remove(name);
+/// Makes the next start quick again and keeps known what is lost. Without room the file is left as it is.
+void Recovery::rewriteHints(SegmentNumber number, const std::vector<HintEntry>& entries,
+                            std::uint64_t segmentBytes) {
+  const std::string bytes = encodeHintFile(contents_.storeId, number, entries, segmentBytes);
+  if (!policy_.canCopy(usage_.bytes(), bytes.size())) return;
+  const std::string name = hintTemporaryFileName(number);
+  const auto created = disk_.create(name);
+  if (created.error) return;
+  DiskError error = writeAll(*created.file, 0, bytes);
+  if (!error) error = created.file->sync();
+  if (!error) error = disk_.rename(name, hintFileName(number));
+  if (error) {
+    disk_.remove(name);
     return;
   }
-  auto& sealed = book_.sealed_[number];
-  book_.addBytes(bytes.size());
-  book_.lessBytes(std::exchange(sealed.hintEntryBytes, bytes.size()));
-  ++book_.stats_.hintsRebuilt;
+  usage_.add(bytes.size());
+  usage_.subtract(std::exchange(contents_.sealed[number].hintBytes, bytes.size()));
+  ++state_.statistics.hintsRebuilt;
 }
 
-void LogStructuredStore::Recovery::suppressLost() {
-  for (const Lost& lost : lost_) {
-    highest_ = std::max(highest_, lost.sequence);
-    // A compaction that a crash cut short has its input still; and what was written over is missed by nobody.
-    const IndexEntry* entry = book_.index_.find(lost.key);
-    if (lost.sequence < book_.index_.floor() || (entry && entry->sequence >= lost.sequence)) continue;
-    if (lost.bytes > 0) ++damage_[lost.segment].lostRecords, damage_[lost.segment].lostBytes += lost.bytes;
-    if (!book_.index_.markLost(lost.key, lost.sequence, lost.segment)) continue;
-    book_.sealed_[lost.segment].lost.emplace_back(lost.key, lost.sequence);
-    book_.sealed_[lost.segment].damaged = true;
+void Recovery::hideRecordsOlderThanLost() {
+  for (const LostRecord& lost : lostRecords_) {
+    const auto& [key, sequence] = lost.record;
+    highestSequence_ = std::max(highestSequence_, sequence);
+    // A compaction that a crash interrupted still has its input, and nobody misses what was overwritten.
+    const IndexEntry* entry = state_.index.find(key);
+    if (sequence < state_.index.floor() || (entry && entry->sequence >= sequence)) continue;
+    if (lost.bytes > 0) {
+      Damage& damage = damage_[lost.segment];
+      ++damage.lostRecords;
+      damage.lostBytes += lost.bytes;
+    }
+    if (!state_.index.markLost(key, sequence, lost.segment)) continue;
+    SealedSegment& sealed = contents_.sealed[lost.segment];
+    sealed.lostRecords.push_back(lost.record);
+    sealed.isDamaged = true;
   }
-  if (highest_ >= book_.nextSequence_) book_.nextSequence_ = successor(highest_);
+  advanceSequencePast(highestSequence_);
 }
 
-void LogStructuredStore::Recovery::report() const {
-  for (const auto& [number, damage] : damage_) {
-    const auto name = segmentFileName(number);
-    const auto* terms = listed(number);
-    const bool sealed = terms && terms->sealed;
-    auto& segment = book_.sealed_[number];
-    for (const auto& [offset, bytes] : damage.stretches) {
-      const bool tail = offset + bytes == damage.size && !sealed && damage.lostRecords == 0;
-      book_.say(fmt::format(
-          "{} at {}: {} bytes {}", name, offset, bytes,
-          tail ? "of a write that a crash cut short are dropped" : "can't be read and are passed over"));
-      (tail ? book_.stats_.tornBytes : book_.stats_.lostBytes) += bytes;
-      if (!tail) segment.damaged = true;
-    }
-    if (sealed && damage.size < terms->bytes) {
-      book_.say(fmt::format("{} at {}: {} bytes are missing", name, damage.size, terms->bytes - damage.size));
-      book_.stats_.lostBytes += terms->bytes - damage.size;
-      segment.damaged = true;
+void Recovery::advanceSequencePast(SequenceNumber sequence) {
+  if (sequence >= contents_.nextSequence) contents_.nextSequence = successor(sequence);
+}
+
+void Recovery::reportDamage() {
+  for (const auto& [number, damage] : damage_) reportSegmentDamage(number, damage);
+}
+
+void Recovery::reportSegmentDamage(SegmentNumber number, const Damage& damage) {
+  const std::string name = segmentFileName(number);
+  const Manifest::Segment* listed = inventory_.listed(number);
+  const bool wasSealed = listed && listed->isSealed;
+  StoreStatistics& statistics = state_.statistics;
+  SealedSegment& sealed = contents_.sealed[number];
+  for (const auto& [offset, bytes] : damage.stretches) {
+    // At the end of a segment that was being written a crash leaves a write that nobody was promised.
+    const bool isTorn = offset + bytes == damage.fileBytes && !wasSealed && damage.lostRecords == 0;
+    if (isTorn) {
+      log(fmt::format("{} at {}: {} bytes of a torn write dropped", name, offset, bytes));
+      statistics.tornBytes += bytes;
+    } else {
+      log(fmt::format("{} at {}: {} bytes unreadable, skipped", name, offset, bytes));
+      statistics.lostBytes += bytes;
+      sealed.isDamaged = true;
     }
-    if (damage.lostRecords == 0) continue;
-    book_.say(fmt::format("{}: {} acknowledged records of {} bytes are lost; their keys are not served", name,
-                          damage.lostRecords, damage.lostBytes));
-    book_.stats_.lostRecords += damage.lostRecords;
-    segment.damaged = true;
   }
+  if (wasSealed && damage.fileBytes < listed->bytes) {
+    const std::uint64_t missingBytes = listed->bytes - damage.fileBytes;
+    log(fmt::format("{} at {}: {} bytes are missing", name, damage.fileBytes, missingBytes));
+    statistics.lostBytes += missingBytes;
+    sealed.isDamaged = true;
+  }
+  if (damage.lostRecords == 0) return;
+  log(fmt::format("{}: {} acknowledged records of {} bytes are lost; their keys are not served", name,
+                  damage.lostRecords, damage.lostBytes));
+  statistics.lostRecords += damage.lostRecords;
+  sealed.isDamaged = true;
 }
 
-// What was seen as expired stays so, whatever the clock says now.
-void LogStructuredStore::Recovery::sweep() {
-  if (book_.sweeps_.empty()) return;
+/// What was seen as expired stays so, whatever the clock says now.
+void Recovery::expireSweptEntries() {
+  if (contents_.sweeps.all().empty()) return;
   std::vector<std::string> expired;
-  book_.index_.scanByAge(std::nullopt, [&](const IndexEntry& entry) {
-    for (const ExpirySweep& sweep : book_.sweeps_)
-      if (entry.sequence < sweep.before && entry.expiry <= sweep.until) {
-        expired.push_back(entry.key);
-        break;
-      }
+  state_.index.scanByAge(std::nullopt, [&](const IndexEntry& entry) {
+    if (contents_.sweeps.cover(entry)) expired.push_back(entry.key);
     return true;
   });
-  for (const auto& key : expired) book_.index_.expireKey(key);
+  for (const std::string& key : expired) state_.index.expireKey(key);
 }
 
 }  // namespace rainhook::store
--- a/src/store/recovery.h
+++ b/src/store/recovery.h
@@ -1,72 +1,90 @@
-// What a start finds in the folder; private to the LogStructuredStore, which lives on with what this leaves.
+/// @file
+/// Recovery rebuilds a store's index from whatever a crash, a failure of the disk or a stranger left.
+///
+/// Hint files serve twice: an intact one saves reading its segment, and each entry tells of a record that may
+/// not be readable any more, whose key then serves nothing rather than something older.
 #pragma once
 
-#include <set>
+#include <cstdint>
+#include <map>
+#include <memory>
+#include <utility>
+#include <vector>
 
-#include "store/log_structured_store.h"
+#include "store/compaction_policy.h"
+#include "store/disk.h"
+#include "store/folder_inventory.h"
+#include "store/folder_usage.h"
+#include "store/hint_file.h"
+#include "store/requests.h"
+#include "store/segment_catalog.h"
+#include "store/store_state.h"
 
 namespace rainhook::store {
 
-class LogStructuredStore::Recovery {
+/// Used once, before any other thread sees the state. The caller holds the folder's lock.
+class Recovery {
  public:
-  explicit Recovery(LogStructuredStore& book) : book_(book) {}
-  StoreStatus run(std::uint64_t seed);
+  Recovery(Disk& disk, const CompactionPolicy& policy, FolderUsage& usage, StoreState& state,
+           const LogCallback& log);
+
+  /// Fills the index and the statistics. Errors: the folder can't be listed, holds an interrupted snapshot,
+  /// or the process is short of descriptors or memory.
+  StoreStatus run(StoreId newStoreId);
+  /// The segments that were found; call once, after a successful run.
+  SegmentCatalog::Contents takeContents() { return std::move(contents_); }
 
  private:
-  struct Found {
-    bool segment = false, hint = false;
-    std::uint64_t maxSegmentBytes = 0, hintEntryBytes = 0;
-  };
-  struct Hint {
-    struct Row {
-      RecordKind kind{};
-      std::string key;
-      SequenceNumber sequence{};
-      UnixTime expiry = neverExpires;
-      HintLocation place;
-    };
-    std::vector<Row> rows;
-    std::optional<HintLocation> end;  // where the file ends as it should and nothing of it is damaged
+  /// A record that a hint tells of and the segment does not hold.
+  struct LostRecord {
+    SegmentNumber segment{};
+    RecordId record;
+    std::uint64_t bytes = 0;  // 0 where an earlier start has counted it
   };
-  struct Lost {
-    SegmentNumber segment;
-    std::string key;
-    SequenceNumber sequence;
-    std::uint64_t bytes = 0;  // 0: an earlier start told of it
+  /// A part of a file that holds no intact record.
+  struct CorruptStretch {
+    std::uint64_t offset = 0;
+    std::uint64_t bytes = 0;
   };
-  // What a segment that was read through could not give.
+  /// What a segment that was read through could not give.
   struct Damage {
-    std::uint64_t size = 0;
-    std::vector<std::pair<std::uint64_t, std::uint64_t>> stretches;  // offset and bytes
-    std::uint64_t lostRecords = 0, lostBytes = 0;  // acknowledged, and nothing else has them
+    std::uint64_t fileBytes = 0;
+    std::vector<CorruptStretch> stretches;
+    std::uint64_t lostRecords = 0;  // acknowledged, and no other copy is left
+    std::uint64_t lostBytes = 0;
   };
 
-  StoreStatus list();
-  void readManifest();
-  void chooseId(std::uint64_t seed);
-  void sortOut();
-  StoreStatus recover(SegmentNumber number, const Found& found);
-  Hint readHint(SegmentNumber number);
-  bool takeHint(SegmentNumber number, const Hint& hint, std::uint64_t bytes);
-  void scan(SegmentNumber number, std::shared_ptr<File> file, const Hint& hint);
-  void writeHint(SegmentNumber number, const std::vector<Hint::Row>& rows, std::uint64_t end);
-  void see(const Hint::Row& row, SegmentNumber number);
-  void suppressLost();
-  void report() const;
-  void sweep();
-  void setAside(const std::string& name, const char* why);
-  void doubt(const Manifest::Listed& gone);
-  const Manifest::Listed* listed(SegmentNumber number) const;
+  void takeManifest();
+  void noteLostSegment(const Manifest::Segment& segment);
+  StoreStatus recoverSegment(SegmentNumber number, const FolderInventory::SegmentFiles& files);
+  HintFile readHints(SegmentNumber number);
+  void recoverPresentSegment(SegmentNumber number, const std::shared_ptr<File>& file, const HintFile& hints);
+  void recoverMissingSegment(SegmentNumber number, std::uint64_t bytes, const HintFile& hints);
+  void scanSegment(SegmentNumber number, const std::shared_ptr<File>& file, const HintFile& hints);
+  std::vector<HintEntry> readRecords(SegmentNumber number, const std::shared_ptr<File>& file);
+  void addHintsWithoutRecord(SegmentNumber number, const HintFile& hints, std::vector<HintEntry>& entries);
+  void rewriteHints(SegmentNumber number, const std::vector<HintEntry>& entries, std::uint64_t segmentBytes);
+  void addEntry(SegmentNumber number, const HintEntry& entry);
+  void addLostRecord(SegmentNumber number, const HintEntry& entry);
+  void hideRecordsOlderThanLost();
+  void reportDamage();
+  void reportSegmentDamage(SegmentNumber number, const Damage& damage);
+  void expireSweptEntries();
+  void advanceSequencePast(SequenceNumber sequence);
+  void log(const std::string& line) const;
 
-  LogStructuredStore& book_;
-  std::set<std::string> names_;
-  std::map<SegmentNumber, Found> found_;
-  std::optional<Manifest> manifest_;
-  std::vector<Lost> lost_;
+  Disk& disk_;
+  const CompactionPolicy& policy_;
+  FolderUsage& usage_;
+  StoreState& state_;
+  const LogCallback& log_;
+  FolderInventory inventory_;
+  SegmentCatalog::Contents contents_;
+  std::vector<LostRecord> lostRecords_;
   std::map<SegmentNumber, Damage> damage_;
-  SequenceNumber highest_{};
-  bool doubt_ = false;
-  SequenceNumber doubtBelow_{};
+  SequenceNumber highestSequence_{};
+  bool hasLostSegment_ = false;
+  SequenceNumber doubtfulBelow_{};  // a lost segment may have erased records below it
 };
 
 }  // namespace rainhook::store
--- /dev/null
+++ b/src/store/requests.cpp
@@ -0,0 +1,18 @@
+#include "store/requests.h"
+
+#include <fmt/format.h>
+
+namespace rainhook::store {
+
+StoreStatus validateWrite(const WriteRequest& write, const StoreSettings& settings) {
+  if (write.key.empty()) return {StoreErrorCode::invalidArgument, "the key is empty"};
+  if (write.key.size() > settings.maxKeyBytes)
+    return {StoreErrorCode::entryTooLarge,
+            fmt::format("a key of {} bytes; {} are allowed", write.key.size(), settings.maxKeyBytes)};
+  if (write.value.size() > settings.maxValueBytes)
+    return {StoreErrorCode::entryTooLarge,
+            fmt::format("a value of {} bytes; {} are allowed", write.value.size(), settings.maxValueBytes)};
+  return {};
+}
+
+}  // namespace rainhook::store
--- a/src/store/segment_writer.cpp
+++ b/src/store/segment_writer.cpp
@@ -3,80 +3,118 @@
 #include <algorithm>
 #include <utility>
 
+#include "store/file_names.h"
+
 namespace rainhook::store {
 
-std::unique_ptr<SegmentWriter> SegmentWriter::make(Disk& disk, StoreId store, SegmentNumber number,
-                                                   DiskError& error) {
-  std::unique_ptr<SegmentWriter> out(new SegmentWriter(store, number));
+class SegmentWriter::UsageUpdate {
+ public:
+  explicit UsageUpdate(SegmentWriter& segment) : segment_(segment), before_(total()) {}
+  ~UsageUpdate() {
+    const std::uint64_t now = total();
+    if (now > before_) segment_.usage_.add(now - before_);
+    if (now < before_) segment_.usage_.subtract(before_ - now);
+  }
+  UsageUpdate(const UsageUpdate&) = delete;
+  UsageUpdate& operator=(const UsageUpdate&) = delete;
+
+ private:
+  std::uint64_t total() const { return segment_.bytes() + segment_.hintBytes(); }
+
+  SegmentWriter& segment_;
+  const std::uint64_t before_;
+};
+
+SegmentWriter::SegmentWriter(FolderUsage& usage, StoreId storeId, SegmentNumber number)
+    : usage_(usage), header_{FileKind::segment, storeId, number} {}
+
+SegmentWriter::CreateResult SegmentWriter::create(Disk& disk, FolderUsage& usage, StoreId storeId,
+                                                  SegmentNumber number) {
+  std::unique_ptr<SegmentWriter> out(new SegmentWriter(usage, storeId, number));
   auto opened = disk.create(segmentFileName(number));
-  error = opened.error ? opened.error : writeAll(*opened.file, 0, encodeHeader(out->head_));
-  if (error) {
-    if (opened.file) disk.remove(segmentFileName(number));
-    return nullptr;
+  if (opened.error) return {nullptr, opened.error};
+  if (const DiskError error = writeAll(*opened.file, 0, encodeHeader(out->header_))) {
+    disk.remove(segmentFileName(number));
+    return {nullptr, error};
   }
   out->file_ = std::move(opened.file);
-  out->hint_ = disk.create(hintFileName(number)).file;
-  if (out->hint_ && writeAll(*out->hint_, 0, encodeHeader({FileKind::hint, store, number})))
-    out->hint_.reset();
-  out->hintWritten_ = fileHeaderBytes;
-  return out;
+  out->hintFile_ = disk.create(hintFileName(number)).file;
+  const std::string hintHeader = encodeHeader({FileKind::hint, storeId, number});
+  if (out->hintFile_ && writeAll(*out->hintFile_, 0, hintHeader)) out->hintFile_.reset();
+  usage.add(out->bytes() + out->hintBytes());
+  return {std::move(out), {}};
+}
+
+std::uint64_t SegmentWriter::projectedBytes() const {
+  const std::uint64_t hintEnd = recordBytes(0, hintLocationBytes);
+  return writtenBytes_ + pendingRecords_.size() + hintBytes_ + pendingHints_.size() + hintEnd;
 }
 
-RecordLocation SegmentWriter::add(const Record& record) {
-  const auto offset = written_ + pending_.size();
-  const auto bytes = recordBytes(record.key.size(), record.value.size());
-  appendRecord(pending_, record, {head_, offset});
-  hint(record.kind, record, {offset, bytes});
-  ++addedRecords_;
-  last_ = std::max(last_, record.sequence);
-  return {head_.number, static_cast<std::uint32_t>(offset), static_cast<std::uint32_t>(bytes)};
+RecordLocation SegmentWriter::append(const Record& record) {
+  const std::uint64_t offset = writtenBytes_ + pendingRecords_.size();
+  const std::uint64_t bytes = recordBytes(record.key.size(), record.value.size());
+  appendRecord(pendingRecords_, record, {header_, offset});
+  appendHint(record.kind, record, {offset, bytes});
+  ++pendingRecordCount_;
+  lastSequence_ = std::max(lastSequence_, record.sequence);
+  return {header_.segment, static_cast<std::uint32_t>(offset), static_cast<std::uint32_t>(bytes)};
 }
 
-void SegmentWriter::hint(RecordKind kind, const Record& record, const HintLocation& place) {
-  const auto value = encodeHintLocation(place);
-  appendRecord(hints_, {kind, false, record.sequence, record.expiry, record.key, value},
-               {{FileKind::hint, head_.store, head_.number}, hintWritten_ + hints_.size()});
+void SegmentWriter::appendHint(RecordKind kind, const Record& record, const HintLocation& location) {
+  const std::string value = encodeHintLocation(location);
+  const FileHeader hintHeader{FileKind::hint, header_.storeId, header_.segment};
+  appendRecord(pendingHints_, {kind, false, record.sequence, record.expiry, record.key, value},
+               {hintHeader, hintBytes_ + pendingHints_.size()});
 }
 
-DiskError SegmentWriter::write() {
-  const auto error = writeAll(*file_, written_, pending_);
-  if (!error) {
-    written_ += pending_.size();
-    pending_.clear();
-  } else {
-    takeBack();
+DiskError SegmentWriter::flush() {
+  const UsageUpdate update(*this);
+  const DiskError error = writeAll(*file_, writtenBytes_, pendingRecords_);
+  if (error) {
+    truncateToCommitted();
+    return error;
   }
-  return error;
+  writtenBytes_ += pendingRecords_.size();
+  pendingRecords_.clear();
+  return {};
+}
+
+void SegmentWriter::rollBack() {
+  const UsageUpdate update(*this);
+  truncateToCommitted();
 }
 
-void SegmentWriter::takeBack() {
-  pending_.clear(), hints_.clear();
-  addedRecords_ = 0;
-  written_ = settled_;
-  if (file_->truncate(settled_)) {
-    broken_ = true;
-    written_ = std::max(written_, file_->size());
+void SegmentWriter::truncateToCommitted() {
+  pendingRecords_.clear();
+  pendingHints_.clear();
+  pendingRecordCount_ = 0;
+  writtenBytes_ = committedBytes_;
+  if (file_->truncate(committedBytes_)) {
+    isBroken_ = true;
+    writtenBytes_ = std::max(writtenBytes_, file_->size());
   }
 }
 
-void SegmentWriter::waitUntilIdle() {
-  records_ += std::exchange(addedRecords_, 0);
-  settled_ = written_;
-  const auto hints = std::exchange(hints_, {});
-  if (!hint_) return;
-  if (writeAll(*hint_, hintWritten_, hints))
-    hint_.reset();  // what of it is whole still counts at the next start, which makes it anew
+void SegmentWriter::commit() {
+  const UsageUpdate update(*this);
+  committedRecords_ += std::exchange(pendingRecordCount_, 0);
+  committedBytes_ = writtenBytes_;
+  const std::string hints = std::exchange(pendingHints_, {});
+  if (!hintFile_) return;
+  if (writeAll(*hintFile_, hintBytes_, hints))
+    hintFile_.reset();  // the next start uses the entries that are intact, and writes the file anew
   else
-    hintWritten_ += hints.size();
+    hintBytes_ += hints.size();
 }
 
 void SegmentWriter::seal() {
-  if (!hint_) return;
-  hint(RecordKind::hintEnd, {}, {settled_, records_});
-  const auto hints = std::exchange(hints_, {});
-  if (!writeAll(*hint_, hintWritten_, hints)) hintWritten_ += hints.size();
-  hint_->startWriteback();  // no need to wait: a start that finds it cut short reads the segment
-  hint_.reset();
+  const UsageUpdate update(*this);
+  if (!hintFile_) return;
+  appendHint(RecordKind::hintEnd, {}, {committedBytes_, committedRecords_});
+  const std::string hints = std::exchange(pendingHints_, {});
+  if (!writeAll(*hintFile_, hintBytes_, hints)) hintBytes_ += hints.size();
+  hintFile_->startWriteback();  // no need to wait: a start that finds it incomplete reads the segment
+  hintFile_.reset();
 }
 
 }  // namespace rainhook::store
--- a/src/store/segment_writer.h
+++ b/src/store/segment_writer.h
@@ -1,6 +1,5 @@
-// One segment that is being written, with its hint file beside it. The hint entry of a record follows only
-// once the record may be believed: a hint must never tell of a write that a crash undid, since it would
-// suppress the acknowledged one before it.
+/// @file
+/// One segment that is being written, with its hint file beside it.
 #pragma once
 
 #include <cstdint>
@@ -8,54 +7,72 @@
 #include <string>
 
 #include "store/disk.h"
-#include "store/format.h"
+#include "store/folder_usage.h"
 #include "store/key_index.h"
+#include "store/record_format.h"
 
 namespace rainhook::store {
 
+/// Records go `append` -> `flush` -> `sync` -> `commit`, or back by `rollBack`. The hint entry of a record
+/// follows only with the commit: a hint must never describe a write that a crash undid, since it would hide
+/// the acknowledged record before it. Belongs to the writer's thread; keeps FolderUsage up to date.
 class SegmentWriter {
  public:
-  // Makes both files with their heads; the folder is not synced yet. Where the hint file can't be had the
-  // segment goes without, and the next start makes it.
-  static std::unique_ptr<SegmentWriter> make(Disk& disk, StoreId store, SegmentNumber number,
-                                             DiskError& error);
-
-  // Encodes a record behind what was added and not written yet; gives where it will stand.
-  RecordLocation add(const Record& record);
-  // Writes what was added. On a fault nothing of it counts, and the file is cut back to before.
-  DiskError write();
+  struct CreateResult {
+    std::unique_ptr<SegmentWriter> segment;  ///< Null with an error.
+    DiskError error;
+  };
+  /// Creates both files with their headers; the directory is not synced yet. Where the hint file can't be
+  /// created the segment goes without, and the next start creates it.
+  static CreateResult create(Disk& disk, FolderUsage& usage, StoreId storeId, SegmentNumber number);
+
+  /// Encodes a record behind those that wait for `flush`; returns where it will stand.
+  RecordLocation append(const Record& record);
+  /// Writes what was appended. On an error all of it is dropped and the file truncated to before.
+  DiskError flush();
   DiskError sync() { return file_->sync(); }
-  // Takes back what was written since the last `settle` (its sync failed).
-  void takeBack();
-  // What was written is believed: its hint entries go into the hint file.
-  void waitUntilIdle();
-  // The last entry of the hint; the segment takes no more. The hint is no loss where this fails.
+  /// A hint to the system to write back what was flushed.
+  void startWriteback() { file_->startWriteback(); }
+  /// Drops what was appended or flushed since the last commit.
+  void rollBack();
+  /// What was flushed counts from now on: its entries go into the hint file.
+  void commit();
+  /// Ends the hint file; the segment takes no more. Nothing is lost where this fails.
   void seal();
 
-  SegmentNumber number() const { return head_.number; }
-  const FileHeader& head() const { return head_; }
-  std::uint64_t bytes() const { return written_; }
-  std::uint64_t committedBytes() const { return settled_; }  // what counts; behind it may stand what failed
-  std::uint64_t hintEntryBytes() const { return hintWritten_; }
-  std::uint64_t weight() const {
-    return written_ + pending_.size() + hintWritten_ + hints_.size() + recordBytes(0, hintLocationBytes);
-  }
-  std::uint64_t records() const { return records_; }
-  SequenceNumber last() const { return last_; }
-  bool broken() const { return broken_; }  // a failed write could not be cut off: nothing more goes in
-  const std::shared_ptr<File>& file() const { return file_; }
+  SegmentNumber number() const { return header_.segment; }
+  /// Of the segment's file.
+  std::uint64_t bytes() const { return writtenBytes_; }
+  /// What counts of the file; behind it may stand what failed.
+  std::uint64_t committedBytes() const { return committedBytes_; }
+  std::uint64_t hintBytes() const { return hintBytes_; }
+  /// Of both files once everything that waits has been written and the segment is sealed.
+  std::uint64_t projectedBytes() const;
+  SequenceNumber lastSequence() const { return lastSequence_; }
+  /// A failed write could not be truncated: nothing more may go in.
+  bool isBroken() const { return isBroken_; }
 
  private:
-  SegmentWriter(StoreId store, SegmentNumber number) : head_{FileKind::segment, store, number} {}
-  void hint(RecordKind kind, const Record& record, const HintLocation& place);
-
-  FileHeader head_;
-  std::shared_ptr<File> file_, hint_;  // hint_ is null where it failed
-  std::string pending_, hints_;        // not written yet
-  std::uint64_t written_ = fileHeaderBytes, settled_ = fileHeaderBytes, hintWritten_ = 0, records_ = 0,
-                addedRecords_ = 0;
-  SequenceNumber last_{};
-  bool broken_ = false;
+  /// Reports the growth of both files during its scope.
+  class UsageUpdate;
+
+  SegmentWriter(FolderUsage& usage, StoreId storeId, SegmentNumber number);
+  void appendHint(RecordKind kind, const Record& record, const HintLocation& location);
+  void truncateToCommitted();
+
+  FolderUsage& usage_;
+  FileHeader header_;
+  std::shared_ptr<File> file_;
+  std::shared_ptr<File> hintFile_;  // null where it failed or the segment is sealed
+  std::string pendingRecords_;      // not flushed yet
+  std::string pendingHints_;        // not committed yet
+  std::uint64_t writtenBytes_ = fileHeaderBytes;
+  std::uint64_t committedBytes_ = fileHeaderBytes;
+  std::uint64_t hintBytes_ = fileHeaderBytes;
+  std::uint64_t committedRecords_ = 0;
+  std::uint64_t pendingRecordCount_ = 0;
+  SequenceNumber lastSequence_{};
+  bool isBroken_ = false;
 };
 
 }  // namespace rainhook::store
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -11,132 +11,137 @@
 namespace rainhook::store {
 namespace {
 
-// So long a store with nothing to do waits before it looks for what has expired.
-constexpr std::chrono::milliseconds idleWait{500};
-// What anything that was taken holds beside its key and value.
-constexpr std::uint64_t queuedOverhead = 256;
+/// How long the writer sleeps with nothing to do, before it looks for what has expired.
+constexpr std::chrono::milliseconds idleInterval{500};
+/// How long `waitUntilIdle` waits for the next completion before it looks again.
+constexpr int pollTimeoutMs = 1000;
+/// What an accepted call occupies besides its key and value.
+constexpr std::uint64_t queueEntryOverhead = 256;
 
 }  // namespace
 
-Store::Store(std::unique_ptr<Disk> disk, const StoreSettings& bounds, Clock clock,
-             LogStructuredStore::LogCallback tell)
+Store::Store(std::unique_ptr<Disk> disk, const StoreSettings& settings, Clock clock, LogCallback log)
     : disk_(std::move(disk)),
-      bounds_(bounds),
+      settings_(settings),
       clock_(std::move(clock)),
-      book_(*disk_, bounds, std::move(tell)),
-      event_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {}
+      store_(*disk_, settings, std::move(log)),
+      eventDescriptor_(::eventfd(0, EFD_NONBLOCK | EFD_CLOEXEC)) {}
 
 Store::~Store() {
   close();
-  ::close(event_);
+  ::close(eventDescriptor_);
 }
 
 StoreStatus Store::open(std::uint64_t seed) {
-  auto outcome = book_.open(seed);
-  if (!outcome.isOk()) return outcome;
-  open_ = true;
-  writer_ = std::thread([this] { run(); });
-  return outcome;
+  auto status = store_.open(seed);
+  if (!status.isOk()) return status;
+  isOpen_ = true;
+  writer_ = std::thread([this] { runWriter(); });
+  return status;
 }
 
-StoreStatus Store::put(std::string key, std::string value, UnixTime expiry, StatusCallback heard) {
-  return take({false, std::move(key), std::move(value), expiry}, std::move(heard));
+StoreStatus Store::put(std::string key, std::string value, UnixTime expiry, StatusCallback onDone) {
+  return enqueueWrite(WriteRequest::put(std::move(key), std::move(value), expiry), std::move(onDone));
 }
 
-StoreStatus Store::erase(std::string key, StatusCallback heard) {
-  return take({true, std::move(key), {}, neverExpires}, std::move(heard));
+StoreStatus Store::erase(std::string key, StatusCallback onDone) {
+  return enqueueWrite(WriteRequest::erase(std::move(key)), std::move(onDone));
 }
 
-StoreStatus Store::charge(std::uint64_t bytes) {
-  if (!open_ || stop_) return {StoreErrorCode::closed, "the store is closed"};
-  if (charged_ + bytes > bounds_.maxQueueBytes) {
-    ++refused_;
-    return {StoreErrorCode::queueFull, fmt::format("{} bytes wait to be written or heard", charged_)};
+StoreStatus Store::reserveQueueBytes(std::uint64_t bytes) {
+  if (!isOpen_ || isStopping_) return {StoreErrorCode::closed, "the store is closed"};
+  if (queueBytes_ + bytes > settings_.maxQueueBytes) {
+    ++rejectedCalls_;
+    return {StoreErrorCode::queueFull, fmt::format("{} bytes wait to be written or heard", queueBytes_)};
   }
-  charged_ += bytes;
-  chargedMost_ = std::max(chargedMost_, charged_);
+  queueBytes_ += bytes;
+  peakQueueBytes_ = std::max(peakQueueBytes_, queueBytes_);
   return {};
 }
 
-StoreStatus Store::take(WriteRequest write, StatusCallback heard) {
-  if (auto refused = validateWrite(write, bounds_); !refused.isOk()) return refused;
-  // Twice: once in the queue, once among what `get` sees.
-  const auto bytes = 2 * (write.key.size() + write.value.size()) + queuedOverhead;
+StoreStatus Store::enqueueWrite(WriteRequest request, StatusCallback onDone) {
+  if (auto status = validateWrite(request, settings_); !status.isOk()) return status;
+  // Twice: in the queue and among what `get` sees.
+  const std::uint64_t bytes = 2 * (request.key.size() + request.value.size()) + queueEntryOverhead;
   const std::lock_guard lock(mutex_);
-  if (auto refused = charge(bytes); !refused.isOk()) return refused;
-  const auto number = ++numbered_;
-  waiting_[write.key] = {number, write.erase, write.value, write.expiry};
-  queue_.push_back({std::move(write), std::move(heard), bytes, number});
-  wake_.notify_one();
+  if (auto status = reserveQueueBytes(bytes); !status.isOk()) return status;
+  const std::uint64_t number = ++lastNumber_;
+  uncommitted_[request.key] = {number, request.kind, request.value, request.expiry};
+  queue_.push_back({std::move(request), std::move(onDone), bytes, number});
+  wakeWriter_.notify_one();
+  return {};
+}
+
+StoreStatus Store::enqueueTask(std::uint64_t queueBytes, std::function<void()> task) {
+  const std::lock_guard lock(mutex_);
+  if (auto status = reserveQueueBytes(queueBytes); !status.isOk()) return status;
+  tasks_.push_back(std::move(task));
+  wakeWriter_.notify_one();
   return {};
 }
 
 ReadResult Store::get(std::string_view key) const {
-  const auto now = clock_();
+  const UnixTime now = clock_();
   {
     const std::lock_guard lock(mutex_);
-    if (const auto at = waiting_.find(std::string(key)); at != waiting_.end()) {
-      if (at->second.erase || at->second.expiry <= now) return {};
-      return {at->second.value, at->second.expiry, {}};
+    if (const auto found = uncommitted_.find(std::string(key)); found != uncommitted_.end()) {
+      const UncommittedValue& latest = found->second;
+      if (latest.kind == WriteKind::erase || latest.expiry <= now) return {};
+      return {latest.value, latest.expiry, {}};
     }
   }
-  return book_.get(key, now);
+  return store_.get(key, now);
 }
 
-StoreStatus Store::order(std::uint64_t bytes, std::function<void()> work) {
-  const std::lock_guard lock(mutex_);
-  if (auto refused = charge(bytes); !refused.isOk()) return refused;
-  orders_.push_back(std::move(work));
-  wake_.notify_one();
-  return {};
+StoreStatus Store::getAsync(std::string key, ReadCallback onDone) {
+  const std::uint64_t bytes = key.size() + settings_.maxValueBytes + queueEntryOverhead;
+  return enqueueTask(bytes, [this, bytes, key = std::move(key), onDone = std::move(onDone)] {
+    postCompletion(bytes, [onDone, result = get(key)] { onDone(result); });
+  });
 }
 
-StoreStatus Store::fetch(std::string key, ReadCallback heard) {
-  const auto bytes = key.size() + bounds_.maxValueBytes + queuedOverhead;
-  return order(bytes, [this, bytes, key = std::move(key), heard = std::move(heard)] {
-    done(bytes, [heard, got = get(key)] { heard(got); });
-  });
+StatusCallback Store::postingCallback(std::uint64_t queueBytes, StatusCallback onDone) {
+  return [this, queueBytes, onDone = std::move(onDone)](StoreStatus status) {
+    postCompletion(queueBytes, [onDone, status = std::move(status)] { onDone(status); });
+  };
 }
 
-StoreStatus Store::snapshot(std::unique_ptr<Disk> into, StatusCallback heard) {
-  // Shared only since std::function wants to copy.
-  auto disk = std::make_shared<std::unique_ptr<Disk>>(std::move(into));
-  return order(queuedOverhead, [this, disk, heard = std::move(heard)] {
-    const auto ended = [this, heard](StoreStatus outcome) {
-      done(queuedOverhead, [heard, outcome = std::move(outcome)] { heard(outcome); });
-    };
-    if (auto outcome = book_.startSnapshot(std::move(*disk), ended); !outcome.isOk())
-      ended(std::move(outcome));
+StoreStatus Store::snapshot(std::unique_ptr<Disk> destination, StatusCallback onDone) {
+  // Shared only because std::function has to be copyable.
+  auto disk = std::make_shared<std::unique_ptr<Disk>>(std::move(destination));
+  return enqueueTask(queueEntryOverhead, [this, disk, onDone = std::move(onDone)] {
+    const StatusCallback onEnded = postingCallback(queueEntryOverhead, onDone);
+    if (auto status = store_.startSnapshot(std::move(*disk), onEnded); !status.isOk())
+      onEnded(std::move(status));
   });
 }
 
-StoreStatus Store::compact(StatusCallback heard) {
-  return order(queuedOverhead, [this, heard = std::move(heard)] {
-    book_.startCompaction([this, heard](StoreStatus outcome) {
-      done(queuedOverhead, [heard, outcome = std::move(outcome)] { heard(outcome); });
-    });
+StoreStatus Store::compact(StatusCallback onDone) {
+  return enqueueTask(queueEntryOverhead, [this, onDone = std::move(onDone)] {
+    store_.startCompaction(postingCallback(queueEntryOverhead, onDone));
   });
 }
 
-void Store::done(std::uint64_t bytes, std::function<void()> call) {
+void Store::postCompletion(std::uint64_t queueBytes, std::function<void()> callback) {
   const std::lock_guard lock(mutex_);
-  called_.push_back({std::move(call), bytes});
-  const std::uint64_t one = 1;
-  [[maybe_unused]] const auto written = ::write(event_, &one, sizeof one);  // it is only full when readable
+  completions_.push_back({std::move(callback), queueBytes});
+  const std::uint64_t increment = 1;
+  // It fails only where the counter is full, and then the descriptor is readable.
+  [[maybe_unused]] const auto written = ::write(eventDescriptor_, &increment, sizeof increment);
 }
 
 void Store::dispatchCompletions() {
   std::uint64_t count = 0;
-  [[maybe_unused]] const auto read = ::read(event_, &count, sizeof count);
-  std::vector<Called> called;
+  [[maybe_unused]] const auto read = ::read(eventDescriptor_, &count, sizeof count);
+  std::vector<Completion> completions;
   {
     const std::lock_guard lock(mutex_);
-    called.swap(called_);
+    completions.swap(completions_);
   }
-  for (const Called& one : called) {
-    one.call();
+  for (const Completion& completion : completions) {
+    completion.callback();
     const std::lock_guard lock(mutex_);
-    charged_ -= one.bytes;
+    queueBytes_ -= completion.queueBytes;
   }
 }
 
@@ -145,78 +150,85 @@
     dispatchCompletions();
     {
       const std::lock_guard lock(mutex_);
-      if (charged_ == 0 || !open_) return;
+      if (queueBytes_ == 0 || !isOpen_) return;
     }
-    pollfd ready{event_, POLLIN, 0};
-    ::poll(&ready, 1, 1000);
+    pollfd readable{eventDescriptor_, POLLIN, 0};
+    ::poll(&readable, 1, pollTimeoutMs);
   }
 }
 
-void Store::run() {
-  bool more = true;
+void Store::runWriter() {
+  bool hasMaintenance = true;
   for (;;) {
-    std::vector<Queued> batch;
-    std::vector<std::function<void()>> orders;
+    std::vector<QueuedWrite> batch;
+    std::vector<std::function<void()>> tasks;
     {
       std::unique_lock lock(mutex_);
-      if (!more)
-        wake_.wait_for(lock, idleWait, [this] { return stop_ || !queue_.empty() || !orders_.empty(); });
-      for (; !queue_.empty() && batch.size() < bounds_.maxCommitWrites; queue_.pop_front())
+      const auto hasWork = [this] { return isStopping_ || !queue_.empty() || !tasks_.empty(); };
+      if (!hasMaintenance) wakeWriter_.wait_for(lock, idleInterval, hasWork);
+      while (!queue_.empty() && batch.size() < settings_.maxCommitWrites) {
         batch.push_back(std::move(queue_.front()));
-      orders.swap(orders_);
-      if (stop_ && batch.empty() && orders.empty()) break;
+        queue_.pop_front();
+      }
+      tasks.swap(tasks_);
+      if (isStopping_ && batch.empty() && tasks.empty()) break;
     }
-    const bool writes = !batch.empty();  // whoever wrote now will soon again
-    if (writes) commit(std::move(batch));
-    for (const auto& work : orders) work();
-    more = book_.runMaintenance(clock_(), writes);
+    const bool hasWrites = !batch.empty();  // whoever wrote now will soon write again
+    if (hasWrites) commit(std::move(batch));
+    for (const auto& task : tasks) task();
+    hasMaintenance = store_.runMaintenance(clock_(), hasWrites);
   }
-  book_.close();
+  store_.close();
 }
 
-void Store::commit(std::vector<Queued> batch) {
+void Store::commit(std::vector<QueuedWrite> batch) {
   std::vector<WriteRequest> writes;
   writes.reserve(batch.size());
-  for (Queued& queued : batch) writes.push_back(std::move(queued.write));
-  auto outcomes = book_.commit(writes, clock_());
+  for (QueuedWrite& queued : batch) writes.push_back(std::move(queued.request));
+  auto statuses = store_.commit(writes, clock_());
   {
     const std::lock_guard lock(mutex_);
     for (std::size_t i = 0; i < batch.size(); ++i) {
-      const auto at = waiting_.find(writes[i].key);
-      if (at != waiting_.end() && at->second.number == batch[i].number) waiting_.erase(at);
+      const auto found = uncommitted_.find(writes[i].key);
+      if (found != uncommitted_.end() && found->second.number == batch[i].number) uncommitted_.erase(found);
     }
   }
   for (std::size_t i = 0; i < batch.size(); ++i)
-    done(batch[i].bytes, [heard = std::move(batch[i].heard), outcome = std::move(outcomes[i])] {
-      if (heard) heard(outcome);
-    });
+    postCompletion(batch[i].queueBytes,
+                   [onDone = std::move(batch[i].onDone), status = std::move(statuses[i])] {
+                     if (onDone) onDone(status);
+                   });
 }
 
-ScanPage Store::scanByKey(std::string_view from, bool beyond, std::size_t most) const {
-  return book_.scanByKey(from, beyond, most, clock_());
+ScanPage Store::scanByKey(std::string_view from, ScanStart start, std::size_t maxRows) const {
+  return store_.scanByKey(from, start, maxRows, clock_());
 }
-ScanPage Store::scanByAge(const std::optional<KeyIndex::AgeCursor>& behind, std::size_t most) const {
-  return book_.scanByAge(behind, most, clock_());
+
+ScanPage Store::scanByAge(const std::optional<KeyIndex::AgeCursor>& cursor, std::size_t maxRows) const {
+  return store_.scanByAge(cursor, maxRows, clock_());
 }
 
 Store::Statistics Store::statistics() const {
-  Statistics out{book_.stats(), 0, 0, 0};
+  Statistics out;
+  out.log = store_.statistics();
   const std::lock_guard lock(mutex_);
-  out.queueBytes = charged_, out.peakQueueBytes = chargedMost_, out.rejectedWrites = refused_;
+  out.queueBytes = queueBytes_;
+  out.peakQueueBytes = peakQueueBytes_;
+  out.rejectedCalls = rejectedCalls_;
   return out;
 }
 
 void Store::close() {
   {
     const std::lock_guard lock(mutex_);
-    if (!open_) return;
-    stop_ = true;
-    wake_.notify_one();
+    if (!isOpen_) return;
+    isStopping_ = true;
+    wakeWriter_.notify_one();
   }
   writer_.join();
   dispatchCompletions();
   const std::lock_guard lock(mutex_);
-  open_ = false;
+  isOpen_ = false;
 }
 
 }  // namespace rainhook::store
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -1,17 +1,14 @@
-// The embedded store: a LogStructuredStore with a thread of its own that does all the writing. Any thread may
-// call; what is put is seen by `get` at once, and its callback comes once it is on the disk. Callbacks run in
-// `deliver`, which the owner calls when `eventFd` is readable, so that a reactor never waits for the disk.
-//
-// Bounds: what was taken counts against queueBytes until its callback has been delivered, a read with the
-// longest value that it may bring; beyond that a call is refused at once. `close` writes all that was taken,
-// then ends the thread.
+/// @file
+/// The embedded store: a LogStructuredStore with a thread of its own that does all the writing.
 #pragma once
 
 #include <condition_variable>
+#include <cstdint>
 #include <deque>
 #include <functional>
 #include <memory>
 #include <mutex>
+#include <optional>
 #include <string>
 #include <string_view>
 #include <thread>
@@ -19,92 +16,120 @@
 #include <vector>
 
 #include "store/disk.h"
+#include "store/key_index.h"
 #include "store/log_structured_store.h"
+#include "store/requests.h"
+#include "store/statistics.h"
 #include "store/store_settings.h"
 
 namespace rainhook::store {
 
+/// Any thread may call, unless said. What is put is seen by `get` at once, and its callback comes once it is
+/// durable. Callbacks run in `dispatchCompletions`, which the owner calls when `eventFd` is readable, so that
+/// a reactor never waits for the disk.
+///
+/// Bounds: what was accepted counts against `maxQueueBytes` until its callback has run, a read with the
+/// longest value that it may bring; beyond that a call is refused at once.
 class Store {
  public:
-  using Clock =
-      std::function<UnixTime()>;  // asked on the writer's thread and on those that call `get` and scans
-  using StatusCallback = std::function<void(StoreStatus)>;
-  using ReadCallback = std::function<void(ReadResult)>;
-
-  // The disk is the store's own; `tell` gets one line for the log, on any of these threads.
-  Store(std::unique_ptr<Disk> disk, const StoreSettings& bounds, Clock clock,
-        LogStructuredStore::LogCallback tell);
+  /// Called on the writer's thread and on those that read.
+  using Clock = std::function<UnixTime()>;
+
+  struct Statistics {
+    StoreStatistics log;  ///< Of the LogStructuredStore.
+    std::uint64_t queueBytes = 0;
+    std::uint64_t peakQueueBytes = 0;
+    std::uint64_t rejectedCalls = 0;  ///< Because the queue was full.
+  };
+
+  /// Owns the disk. `log` receives lines on any of these threads.
+  Store(std::unique_ptr<Disk> disk, const StoreSettings& settings, Clock clock, LogCallback log);
+  /// Closes the store.
   ~Store();
   Store(const Store&) = delete;
   Store& operator=(const Store&) = delete;
 
-  // Recovers; may take seconds, so before the reactor runs. Errors: locked (the other pid named), failed.
+  /// Recovers, which may take seconds, and starts the writer; call once, before anything else. `seed` becomes
+  /// the id of a store that is only now created. Errors: locked, ioError, invalidArgument for an interrupted
+  /// snapshot.
   StoreStatus open(std::uint64_t seed);
 
-  // Taken (done) or refused at once (queueFull, tooLong, closed); `heard` is called only where it was taken.
-  [[nodiscard]] StoreStatus put(std::string key, std::string value, UnixTime expiry, StatusCallback heard);
-  [[nodiscard]] StoreStatus erase(std::string key, StatusCallback heard);
-  // What was put and not refused since, or what is on the disk. May wait for a read from the disk.
+  /// Accepts a write or refuses it at once (queueFull, entryTooLarge, invalidArgument, closed); `onDone` is
+  /// called only where it was accepted.
+  StoreStatus put(std::string key, std::string value, UnixTime expiry, StatusCallback onDone);
+  StoreStatus erase(std::string key, StatusCallback onDone);
+  /// What was put and has not been refused since, or what is on the disk. May wait for a read of the disk.
   ReadResult get(std::string_view key) const;
-  // The same without waiting: the writer reads between two commits.
-  [[nodiscard]] StoreStatus fetch(std::string key, ReadCallback heard);
-  // What is on the disk, in pages.
-  ScanPage scanByKey(std::string_view from, bool beyond, std::size_t most) const;
-  ScanPage scanByAge(const std::optional<KeyIndex::AgeCursor>& behind, std::size_t most) const;
-  struct Statistics {
-    StoreStatistics book;
-    std::uint64_t queueBytes = 0, peakQueueBytes = 0, rejectedWrites = 0;
-  };
+  /// The same without waiting: the writer reads between two commits.
+  StoreStatus getAsync(std::string key, ReadCallback onDone);
+
+  /// What is on the disk, a page at a time.
+  ScanPage scanByKey(std::string_view from, ScanStart start, std::size_t maxRows) const;
+  /// The oldest entries first, beginning after the cursor.
+  ScanPage scanByAge(const std::optional<KeyIndex::AgeCursor>& cursor, std::size_t maxRows) const;
   Statistics statistics() const;
-  // Copies the store into an empty folder while writes go on.
-  [[nodiscard]] StoreStatus snapshot(std::unique_ptr<Disk> into, StatusCallback heard);
-  // Compacts all that holds anything dead.
-  [[nodiscard]] StoreStatus compact(StatusCallback heard);
+  StoreId id() const { return store_.id(); }
+
+  /// Copies the store into an empty folder while writes go on.
+  StoreStatus snapshot(std::unique_ptr<Disk> destination, StatusCallback onDone);
+  /// Writes every segment anew that holds anything dead.
+  StoreStatus compact(StatusCallback onDone);
 
-  int eventFd() const { return event_; }
+  /// Readable while callbacks wait to be run.
+  int eventFd() const { return eventDescriptor_; }
+  /// Runs the callbacks of what has completed, on this thread.
   void dispatchCompletions();
-  // Delivers until nothing that was taken is under way; for commands and tests.
+  /// Dispatches until nothing that was accepted is pending; for commands and tests.
   void waitUntilIdle();
+  /// Writes all that was accepted, then ends the writer and runs the last callbacks.
   void close();
-  StoreId id() const { return book_.id(); }
 
  private:
-  struct Queued {
-    WriteRequest write;
-    StatusCallback heard;
-    std::uint64_t bytes = 0, number = 0;
+  struct QueuedWrite {
+    WriteRequest request;
+    StatusCallback onDone;
+    std::uint64_t queueBytes = 0;
+    std::uint64_t number = 0;
   };
-  struct Waiting {
+  /// The latest write of a key that is not committed yet.
+  struct UncommittedValue {
     std::uint64_t number = 0;
-    bool erase = false;
+    WriteKind kind = WriteKind::put;
     std::string value;
     UnixTime expiry = neverExpires;
   };
-  struct Called {
-    std::function<void()> call;
-    std::uint64_t bytes = 0;  // free once it has been delivered
+  struct Completion {
+    std::function<void()> callback;
+    std::uint64_t queueBytes = 0;  // released once it has run
   };
-  StoreStatus take(WriteRequest write, StatusCallback heard);
-  StoreStatus order(std::uint64_t bytes, std::function<void()> work);
-  StoreStatus charge(std::uint64_t bytes);  // with the lock held
-  void run();
-  void commit(std::vector<Queued> batch);
-  void done(std::uint64_t bytes, std::function<void()> call);
+
+  StoreStatus enqueueWrite(WriteRequest request, StatusCallback onDone);
+  StoreStatus enqueueTask(std::uint64_t queueBytes, std::function<void()> task);
+  StoreStatus reserveQueueBytes(std::uint64_t bytes);  // the caller holds the mutex
+  void runWriter();
+  void commit(std::vector<QueuedWrite> batch);
+  void postCompletion(std::uint64_t queueBytes, std::function<void()> callback);
+  /// A callback for an operation that ends later, on the writer's thread.
+  StatusCallback postingCallback(std::uint64_t queueBytes, StatusCallback onDone);
 
   const std::unique_ptr<Disk> disk_;
-  const StoreSettings bounds_;
+  const StoreSettings settings_;
   const Clock clock_;
-  LogStructuredStore book_;
-  const int event_;
-
-  mutable std::mutex mutex_;  // over all below
-  std::condition_variable wake_;
-  std::deque<Queued> queue_;                          // this and what follows: queueBytes at most
-  std::unordered_map<std::string, Waiting> waiting_;  // the latest write of a key until it is committed
-  std::vector<std::function<void()>> orders_;         // fetches, snapshots, compactions
-  std::vector<Called> called_;                        // until `deliver`
-  std::uint64_t charged_ = 0, chargedMost_ = 0, refused_ = 0, numbered_ = 0;
-  bool open_ = false, stop_ = false;
+  LogStructuredStore store_;
+  const int eventDescriptor_;
+
+  mutable std::mutex mutex_;  // over what follows
+  std::condition_variable wakeWriter_;
+  std::deque<QueuedWrite> queue_;
+  std::unordered_map<std::string, UncommittedValue> uncommitted_;
+  std::vector<std::function<void()>> tasks_;  // reads, snapshots, compactions for the writer
+  std::vector<Completion> completions_;       // until they are dispatched
+  std::uint64_t queueBytes_ = 0;
+  std::uint64_t peakQueueBytes_ = 0;
+  std::uint64_t rejectedCalls_ = 0;
+  std::uint64_t lastNumber_ = 0;
+  bool isOpen_ = false;
+  bool isStopping_ = false;
   std::thread writer_;
 };
 
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -18,7 +18,7 @@
 #include "server/incarnation_store.h"
 #include "store/posix_disk.h"
 #include "store/store.h"
-#include "store/verify.h"
+#include "store/verifier.h"
 
 namespace rainhook {
 namespace {
@@ -133,7 +133,7 @@
 ExpectedEntries servedEntries(const store::Store& opened) {
   constexpr std::size_t allRows = 1000;
   ExpectedEntries out;
-  const auto page = opened.scanByKey("", false, allRows);
+  const auto page = opened.scanByKey("", store::ScanStart::atKey, allRows);
   EXPECT_FALSE(page.hasMore);
   for (const auto& row : page.rows) {
     const auto read = opened.get(row.key);
@@ -168,7 +168,7 @@
 TEST_P(StoreCompatibility, EveryKeyValueAndExpiryIsRead) {
   const auto opened = openedStore(copy_.folder());
   EXPECT_EQ(servedEntries(*opened), GetParam().entries());
-  const auto statistics = opened->statistics().book;
+  const auto statistics = opened->statistics().log;
   EXPECT_EQ(
       statistics.lostFiles + statistics.lostRecords + statistics.tornBytes + statistics.quarantinedFiles, 0u);
 }
--- a/tests/fuzz/store_fuzz.h
+++ b/tests/fuzz/store_fuzz.h
@@ -1,5 +1,5 @@
-// What the fuzzer and the tests feed to the store's readers: whatever the bytes, a start succeeds, nothing is
-// read beyond its end, and what is read back is what was written.
+/// @file
+/// What the fuzzer and the tests feed to the store's readers.
 #pragma once
 
 #include <cstddef>
@@ -7,6 +7,8 @@
 
 namespace rainhook::store {
 
+/// Aborts unless a start on these bytes succeeds, nothing is read beyond its end, and what is written is read
+/// back.
 void fuzzStore(const std::uint8_t* data, std::size_t size);
 
 }  // namespace rainhook::store
