--- a/tests/store_command_test.cpp
+++ b/tests/store_command_test.cpp
@@ -1,5 +1,6 @@
-// The store's commands as a person or a script meets them, in processes of their own that may be killed; and
-// the fuzzer's corpus.
+/// @file
+/// The store's commands as a person or a script uses them, in processes of their own that may be killed; and
+/// the fuzzer's corpus.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -16,8 +17,9 @@
 #include <thread>
 
 #include "fuzz/store_fuzz.h"
+#include "store/file_names.h"
 #include "store/posix_disk.h"
-#include "store_world.h"
+#include "store_operation_history.h"
 
 namespace rainhook::store {
 namespace {
@@ -69,7 +71,7 @@
   std::string folder_, dir_;
 };
 
-TEST_F(StoreCommands, ValuesGoThroughUnchangedAndAbsentOnesEndWithOne) {
+TEST_F(StoreCommands, PutAndGetKeepEveryByteAndAnAbsentKeyHasStatusOne) {
   const std::string value("a\0b\n\xff\r\n", 7);
   EXPECT_EQ(run({"put", "k", "--dir", dir_}, value).status, 0);
   const auto got = run({"get", "k", "--dir", dir_});
@@ -90,9 +92,9 @@
   EXPECT_EQ(run({"put", "k", "--dir", dir_, "--for", "0"}).status, 2);
 }
 
-TEST_F(StoreCommands, ADumpLoadsIntoTheSameStore) {
+TEST_F(StoreCommands, ADumpLoadsIntoAnEqualStore) {
   std::string lines;
-  for (std::uint64_t i = 0; i < 300; ++i) lines += named("k", i % 200) + "\t" + named("v", i) + "\n";
+  for (std::uint64_t i = 0; i < 300; ++i) lines += numbered("k", i % 200) + "\t" + numbered("v", i) + "\n";
   EXPECT_EQ(run({"put", "--lines", "--dir", dir_}, lines).status, 0);
   const auto listed = run({"list", "--dir", dir_}).out;
   EXPECT_EQ(std::count(listed.begin(), listed.end(), '\n'), 200);
@@ -108,7 +110,7 @@
   EXPECT_EQ(run({"dump", "--dir", dir_}).out, dumped);
 }
 
-TEST_F(StoreCommands, VerifyListsDamageAndEndsWithThree) {
+TEST_F(StoreCommands, VerifyListsDamageAndHasStatusThree) {
   EXPECT_EQ(run({"put", "--lines", "--dir", dir_}, "a\tone\nb\ttwo\n").status, 0);
   EXPECT_EQ(run({"verify", "--dir", dir_}).status, 0);
   const auto segment = dir_ + "/" + segmentFileName(SegmentNumber{1});
@@ -122,7 +124,7 @@
   EXPECT_EQ(run({"get", "b", "--dir", dir_}).out, "two");
 }
 
-TEST_F(StoreCommands, ALockedStoreNamesItsHolder) {
+TEST_F(StoreCommands, ALockedStoreIsRefusedWithTheHoldersPid) {
   PosixDisk disk(dir_);
   ASSERT_FALSE(disk.lock(lockFileName).error);
   const auto refused = run({"get", "k", "--dir", dir_});
@@ -134,23 +136,24 @@
 
 // Killed at any moment: what it had printed as durable is there, with the value of its last printed write or
 // of a later one that was under way.
-TEST_F(StoreCommands, KilledWhileWritingItHoldsWhatItPrinted) {
+TEST_F(StoreCommands, HoldWhatTheyPrintedWhenKilledDuringWrites) {
   constexpr std::uint64_t keys = 400, lines = 100000;
   const auto out = folder_ + "/printed";
-  const auto settings =
-      file("bounds.yaml",
+  const auto options =
+      file("options.yaml",
            "store:\n  folder: x\n  disk_bytes: 2 MB\n  segment_bytes: 32 kB\n  longest_value: 2 kB\n");
-  StoreSettings bounds;
-  bounds.maxDiskBytes = 2 << 20, bounds.maxSegmentBytes = 32 << 10, bounds.maxValueBytes = 2 << 10;
+  StoreSettings settings;
+  settings.maxDiskBytes = 2 << 20;
+  settings.maxSegmentBytes = 32 << 10;
+  settings.maxValueBytes = 2 << 10;
   const auto written = [](std::uint64_t round, std::uint64_t i) { return round * lines + i; };
   std::map<std::string, std::uint64_t> least;  // the last write of each key that was printed
   std::uint64_t killed = 0;
   for (std::uint64_t round = 0; round < 12; ++round) {
     std::string all;
     for (std::uint64_t i = 0; i < lines; ++i)
-      all += named("k", i % keys) + "\t" + std::to_string(written(round, i)) + "\n";
-    const pid_t pid =
-        start({"put", "--lines", "--dir", dir_, "--options", settings}, file("lines", all), out);
+      all += numbered("k", i % keys) + "\t" + std::to_string(written(round, i)) + "\n";
+    const pid_t pid = start({"put", "--lines", "--dir", dir_, "--options", options}, file("lines", all), out);
     std::this_thread::sleep_for(std::chrono::milliseconds(15 + 17 * round));
     ::kill(pid, SIGKILL);
     int status = 0;
@@ -162,26 +165,26 @@
     for (const auto& [key, count] : times)
       least[key] = written(round, (count - 1) * keys + std::stoull(key.substr(1)));
     PosixDisk disk(dir_);
-    LogStructuredStore book(disk, bounds, {});
+    LogStructuredStore opened(disk, settings, {});
     const UnixTime now{std::chrono::milliseconds(1)};
-    ASSERT_TRUE(book.open(1).isOk());
-    EXPECT_EQ(book.stats().lostRecords, 0u);
+    ASSERT_TRUE(opened.open(1).isOk());
+    EXPECT_EQ(opened.statistics().lostRecords, 0u);
     for (const auto& [key, number] : least) {
-      const auto got = book.get(key, now);
-      ASSERT_TRUE(got.value) << key << " was printed by round " << round;
-      EXPECT_GE(std::stoull(*got.value), number) << key << ": something older is served";
-      EXPECT_EQ(std::stoull(*got.value) % keys, number % keys) << key << ": the value of another key";
+      const auto read = opened.get(key, now);
+      ASSERT_TRUE(read.value) << key << " was printed by round " << round;
+      EXPECT_GE(std::stoull(*read.value), number) << key << ": something older is served";
+      EXPECT_EQ(std::stoull(*read.value) % keys, number % keys) << key << ": the value of another key";
     }
     std::uint64_t folder = 0;
     for (const auto& entry : std::filesystem::directory_iterator(dir_)) folder += entry.file_size();
-    EXPECT_LE(folder, bounds.maxDiskBytes);
-    book.close();
+    EXPECT_LE(folder, settings.maxDiskBytes);
+    opened.close();
   }
   EXPECT_FALSE(least.empty());
   EXPECT_GT(killed, 8u) << "it was through before it could be killed";
 }
 
-TEST(StoreFuzz, TheCorpusHarmsNothing) {
+TEST(StoreFuzz, RecoversFromTheCorpus) {
   std::set<std::filesystem::path> files;
   for (const auto& entry : std::filesystem::directory_iterator(RAINHOOK_CORPUS)) files.insert(entry.path());
   ASSERT_GE(files.size(), 5u);
@@ -192,7 +195,7 @@
   }
 }
 
-RC_GTEST_PROP(StoreFuzz, NorDoAnyBytes, (const std::vector<std::uint8_t>& bytes)) {
+RC_GTEST_PROP(StoreFuzz, RecoversFromAnyBytes, (const std::vector<std::uint8_t>& bytes)) {
   fuzzStore(bytes.data(), bytes.size());
 }
 
--- /dev/null
+++ b/tests/store_key_index_test.cpp
@@ -0,0 +1,72 @@
+/// @file
+/// KeyIndex: which record of a key is current, and how long a deletion is remembered.
+#include <gtest/gtest.h>
+#include <rapidcheck/gtest.h>
+
+#include <tuple>
+#include <vector>
+
+#include "store/key_index.h"
+#include "store_operation_history.h"
+
+namespace rainhook::store {
+namespace {
+
+TEST(StoreKeyIndex, RemembersADeletedKeyWhileAnOlderRecordStands) {
+  KeyIndex index;
+  index.addRecord("k", RecordKind::put, SequenceNumber{1}, neverExpires, {SegmentNumber{1}, 40, 60});
+  index.addRecord("k", RecordKind::erase, SequenceNumber{2}, neverExpires, {SegmentNumber{2}, 40, 50});
+  EXPECT_EQ(index.liveBytesIn(SegmentNumber{1}), 0u);
+  EXPECT_GT(index.liveBytesIn(SegmentNumber{2}), 0u) << "its erasure has to be copied while the put stands";
+  index.removeRecord("k", SequenceNumber{1});
+  EXPECT_EQ(index.liveBytesIn(SegmentNumber{2}), 0u);
+  ASSERT_NE(index.find("k"), nullptr);
+  index.removeRecord("k", SequenceNumber{2});
+  EXPECT_EQ(index.find("k"), nullptr);
+  EXPECT_EQ(index.memoryBytes(), 0u);
+}
+
+TEST(StoreKeyIndex, OrdersALostRecordByItsOwnAge) {
+  KeyIndex index;
+  index.addRecord("a", RecordKind::put, SequenceNumber{1}, neverExpires, {SegmentNumber{1}, 40, 60});
+  index.addRecord("b", RecordKind::put, SequenceNumber{2}, neverExpires, {SegmentNumber{1}, 100, 60});
+  EXPECT_TRUE(index.markLost("a", SequenceNumber{5}, SegmentNumber{2}));
+  index.sortByAge();
+  EXPECT_EQ(index.raiseFloor(SequenceNumber{3}), 1u) << "what is behind it ages out all the same";
+  EXPECT_EQ(index.find("b"), nullptr);
+  ASSERT_NE(index.find("a"), nullptr);
+  EXPECT_EQ(index.find("a")->state, EntryState::lost);
+}
+
+RC_GTEST_PROP(StoreKeyIndex, DoesNotDependOnTheOrderOfRecords, (std::uint32_t seed)) {
+  struct Row {
+    std::string key;
+    RecordKind kind;
+    SequenceNumber sequence;
+    RecordLocation location;
+  };
+  RandomSource random(seed);
+  std::vector<Row> rows;
+  for (std::uint32_t i = 0; i < 30; ++i)
+    rows.push_back({numbered("k", randomBelow(random, 4)),
+                    randomBelow(random, 3) == 0 ? RecordKind::erase : RecordKind::put,
+                    SequenceNumber{i + 1},
+                    {SegmentNumber{randomBelow(random, 5) + 1}, i * 100 + 40, 80}});
+  const auto read = [](const std::vector<Row>& allRows) {
+    KeyIndex out;
+    for (const Row& row : allRows) out.addRecord(row.key, row.kind, row.sequence, neverExpires, row.location);
+    out.sortByAge();
+    std::vector<std::tuple<std::string, SequenceNumber, SegmentNumber>> live;
+    out.scanByAge(std::nullopt, [&](const IndexEntry& entry) {
+      return live.emplace_back(entry.key, entry.sequence, entry.location.segment), true;
+    });
+    return std::tuple(live, out.memoryBytes(), out.liveBytes());
+  };
+  auto shuffled = rows;
+  for (std::size_t i = shuffled.size(); i > 1; --i)
+    std::swap(shuffled[i - 1], shuffled[randomBelow(random, static_cast<std::uint32_t>(i))]);
+  RC_ASSERT(read(rows) == read(shuffled));
+}
+
+}  // namespace
+}  // namespace rainhook::store
--- /dev/null
+++ b/tests/store_limits_test.cpp
@@ -0,0 +1,96 @@
+/// @file
+/// The limits on the folder and the index: what is compacted, and what ages out.
+#include <gtest/gtest.h>
+
+#include <map>
+#include <string>
+
+#include "store_operation_history.h"
+
+namespace rainhook::store {
+namespace {
+
+// The folder stays under its bound at each moment; what lives beyond it ages out, the oldest first.
+TEST(StoreLimits, TheFolderNeverExceedsItsLimitAndTheOldestEntriesAgeOut) {
+  SimulatedDisk disk;
+  auto settings = smallSettings();
+  settings.maxDiskBytes = 24 << 10;
+  OperationHistory history(disk, 1, settings);
+  ASSERT_TRUE(history.open());
+  RandomSource random(3);
+  for (int i = 0; i < 1500; ++i) {
+    std::string value;
+    for (int c = 0; c < 60; ++c) value += static_cast<char>('a' + randomBelow(random, 26));
+    const std::vector<WriteRequest> writes{
+        WriteRequest::put(numbered("n", static_cast<std::uint64_t>(i)), value)};
+    ASSERT_TRUE(history.store().commit(writes, history.now).front().isOk()) << i;
+    ASSERT_LE(disk.peakBytes, settings.maxDiskBytes) << i;
+    if (i % 7 == 0) history.store().runMaintenance(history.now);
+    if (i % 100 == 99) {
+      ASSERT_TRUE(history.open()) << i;
+    }
+  }
+  EXPECT_GT(history.store().statistics().entries, 20u);
+  const auto oldest = history.store().scanByAge(std::nullopt, 1, history.now).rows.front().key;
+  EXPECT_TRUE(history.store().get("n1499", history.now).value);
+  const int first = std::stoi(oldest.substr(1));
+  for (int i = first; i < 1500; ++i)
+    EXPECT_TRUE(history.store().get(numbered("n", static_cast<std::uint64_t>(i)), history.now).value)
+        << i << " went before its time";
+}
+
+// Nobody tidies between the commits, so the folder fills to its line; half of it lives, and none of that may
+// go.
+TEST(StoreLimits, AFullFolderCanStillCompactWithoutAgeingOut) {
+  SimulatedDisk disk;
+  auto settings = smallSettings();
+  settings.maxDiskBytes = 24 << 10;
+  OperationHistory history(disk, 1, settings);
+  ASSERT_TRUE(history.open());
+  RandomSource random(8);
+  std::map<std::string, std::string> latest;
+  for (std::uint64_t i = 0; i < 3000; ++i) {
+    const auto key = numbered("n", randomBelow(random, 40));
+    const auto value = std::to_string(i) + std::string(40, 'v');
+    ASSERT_TRUE(history.store()
+                    .commit(std::vector<WriteRequest>{WriteRequest::put(key, value)}, history.now)
+                    .front()
+                    .isOk());
+    latest[key] = value;
+    ASSERT_LE(disk.peakBytes, settings.maxDiskBytes);
+  }
+  EXPECT_EQ(history.store().statistics().agedOutEntries, 0u);
+  for (const auto& [key, value] : latest) EXPECT_EQ(history.store().get(key, history.now).value, value);
+}
+
+TEST(StoreLimits, TheIndexStaysBelowItsLimit) {
+  SimulatedDisk disk;
+  auto settings = smallSettings();
+  settings.maxDiskBytes = 256 << 10, settings.maxIndexBytes = 20'000;
+  OperationHistory history(disk, 1, settings);
+  ASSERT_TRUE(history.open());
+  for (int i = 0; i < 400; ++i) {
+    history.commit({WriteRequest::put(numbered("n", static_cast<std::uint64_t>(i)), "v")});
+    history.store().runMaintenance(history.now);
+    EXPECT_LE(history.store().statistics().indexBytes, settings.maxIndexBytes + 2000);
+  }
+  EXPECT_GT(history.store().statistics().agedOutEntries, 0u);
+  EXPECT_EQ(history.store().get("n399", history.now).value, "v");
+}
+
+TEST(StoreLimits, AnErasedStoreReturnsItsRoom) {
+  SimulatedDisk disk;
+  OperationHistory history(disk, 1);
+  ASSERT_TRUE(history.open());
+  for (int i = 0; i < 100; ++i)
+    history.commit({WriteRequest::put(numbered("n", static_cast<std::uint64_t>(i)), std::string(40, 'x'))});
+  for (int i = 0; i < 100; ++i)
+    history.commit({WriteRequest::erase(numbered("n", static_cast<std::uint64_t>(i)))});
+  history.compactAll();
+  history.compactAll();
+  EXPECT_LT(disk.usedBytes(), 1000u);
+  EXPECT_EQ(history.store().statistics().indexBytes, 0u) << "nothing on disk could bring them back";
+}
+
+}  // namespace
+}  // namespace rainhook::store
