--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -214,8 +214,8 @@
     place.advertise = {"127.0.0.111:7141"};
     place.state = copy_.folder();
     net::Reactor reactor;
-    net::Log log;
-    server::Kept incarnations(reactor, log, place);
+    logging::Log log;
+    server::IncarnationStore incarnations(reactor, log, place);
     return incarnations.open();
   }
 
