--- a/src/server/incarnation_store.cpp
+++ b/src/server/incarnation_store.cpp
@@ -3,6 +3,7 @@
 #include <algorithm>
 #include <charconv>
 #include <map>
+#include <optional>
 #include <random>
 #include <sstream>
 
@@ -15,25 +16,40 @@
 
 namespace {
 
-constexpr std::uint64_t step = 1024;  // of the ceiling; as many words on ourselves need no write
-constexpr int keepEach = 10;          // periods between two writings of whom we know
-constexpr store::StoreSettings small{.maxDiskBytes = 1 << 20,
-                                     .maxIndexBytes = 64 << 10,
-                                     .maxQueueBytes = 64 << 10,
-                                     .maxSegmentBytes = 64 << 10,
-                                     .maxKeyBytes = 256,
-                                     .maxValueBytes = 8 << 10,
-                                     .maxOpenFiles = 4};
-
-store::UnixTime wall() {
+/// Incarnations that are reserved by one write.
+constexpr std::uint64_t reservationStep = 1024;
+/// Probe intervals between two writes of the known members.
+constexpr int knownMembersInterval = 10;
+constexpr std::chrono::nanoseconds minUpdateInterval = 1s;
+
+/// The store's keys are one of these, a slash and the member's name.
+constexpr const char* incarnationKey = "incarnation";
+constexpr const char* knownMembersKey = "known";
+
+/// The events of the log.
+constexpr const char* restoredEvent = "state-restored";
+constexpr const char* unavailableEvent = "state-unavailable";
+constexpr const char* recoveredEvent = "state-recovered";
+
+constexpr store::StoreSettings stateSettings{.maxDiskBytes = 1 << 20,
+                                             .maxIndexBytes = 64 << 10,
+                                             .maxQueueBytes = 64 << 10,
+                                             .maxSegmentBytes = 64 << 10,
+                                             .maxKeyBytes = 256,
+                                             .maxValueBytes = 8 << 10,
+                                             .maxOpenFiles = 4};
+
+store::UnixTime systemTime() {
   return std::chrono::floor<std::chrono::milliseconds>(std::chrono::system_clock::now());
 }
 
-std::optional<std::uint64_t> number(const std::string& text) {
+/// Nothing where this is no number, or too high to reserve beyond it.
+std::optional<std::uint64_t> parseIncarnation(const std::string& text) {
+  constexpr std::uint64_t maxIncarnation = ~std::uint64_t{0} - 2 * reservationStep;
   std::uint64_t out = 0;
-  const auto [end, fault] = std::from_chars(text.data(), text.data() + text.size(), out);
-  if (fault != std::errc{} || end != text.data() + text.size() || out > ~std::uint64_t{0} - 2 * step)
-    return {};
+  const char* textEnd = text.data() + text.size();
+  const auto [end, error] = std::from_chars(text.data(), textEnd, out);
+  if (error != std::errc{} || end != textEnd || out > maxIncarnation) return std::nullopt;
   return out;
 }
 
@@ -44,102 +60,139 @@
     : reactor_(reactor), log_(log), place_(place) {}
 
 IncarnationStore::~IncarnationStore() {
-  next_.cancel();
+  updateTimer_.cancel();
   if (store_) store_->close();
 }
 
-std::string IncarnationStore::key(const char* what) const {
-  return std::string(what) + "/" + place_.name.text;
+std::string IncarnationStore::storeKey(const char* prefix) const {
+  return std::string(prefix) + "/" + place_.name.text;
 }
 
-void IncarnationStore::say(const char* what, const std::string& why) {
-  log_.event(logging::LogCategory::membership, what, {{"about", place_.name.text}, {"why", why}});
+void IncarnationStore::logEvent(const char* event, const std::string& reason) {
+  log_.event(logging::LogCategory::membership, event, {{"about", place_.name.text}, {"why", reason}});
 }
 
 membership::Earlier IncarnationStore::open() {
   membership::Earlier out;
-  if (place_.state.empty()) return out;
+  if (place_.state.empty() || !openStore()) return out;
+  const std::uint64_t reservedBefore = readReservedIncarnation();
+  out.from = Incarnation{reservedBefore + 1};
+  out.known = readKnownMembers();
+  reserveUpTo(reservedBefore + reservationStep);
+  store_->waitUntilIdle();
+  if (!hasFailed_) out.ceiling = Incarnation{reservedIncarnation_};
+  logEvent(restoredEvent, "from " + std::to_string(reservedBefore + 1) + ", " +
+                              std::to_string(out.known.size()) + " known from earlier");
+  return out;
+}
+
+/// False where the folder can't be used. Throws StateLockedError.
+bool IncarnationStore::openStore() {
   store_ = std::make_unique<store::Store>(
-      std::make_unique<store::PosixDisk>(place_.state), small, wall,
+      std::make_unique<store::PosixDisk>(place_.state), stateSettings, systemTime,
       [this](const std::string& line) { log_.message(logging::LogCategory::start, "state: {}", line); });
-  const auto opened = store_->open(std::random_device{}());
-  if (opened.code == store::StoreErrorCode::locked)
-    throw StateLockedError(place_.state + ": " + opened.message);
-  if (!opened.isOk()) {
-    say("not-kept", opened.message);
-    store_.reset();
-    return out;
-  }
-  const auto said = store_->get(key("incarnation"));
-  const auto before = said.value ? number(*said.value) : std::optional<std::uint64_t>(0);
-  if (!before || !said.status.isOk())
-    say("not-kept", "what was said earlier can't be read: " + said.status.message);
-  out.from = Incarnation{before.value_or(0) + 1};
-  if (const auto known = store_->get(key("known")); known.value) {
-    std::istringstream lines(*known.value);
-    for (std::string name, address;
-         out.known.size() < membership::Earlier::mostKnown && lines >> name >> address;)
-      if (membershipTransport::literal(address) && address != place_.advertise.text)
-        out.known.push_back({{name}, {address}});
-  }
-  keepCeiling(before.value_or(0) + step);
-  store_->waitUntilIdle();
-  if (!failed_) out.ceiling = Incarnation{ceiling_};
-  say("kept", "from " + std::to_string(before.value_or(0) + 1) + ", " + std::to_string(out.known.size()) +
-                  " known from earlier");
+  const auto status = store_->open(std::random_device{}());
+  if (status.code == store::StoreErrorCode::locked)
+    throw StateLockedError(place_.state + ": " + status.message);
+  if (status.isOk()) return true;
+  logEvent(unavailableEvent, status.message);
+  store_.reset();
+  return false;
+}
+
+/// The highest incarnation that earlier processes reserved; 0 where none is known.
+std::uint64_t IncarnationStore::readReservedIncarnation() {
+  const auto stored = store_->get(storeKey(incarnationKey));
+  const auto reserved = stored.value ? parseIncarnation(*stored.value) : std::optional<std::uint64_t>(0);
+  if (!reserved || !stored.status.isOk())
+    logEvent(unavailableEvent, "the reserved incarnation can't be read: " + stored.status.message);
+  return reserved.value_or(0);
+}
+
+IncarnationStore::KnownMembers IncarnationStore::readKnownMembers() const {
+  KnownMembers out;
+  const auto stored = store_->get(storeKey(knownMembersKey));
+  if (!stored.value) return out;
+  std::istringstream lines(*stored.value);
+  std::string name;
+  std::string address;
+  while (out.size() < membership::Earlier::mostKnown && lines >> name >> address)
+    if (membershipTransport::literal(address) && address != place_.advertise.text)
+      out.push_back({{name}, {address}});
   return out;
 }
 
-void IncarnationStore::keepCeiling(std::uint64_t ceiling) {
-  writing_ = true;
-  const auto done = [this, ceiling](const store::StoreStatus& outcome) {
-    writing_ = false;
-    if (outcome.isOk() == failed_)
-      say(failed_ ? "kept-again" : "not-kept", outcome.message);  // once each way
-    failed_ = !outcome.isOk();
-    if (failed_) return;
-    ceiling_ = ceiling;
-    if (members_) members_->mayGoTo(Incarnation{ceiling});
+void IncarnationStore::reserveUpTo(std::uint64_t incarnation) {
+  isReserving_ = true;
+  const auto onWritten = [this, incarnation](const store::StoreStatus& status) {
+    onReservationWritten(incarnation, status);
   };
-  const auto taken = store_->put(key("incarnation"), std::to_string(ceiling), store::neverExpires, done);
-  if (!taken.isOk()) done(taken);
+  const auto accepted =
+      store_->put(storeKey(incarnationKey), std::to_string(incarnation), store::neverExpires, onWritten);
+  if (!accepted.isOk()) onWritten(accepted);
+}
+
+void IncarnationStore::onReservationWritten(std::uint64_t incarnation, const store::StoreStatus& status) {
+  isReserving_ = false;
+  const bool hadFailed = std::exchange(hasFailed_, !status.isOk());
+  // Logged where it changes, not at each attempt.
+  if (hadFailed != hasFailed_) logEvent(hadFailed ? recoveredEvent : unavailableEvent, status.message);
+  if (hasFailed_) return;
+  reservedIncarnation_ = incarnation;
+  if (members_) members_->mayGoTo(Incarnation{incarnation});
 }
 
 void IncarnationStore::follow(membershipTransport::MembershipTransport& members) {
   members_ = &members;
-  if (store_) look();
+  if (store_) update();
 }
 
-void IncarnationStore::look() {
-  next_ = reactor_.after(std::max<net::Reactor::Wait>(place_.probeEvery, 1s), [this] { look(); });
+void IncarnationStore::update() {
+  const auto interval = std::max<net::Reactor::Wait>(place_.probeEvery, minUpdateInterval);
+  updateTimer_ = reactor_.after(interval, [this] { update(); });
   store_->dispatchCompletions();
-  // What others know of us may be far beyond, where the disk has lost what we said earlier.
-  const auto said = static_cast<std::uint64_t>(members_->core().wanted());
-  if (!writing_ && said + step / 2 > ceiling_) keepCeiling(std::max(ceiling_, said) + step);
-  keepKnown();
+  // What others know of this member may be far beyond, where the disk has lost an earlier reservation.
+  const auto required = static_cast<std::uint64_t>(members_->core().wanted());
+  const bool isNearlyUsedUp = required + reservationStep / 2 > reservedIncarnation_;
+  if (!isReserving_ && isNearlyUsedUp)
+    reserveUpTo(std::max(reservedIncarnation_, required) + reservationStep);
+  writeKnownMembers();
 }
 
-// Some that live, of as many zones as there are.
-void IncarnationStore::keepKnown() {
+void IncarnationStore::writeKnownMembers() {
   const auto now = net::Reactor::Clock::now().time_since_epoch();
-  if (knownAt_ != membership::Span{} && now - knownAt_ < place_.probeEvery * keepEach) return;
-  std::map<membership::ZoneName, std::vector<const membership::Card*>> zones;
+  const bool hasWritten = knownMembersWrittenAt_ != std::chrono::nanoseconds{};
+  if (hasWritten && now - knownMembersWrittenAt_ < place_.probeEvery * knownMembersInterval) return;
+  const std::string text = describeKnownMembers();
+  // A member that is alone keeps those it knew.
+  if (text.empty() || text == writtenKnownMembers_) return;
+  // Where this fails on the disk it waits for the next change; nothing depends on it.
+  const auto accepted =
+      store_->put(storeKey(knownMembersKey), text, store::neverExpires, [](const store::StoreStatus&) {});
+  if (!accepted.isOk()) return;
+  writtenKnownMembers_ = text;
+  knownMembersWrittenAt_ = now;
+}
+
+/// A line "NAME ADDRESS" for some members that are alive, of as many zones as possible.
+std::string IncarnationStore::describeKnownMembers() const {
+  std::map<membership::ZoneName, std::vector<const membership::Card*>> byZone;
   for (const auto& [name, member] : members_->core().members())
-    if (member.state == membership::State::alive) zones[member.card.zone].push_back(&member.card);
-  std::string text;
-  std::size_t kept = 0;
-  for (std::size_t row = 0, before = 1; kept < membership::Earlier::mostKnown && kept != before; ++row) {
-    before = kept;
-    for (const auto& [zone, cards] : zones)
-      if (row < cards.size() && kept < membership::Earlier::mostKnown) {
-        text += cards[row]->name.text + " " + cards[row]->address.text + "\n";
-        ++kept;
-      }
+    if (member.state == membership::State::alive) byZone[member.card.zone].push_back(&member.card);
+  std::string out;
+  std::size_t count = 0;
+  bool hasMore = true;
+  // One of each zone, then a second one of each zone, and so on.
+  for (std::size_t rank = 0; hasMore && count < membership::Earlier::mostKnown; ++rank) {
+    hasMore = false;
+    for (const auto& [zone, cards] : byZone) {
+      if (rank >= cards.size() || count >= membership::Earlier::mostKnown) continue;
+      out += cards[rank]->name.text + " " + cards[rank]->address.text + "\n";
+      ++count;
+      hasMore = true;
+    }
   }
-  if (text.empty() || text == known_) return;  // whoever is alone keeps whom it knew
-  // One that fails on the disk waits for the next change of whom we know; nothing rests on it.
-  if (store_->put(key("known"), text, store::neverExpires, [](const store::StoreStatus&) {}).isOk())
-    known_ = text, knownAt_ = now;
+  return out;
 }
 
 }  // namespace rainhook::server
--- a/src/server/membership_service.h
+++ b/src/server/membership_service.h
@@ -14,7 +14,7 @@
 
 class MembershipService {
  public:
-  // `chance` is a number drawn at the start of this process. Throws KeptElsewhere; may wait for the disk.
+  // `chance` is a number drawn at the start of this process. Throws StateLockedError; may wait for the disk.
   MembershipService(net::Reactor& reactor, logging::Log& log, const membership::MembersPlace& place,
                     RequestServer& server, int servers, std::uint64_t chance);
   ~MembershipService();
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -62,9 +62,9 @@
   for (const auto& [from, breaches] : {std::pair(5, 0u), std::pair(4, 1u)}) {
     Written w(2);
     w.acquainted().saw(0, 2, "state", 1, "alive", 4);
-    w.saw(1, 3, "kept", 1).why = "from " + std::to_string(from) + ", 0 known from earlier";
+    w.saw(1, 3, "state-restored", 1).why = "from " + std::to_string(from) + ", 0 known from earlier";
     EXPECT_EQ(w.breaches(), breaches);
-    w.course.histories[1].insert(w.course.histories[1].begin(), Seen{})->event = "not-kept";
+    w.course.histories[1].insert(w.course.histories[1].begin(), Seen{})->event = "state-unavailable";
     EXPECT_EQ(w.breaches(), 0u);
   }
 }
--- a/tests/fleet/invariants.cpp
+++ b/tests/fleet/invariants.cpp
@@ -89,8 +89,8 @@
     bool lost = std::any_of(course.done.begin(), course.done.end(),
                             [i](const Done& done) { return done.what == "harm" && done.who == i; });
     for (const auto& start : course.histories[i]) {
-      lost = lost || start.event == "not-kept";
-      if (start.event != "kept" || start.about != nameOf(i) || lost) continue;
+      lost = lost || start.event == "state-unavailable";
+      if (start.event != "state-restored" || start.about != nameOf(i) || lost) continue;
       const auto from = std::stoull(start.why.substr(start.why.find(' ') + 1));
       for (std::size_t by = 0; by < course.histories.size(); ++by)
         for (const auto& seen : course.histories[by])
