--- a/src/commands/store_maintenance_commands.cpp
+++ b/src/commands/store_maintenance_commands.cpp
@@ -4,6 +4,7 @@
 
 #include <cstdint>
 #include <cstdio>
+#include <initializer_list>
 #include <memory>
 #include <utility>
 
@@ -18,7 +19,7 @@
 
 int printStoreStatistics(StoreSession& session) {
   const store::StoreStatistics statistics = session.openStore().statistics().log;
-  const std::pair<const char*, std::uint64_t> rows[] = {
+  const std::initializer_list<std::pair<const char*, std::uint64_t>> rows = {
       {"entries", statistics.entries},
       {"gone_remembered", statistics.tombstones},
       {"index_bytes", statistics.indexBytes},
--- a/src/store/compaction_policy.cpp
+++ b/src/store/compaction_policy.cpp
@@ -34,8 +34,8 @@
 }
 
 /// Compares the dead shares without a division.
-bool hasLargerDeadShare(const SegmentInfo& a, const SegmentInfo& b) {
-  return deadBytes(a) * b.bytes > deadBytes(b) * a.bytes;
+bool hasLargerDeadShare(const SegmentInfo& left, const SegmentInfo& right) {
+  return deadBytes(left) * right.bytes > deadBytes(right) * left.bytes;
 }
 
 Urgency urgencyOf(const SegmentInfo& segment, std::uint64_t requiredDeadShare) {
--- a/src/store/compactor.cpp
+++ b/src/store/compactor.cpp
@@ -172,7 +172,7 @@
 
 void Compactor::publishCopies() {
   const std::lock_guard lock(state_.mutex);
-  for (const PendingCopy& copy : job_->pendingCopies) {
+  for (const CompactionJob::PendingCopy& copy : job_->pendingCopies) {
     state_.index.addCopy(copy.record.key, copy.record.sequence, copy.location);
     state_.statistics.compactedBytes += copy.location.bytes + hintEntryBytes(copy.record.key.size());
   }
--- a/src/store/compactor.h
+++ b/src/store/compactor.h
@@ -19,6 +19,23 @@
 
 namespace rainhook::store {
 
+/// One segment on its way out of the store.
+struct CompactionJob {
+  enum class Stage { copying, removing, forgetting };
+  /// A copy that was appended to the output and not written yet.
+  struct PendingCopy {
+    RecordId record;
+    RecordLocation location;
+  };
+
+  SegmentNumber input{};
+  std::optional<RecordScanner> scanner;  ///< None where the file is gone and only its hint file is left.
+  Stage stage = Stage::copying;
+  std::vector<RecordId> inputRecords;  ///< All of the segment.
+  std::vector<PendingCopy> pendingCopies;
+  std::size_t forgottenRecords = 0;
+};
+
 /// Belongs to the writer's thread. One segment at a time goes through three stages: its live records are
 /// copied, it leaves the manifest and the folder, the index forgets its records. Abandoning it before the
 /// second loses nothing, since it still stands.
@@ -46,21 +63,7 @@
   void sealOutput();
 
  private:
-  enum class Stage { copying, removing, forgetting };
-  /// A copy that was appended to the output and not written yet.
-  struct PendingCopy {
-    RecordId record;
-    RecordLocation location;
-  };
-  /// One segment on its way out.
-  struct Job {
-    SegmentNumber input{};
-    std::optional<RecordScanner> scanner;  // none where the file is gone and only its hint is left
-    Stage stage = Stage::copying;
-    std::vector<RecordId> inputRecords;  // all of the segment
-    std::vector<PendingCopy> pendingCopies;
-    std::size_t forgottenRecords = 0;
-  };
+  using Stage = CompactionJob::Stage;
 
   std::optional<SegmentNumber> nextInput();
   bool startJob(SegmentNumber input);
@@ -85,7 +88,7 @@
   FolderUsage& usage_;
   SegmentFileCache& files_;
   LogCallback log_;
-  std::optional<Job> job_;
+  std::optional<CompactionJob> job_;
   bool hasFailed_ = false;
   std::vector<SegmentNumber> requested_;  // each leaves when its turn comes
   std::vector<StatusCallback> onRequestsEnded_;
--- a/src/store/folder_inventory.cpp
+++ b/src/store/folder_inventory.cpp
@@ -107,8 +107,8 @@
     for (const auto& name : {segmentFileName(number), hintFileName(number)})
       if (const auto read = readHeader(disk_, name); read.error == HeaderError::none)
         ++counts[read.header.storeId];
-  const auto most = std::max_element(counts.begin(), counts.end(),
-                                     [](const auto& a, const auto& b) { return a.second < b.second; });
+  const auto isRarer = [](const auto& left, const auto& right) { return left.second < right.second; };
+  const auto most = std::max_element(counts.begin(), counts.end(), isRarer);
   return most == counts.end() ? newStoreId : most->first;
 }
 
--- a/src/store/manifest.cpp
+++ b/src/store/manifest.cpp
@@ -32,6 +32,8 @@
   return out;
 }
 
+ManifestReadResult corruptManifest() { return {std::nullopt, HeaderError::corrupt}; }
+
 }  // namespace
 
 std::string encodeManifest(const Manifest& manifest) {
@@ -60,14 +62,13 @@
 ManifestReadResult decodeManifest(std::string_view bytes) {
   const HeaderReadResult header = decodeHeader(bytes);
   if (header.error != HeaderError::none) return {std::nullopt, header.error};
-  const ManifestReadResult corrupt{std::nullopt, HeaderError::corrupt};
-  if (header.header.kind != FileKind::manifest) return corrupt;
+  if (header.header.kind != FileKind::manifest) return corruptManifest();
   const RecordReadResult read =
       readRecord(bytes.substr(fileHeaderBytes), manifestPosition(header.header.storeId));
   const std::string_view value = read.record.value;
   if (read.state != RecordReadResult::State::complete || read.record.kind != RecordKind::manifest ||
       value.size() < fixedBytes)
-    return corrupt;
+    return corruptManifest();
 
   Manifest out;
   out.storeId = header.header.storeId;
@@ -79,7 +80,7 @@
   // The counts are compared first, or the products could overflow.
   if (sweepCount > value.size() || segmentCount > value.size() ||
       value.size() != fixedBytes + sweepCount * sweepBytes + segmentCount * segmentBytes)
-    return corrupt;
+    return corruptManifest();
   std::size_t offset = fixedBytes;
   for (std::uint64_t i = 0; i < sweepCount; ++i, offset += sweepBytes)
     out.sweeps.push_back(readSweep(value.substr(offset, sweepBytes)));
--- a/src/store/posix_disk.cpp
+++ b/src/store/posix_disk.cpp
@@ -5,9 +5,10 @@
 #include <sys/stat.h>
 #include <unistd.h>
 
+#include <array>
 #include <cerrno>
-#include <cstring>
 #include <filesystem>
+#include <string_view>
 #include <system_error>
 #include <utility>
 
@@ -17,6 +18,7 @@
 constexpr mode_t folderMode = 0700;
 constexpr mode_t fileMode = 0600;
 constexpr std::size_t maxPidText = 31;
+constexpr std::string_view lineEnds{"\n\0", 2};
 
 DiskError lastError() { return diskError(errno); }
 DiskError errorOf(int result) { return result < 0 ? lastError() : DiskError{}; }
@@ -140,10 +142,11 @@
 }
 
 std::string PosixDisk::lockHolder() const {
-  char pid[maxPidText + 1] = {};
-  if (::pread(lockDescriptor_, pid, maxPidText, 0) < 0) return {};
-  pid[std::strcspn(pid, "\n")] = 0;
-  return pid;
+  std::array<char, maxPidText> text{};
+  const ssize_t size = ::pread(lockDescriptor_, text.data(), text.size(), 0);
+  if (size < 0) return {};
+  const std::string_view line(text.data(), static_cast<std::size_t>(size));
+  return std::string(line.substr(0, line.find_first_of(lineEnds)));
 }
 
 void PosixDisk::unlock() {
--- a/src/store/segment_file_cache.cpp
+++ b/src/store/segment_file_cache.cpp
@@ -20,7 +20,9 @@
 }
 
 void SegmentFileCache::evictLeastRecentlyUsed() {
-  const auto usedBefore = [](const auto& a, const auto& b) { return a.second.lastUse < b.second.lastUse; };
+  const auto usedBefore = [](const auto& left, const auto& right) {
+    return left.second.lastUse < right.second.lastUse;
+  };
   files_.erase(std::min_element(files_.begin(), files_.end(), usedBefore));
 }
 
--- a/src/store/snapshot_copy.cpp
+++ b/src/store/snapshot_copy.cpp
@@ -101,7 +101,10 @@
 
 void SnapshotCopy::finish(StoreStatus status) {
   // The marker goes last: until then nobody takes the folder for a store.
-  for (auto name = createdFiles_.rbegin(); name != createdFiles_.rend(); ++name) destination_->remove(*name);
+  while (!createdFiles_.empty()) {
+    destination_->remove(createdFiles_.back());
+    createdFiles_.pop_back();
+  }
   if (onEnded_) onEnded_(std::move(status));
 }
 
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -193,11 +193,13 @@
       if (found != uncommitted_.end() && found->second.number == batch[i].number) uncommitted_.erase(found);
     }
   }
-  for (std::size_t i = 0; i < batch.size(); ++i)
-    postCompletion(batch[i].queueBytes,
-                   [onDone = std::move(batch[i].onDone), status = std::move(statuses[i])] {
-                     if (onDone) onDone(status);
-                   });
+  auto nextStatus = statuses.begin();
+  for (QueuedWrite& queued : batch) {
+    auto callback = [onDone = std::move(queued.onDone), status = std::move(*nextStatus++)] {
+      if (onDone) onDone(status);
+    };
+    postCompletion(queued.queueBytes, std::move(callback));
+  }
 }
 
 ScanPage Store::scanByKey(std::string_view from, ScanStart start, std::size_t maxRows) const {
--- a/src/store/verifier.cpp
+++ b/src/store/verifier.cpp
@@ -23,11 +23,11 @@
 /// A key with everything but printable characters escaped.
 std::string printable(std::string_view key) {
   std::string out;
-  for (const char c : key) {
-    if (c > ' ' && c <= '~' && c != '\\')
-      out += c;
+  for (const char character : key) {
+    if (character > ' ' && character <= '~' && character != '\\')
+      out += character;
     else
-      out += fmt::format("\\x{:02x}", static_cast<unsigned char>(c));
+      out += fmt::format("\\x{:02x}", static_cast<unsigned char>(character));
   }
   return out;
 }
