--- a/src/commands/store_maintenance_commands.h
+++ b/src/commands/store_maintenance_commands.h
@@ -13,7 +13,9 @@
 int printStoreStatistics(StoreSession& session);
 /// Reads everything without opening the store; the status `damaged` where something is.
 int verifyStore(const StoreSession& session);
+/// Writes every segment anew that holds anything dead, and prints what that gained.
 int compactStore(StoreSession& session);
+/// Copies the store into an empty folder.
 int snapshotStore(StoreSession& session, const std::string& destination);
 
 }  // namespace rainhook::commands
--- a/src/commands/store_session.h
+++ b/src/commands/store_session.h
@@ -32,6 +32,7 @@
   /// Throws Misuse where no folder is given, neither as an option nor in our own settings.
   explicit StoreSession(const boost::program_options::variables_map& options);
 
+  /// The store's folder.
   const std::string& folder() const { return folder_; }
   /// Opens the store at the first call; throws StoreCommandError where that fails.
   store::Store& openStore();
--- /dev/null
+++ b/src/store/batch_writer.cpp
@@ -0,0 +1,139 @@
+#include "store/batch_writer.h"
+
+#include <algorithm>
+#include <string>
+
+#include "store/compression.h"
+#include "store/file_names.h"
+
+namespace rainhook::store {
+namespace {
+
+std::uint64_t bytesOfWrite(const WriteRequest& write) {
+  return recordBytes(write.key.size(), write.value.size()) + hintEntryBytes(write.key.size());
+}
+
+}  // namespace
+
+BatchWriter::BatchWriter(const StoreSettings& settings, const CompactionPolicy& policy,
+                         SegmentCatalog& catalog, StoreState& state, const LogCallback& log)
+    : settings_(settings), policy_(policy), catalog_(catalog), state_(state), log_(log) {}
+
+std::uint64_t BatchWriter::bytesOf(std::span<const WriteRequest> writes) {
+  std::uint64_t sum = 0;
+  for (const WriteRequest& write : writes) sum += bytesOfWrite(write);
+  return sum;
+}
+
+std::size_t BatchWriter::batchSize(std::span<const WriteRequest> writes) const {
+  const SegmentWriter* active = catalog_.writer(SegmentRole::commits);
+  std::uint64_t segmentBytes = active ? active->projectedBytes() : 2 * fileHeaderBytes;
+  segmentBytes += bytesOfWrite(writes.front());
+  std::size_t size = 1;
+  while (size < writes.size() && size < settings_.maxCommitWrites) {
+    const WriteRequest& next = writes[size];
+    if (!validateWrite(next, settings_).isOk() || policy_.isFull(segmentBytes, bytesOfWrite(next))) break;
+    segmentBytes += bytesOfWrite(next);
+    ++size;
+  }
+  return size;
+}
+
+DiskError BatchWriter::write(std::span<const WriteRequest> writes, UnixTime now) {
+  const auto sweep = appendExpirySweep();
+  const auto updates = appendWrites(writes, now);
+  if (updates.empty() && !sweep) return {};
+  if (const DiskError error = makeDurable()) return error;
+  if (sweep) catalog_.addSweep(*sweep);
+  publish(writes, updates, sweep);
+  return {};
+}
+
+/// Records what was seen as expired since the last commit.
+std::optional<ExpirySweep> BatchWriter::appendExpirySweep() {
+  std::optional<UnixTime> expiredBy;
+  {
+    const std::lock_guard lock(state_.mutex);
+    expiredBy = state_.unrecordedExpiry;
+  }
+  if (!expiredBy) return std::nullopt;
+  const ExpirySweep sweep{catalog_.takeSequence(), *expiredBy};
+  segment()->append({RecordKind::expirySweep, false, sweep.before, sweep.expiredBy, {}, {}});
+  return sweep;
+}
+
+std::vector<BatchWriter::IndexUpdate> BatchWriter::appendWrites(std::span<const WriteRequest> writes,
+                                                                UnixTime now) {
+  std::vector<IndexUpdate> updates;
+  for (std::size_t i = 0; i < writes.size(); ++i) {
+    const WriteRequest& write = writes[i];
+    const bool isErasure = write.isErase() || write.expiry <= now;
+    if (!isErasure)
+      updates.push_back(appendWrite(write, RecordKind::put));
+    else if (isErasureNeeded(write.key, writes.first(i)))
+      updates.push_back(appendWrite(write, RecordKind::erase));
+  }
+  return updates;
+}
+
+/// Whether there is anything to erase: in the index, earlier in the batch, or left by a write that failed.
+bool BatchWriter::isErasureNeeded(std::string_view key, std::span<const WriteRequest> earlierWrites) const {
+  const bool isInBatch = std::any_of(earlierWrites.begin(), earlierWrites.end(),
+                                     [&](const WriteRequest& earlier) { return earlier.key == key; });
+  if (isInBatch || mayHoldFailedWrite_) return true;
+  const std::lock_guard lock(state_.mutex);
+  const IndexEntry* entry = state_.index.find(key);
+  return entry && entry->state != EntryState::deleted;
+}
+
+BatchWriter::IndexUpdate BatchWriter::appendWrite(const WriteRequest& write, RecordKind kind) {
+  Record record{kind, false, catalog_.takeSequence(), neverExpires, write.key, {}};
+  std::optional<std::string> compressed;
+  if (kind == RecordKind::put) {
+    record.expiry = write.expiry;
+    if (write.value.size() >= settings_.minCompressedValueBytes) compressed = compress(write.value);
+    record.isCompressed = compressed.has_value();
+    record.value = compressed ? *compressed : write.value;
+  }
+  const RecordLocation location = segment()->append(record);
+  return {write.key, kind, record.sequence, record.expiry, location};
+}
+
+/// Writes and syncs what was appended to the active segment. On an error none of it counts; where the
+/// segment can't be trusted any more it is sealed.
+DiskError BatchWriter::makeDurable() {
+  SegmentWriter& active = *segment();
+  if (const DiskError error = active.flush()) {
+    mayHoldFailedWrite_ = true;
+    if (active.isBroken()) catalog_.seal(SegmentRole::commits, SegmentTrust::untrusted);
+    return error;
+  }
+  if (const DiskError error = active.sync()) {
+    if (log_)
+      log_(describeError(segmentFileName(active.number()), error) +
+           "; the segment is untrusted, its live records will be rewritten");
+    mayHoldFailedWrite_ = true;
+    active.rollBack();
+    catalog_.seal(SegmentRole::commits, SegmentTrust::untrusted);
+    const std::lock_guard lock(state_.mutex);
+    ++state_.statistics.failedSyncs;
+    return error;
+  }
+  active.commit();
+  return {};
+}
+
+void BatchWriter::publish(std::span<const WriteRequest> writes, const std::vector<IndexUpdate>& updates,
+                          const std::optional<ExpirySweep>& sweep) {
+  const std::lock_guard lock(state_.mutex);
+  for (const IndexUpdate& update : updates)
+    state_.index.addRecord(update.key, update.kind, update.sequence, update.expiry, update.location);
+  StoreStatistics& statistics = state_.statistics;
+  ++statistics.commits;
+  for (const WriteRequest& write : writes) ++(write.isErase() ? statistics.erases : statistics.puts);
+  statistics.writtenBytes += bytesOf(writes);
+  // A reader may have seen something expire later since the sweep was appended.
+  if (sweep && state_.unrecordedExpiry == sweep->expiredBy) state_.unrecordedExpiry.reset();
+}
+
+}  // namespace rainhook::store
--- a/src/store/compaction_policy.h
+++ b/src/store/compaction_policy.h
@@ -12,30 +12,35 @@
 
 namespace rainhook::store {
 
+/// What the policy knows of one segment.
 struct SegmentInfo {
-  SegmentNumber number{};
+  SegmentNumber number{};       ///< Which segment.
   std::uint64_t bytes = 0;      ///< With its hint file.
   std::uint64_t liveBytes = 0;  ///< What a compaction would have to copy.
-  bool isSealed = false;
-  bool isUntrusted = false;  ///< A sync of it failed: what it holds has to be written anew.
-  bool isDamaged = false;
+  bool isSealed = false;        ///< Takes no more records.
+  bool isUntrusted = false;     ///< A sync of it failed: what it holds has to be written anew.
+  bool isDamaged = false;       ///< Some of its records can't be read.
 };
 
+/// What the policy decides from.
 struct StoreOccupancy {
-  std::uint64_t folderBytes = 0;  ///< Of all files, whoever they belong to.
-  std::uint64_t indexBytes = 0;
-  std::vector<SegmentInfo> segments;
+  std::uint64_t folderBytes = 0;      ///< Of all files, whoever they belong to.
+  std::uint64_t indexBytes = 0;       ///< Memory of the index.
+  std::vector<SegmentInfo> segments;  ///< All segments, in no particular order.
 };
 
+/// The rules, for one set of limits.
 class CompactionPolicy {
  public:
   /// Live bytes beyond what may live.
   struct Excess {
-    std::uint64_t diskBytes = 0;
-    std::uint64_t indexBytes = 0;
+    std::uint64_t diskBytes = 0;   ///< Over the limit on disk.
+    std::uint64_t indexBytes = 0;  ///< Over the limit on the index.
+    /// Whether anything has to age out.
     bool isAny() const { return diskBytes + indexBytes > 0; }
   };
 
+  /// For these limits.
   explicit CompactionPolicy(const StoreSettings& settings) : settings_(settings) {}
 
   /// Kept free of new writes, so that a compaction can always copy one whole segment and replace the
@@ -46,6 +51,7 @@
   /// Whether the folder has room for the output of a compaction, which may use the reserve.
   bool canCopy(std::uint64_t folderBytes, std::uint64_t bytes) const;
 
+  /// Whether a segment of this size has no room for so much more.
   bool isFull(std::uint64_t segmentBytes, std::uint64_t addedBytes) const;
   /// Time to prepare the next segment, before a commit would have to wait for that.
   bool isNearlyFull(std::uint64_t segmentBytes) const;
--- a/src/store/compactor.h
+++ b/src/store/compactor.h
@@ -21,19 +21,20 @@
 
 /// One segment on its way out of the store.
 struct CompactionJob {
+  /// What is done with the input next.
   enum class Stage { copying, removing, forgetting };
   /// A copy that was appended to the output and not written yet.
   struct PendingCopy {
-    RecordId record;
-    RecordLocation location;
+    RecordId record;          ///< The record that was copied.
+    RecordLocation location;  ///< Where the copy will stand.
   };
 
-  SegmentNumber input{};
-  std::optional<RecordScanner> scanner;  ///< None where the file is gone and only its hint file is left.
-  Stage stage = Stage::copying;
-  std::vector<RecordId> inputRecords;  ///< All of the segment.
-  std::vector<PendingCopy> pendingCopies;
-  std::size_t forgottenRecords = 0;
+  SegmentNumber input{};                   ///< The segment on its way out.
+  std::optional<RecordScanner> scanner;    ///< None where the file is gone and only its hint file is left.
+  Stage stage = Stage::copying;            ///< Where the job stands.
+  std::vector<RecordId> inputRecords;      ///< All of the segment.
+  std::vector<PendingCopy> pendingCopies;  ///< Of the present output segment.
+  std::size_t forgottenRecords = 0;        ///< How many of `inputRecords` have left the index.
 };
 
 /// Belongs to the writer's thread. One segment at a time goes through three stages: its live records are
@@ -41,6 +42,7 @@
 /// second loses nothing, since it still stands.
 class Compactor {
  public:
+  /// All references must outlive this.
   Compactor(Disk& disk, const CompactionPolicy& policy, SegmentCatalog& catalog, StoreState& state,
             FolderUsage& usage, SegmentFileCache& files, LogCallback log);
 
--- a/src/store/expiry_sweeps.h
+++ b/src/store/expiry_sweeps.h
@@ -14,14 +14,17 @@
 /// them; of more than `maxSweeps` such steps the oldest is forgotten.
 class ExpirySweeps {
  public:
-  static constexpr std::size_t maxSweeps = 64;
+  static constexpr std::size_t maxSweeps = 64;  ///< How many are remembered.
 
   ExpirySweeps() = default;
+  /// As a manifest lists them.
   explicit ExpirySweeps(std::vector<ExpirySweep> sweeps) : sweeps_(std::move(sweeps)) {}
 
+  /// Adds one that is later than all others.
   void add(ExpirySweep sweep);
   /// Whether the entry was seen as expired by one of them.
   bool cover(const IndexEntry& entry) const;
+  /// In the order of writing.
   const std::vector<ExpirySweep>& all() const { return sweeps_; }
 
  private:
--- a/src/store/hint_file.h
+++ b/src/store/hint_file.h
@@ -15,16 +15,18 @@
 
 namespace rainhook::store {
 
+/// What a hint file tells of one record.
 struct HintEntry {
-  RecordKind kind{};
-  std::string key;
-  SequenceNumber sequence{};
-  UnixTime expiry = neverExpires;
-  HintLocation location;
+  RecordKind kind{};               ///< Of the record, or `lost`.
+  std::string key;                 ///< Of the record.
+  SequenceNumber sequence{};       ///< Of the record.
+  UnixTime expiry = neverExpires;  ///< Of the record.
+  HintLocation location;           ///< Where in the segment it stands.
 };
 
+/// The contents of a hint file.
 struct HintFile {
-  std::vector<HintEntry> entries;
+  std::vector<HintEntry> entries;  ///< In the order of the file.
   /// What the end of the file says of the segment: its length and the number of entries. Absent where the end
   /// is missing or any entry is corrupt.
   std::optional<HintLocation> end;
--- a/src/store/ids.h
+++ b/src/store/ids.h
@@ -19,10 +19,12 @@
 /// Orders all writes of one store; of two records of a key the higher one is current.
 enum class SequenceNumber : std::uint64_t {};
 
+/// The number of an identifier, as it is stored.
 template <typename Id>
 constexpr std::uint64_t rawValue(Id id) {
   return static_cast<std::uint64_t>(id);
 }
+/// The identifier that follows.
 template <typename Id>
 constexpr Id successor(Id id) {
   return Id{rawValue(id) + 1};
--- a/src/store/key_index.h
+++ b/src/store/key_index.h
@@ -25,30 +25,35 @@
 
 namespace rainhook::store {
 
+/// Where a record stands.
 struct RecordLocation {
-  SegmentNumber segment{};
-  std::uint32_t offset = 0;
-  std::uint32_t bytes = 0;
+  SegmentNumber segment{};   ///< In which segment.
+  std::uint32_t offset = 0;  ///< From the beginning of its file.
+  std::uint32_t bytes = 0;   ///< Length of the record.
 
+  /// Compares all members.
   bool operator==(const RecordLocation&) const = default;
 };
 
+/// Whether a key has a value.
 enum class EntryState : std::uint8_t {
   live,
   deleted,  ///< Erased or expired; the record that says so stands on disk.
   lost,     ///< Its latest record can't be read any more, so nothing older may be served.
 };
 
+/// What is known of one key.
 struct IndexEntry {
-  std::string key;
-  SequenceNumber sequence{};
-  SequenceNumber oldestSequence{};  ///< The lowest that `recordCount` includes.
-  UnixTime expiry = neverExpires;
-  RecordLocation location;
-  std::uint32_t recordCount = 0;  ///< Records of the key on disk.
-  EntryState state = EntryState::live;
+  std::string key;                      ///< The key.
+  SequenceNumber sequence{};            ///< Of its current record.
+  SequenceNumber oldestSequence{};      ///< The lowest that `recordCount` includes.
+  UnixTime expiry = neverExpires;       ///< Of its current record.
+  RecordLocation location;              ///< Of its current record.
+  std::uint32_t recordCount = 0;        ///< Records of the key on disk.
+  EntryState state = EntryState::live;  ///< Whether it has a value.
 };
 
+/// An ordered map of all keys, which can also be walked by age and by expiry.
 class KeyIndex {
  public:
   /// Returns false to end the scan.
@@ -56,8 +61,8 @@
 
   /// The position of a scan by age: the entry that was visited last.
   struct AgeCursor {
-    std::string key;
-    SequenceNumber sequence{};
+    std::string key;            ///< Of that entry.
+    SequenceNumber sequence{};  ///< Of that entry.
   };
 
   /// Null where nothing is known; valid until the next change.
@@ -81,6 +86,7 @@
 
   /// Forgets all entries below the floor; returns how many live ones that were.
   std::size_t raiseFloor(SequenceNumber floor);
+  /// Records below it are forgotten.
   SequenceNumber floor() const { return floor_; }
   /// The floor below which entries with so many bytes on disk and in the index stand.
   SequenceNumber floorToFree(std::uint64_t diskBytes, std::uint64_t indexBytes) const;
@@ -89,9 +95,13 @@
 
   /// What a compaction of this segment would have to copy, with the hint entries.
   std::uint64_t liveBytesIn(SegmentNumber segment) const;
+  /// What a compaction of everything would copy.
   std::uint64_t liveBytes() const { return liveBytes_; }
+  /// Memory that the index takes.
   std::uint64_t memoryBytes() const { return memoryBytes_; }
+  /// Live, deleted and lost keys.
   std::size_t entryCount() const { return entries_.size(); }
+  /// Keys that have a value.
   std::size_t liveEntryCount() const { return liveEntryCount_; }
 
   /// Visits live entries in the order of their keys.
--- a/src/store/little_endian.h
+++ b/src/store/little_endian.h
@@ -9,8 +9,10 @@
 
 namespace rainhook::store {
 
+/// For shifts.
 constexpr unsigned bitsPerByte = 8;
 
+/// Appends the integer's bytes, the lowest first.
 template <typename T>
 void appendLittleEndian(std::string& out, T value) {
   for (std::size_t i = 0; i < sizeof value; ++i)
--- a/src/store/log_structured_store.cpp
+++ b/src/store/log_structured_store.cpp
@@ -5,7 +5,6 @@
 #include <algorithm>
 #include <utility>
 
-#include "store/compression.h"
 #include "store/file_names.h"
 #include "store/recovery.h"
 
@@ -15,17 +14,6 @@
 constexpr std::size_t expiredEntriesPerStep = 512;
 constexpr int maxCommitAttempts = 2;
 
-/// What a write takes in the folder at most.
-std::uint64_t bytesOf(const WriteRequest& write) {
-  return recordBytes(write.key.size(), write.value.size()) + hintEntryBytes(write.key.size());
-}
-
-std::uint64_t bytesOf(std::span<const WriteRequest> writes) {
-  std::uint64_t sum = 0;
-  for (const WriteRequest& write : writes) sum += bytesOf(write);
-  return sum;
-}
-
 StoreStatus lockFolder(Disk& disk) {
   const auto locked = disk.lock(lockFileName);
   if (!locked.error) return {};
@@ -61,6 +49,7 @@
       catalog_(disk, usage_, state_),
       files_(disk, settings.maxOpenFiles),
       reader_(state_, files_, log_),
+      batchWriter_(settings_, policy_, catalog_, state_, log_),
       compactor_(disk, policy_, catalog_, state_, usage_, files_, log_) {}
 
 void LogStructuredStore::log(const std::string& line) const {
@@ -78,8 +67,6 @@
   return {};
 }
 
-// --- Commits ---
-
 std::vector<StoreStatus> LogStructuredStore::commit(std::span<const WriteRequest> writes, UnixTime now) {
   std::vector<StoreStatus> statuses(writes.size());
   for (std::size_t begin = 0; begin < writes.size();) {
@@ -90,9 +77,9 @@
       continue;
     }
     const SegmentWriter* active = activeSegment();
-    if (active && policy_.isFull(active->projectedBytes(), bytesOf(writes[begin])))
+    if (active && policy_.isFull(active->projectedBytes(), BatchWriter::bytesOf(writes.subspan(begin, 1))))
       catalog_.seal(SegmentRole::commits, SegmentTrust::trusted);
-    const auto batch = writes.subspan(begin, batchSize(writes.subspan(begin)));
+    const auto batch = writes.subspan(begin, batchWriter_.batchSize(writes.subspan(begin)));
     const StoreStatus status = commitBatch(batch, now);
     std::fill_n(statuses.begin() + static_cast<std::ptrdiff_t>(begin), batch.size(), status);
     begin += batch.size();
@@ -100,24 +87,9 @@
   return statuses;
 }
 
-/// How many writes from the first on go with one sync: as many valid ones as fit into one segment.
-std::size_t LogStructuredStore::batchSize(std::span<const WriteRequest> writes) const {
-  const SegmentWriter* active = catalog_.writer(SegmentRole::commits);
-  std::uint64_t segmentBytes = active ? active->projectedBytes() : 2 * fileHeaderBytes;
-  segmentBytes += bytesOf(writes.front());
-  std::size_t size = 1;
-  while (size < writes.size() && size < settings_.maxCommitWrites) {
-    const WriteRequest& next = writes[size];
-    if (!validateWrite(next, settings_).isOk() || policy_.isFull(segmentBytes, bytesOf(next))) break;
-    segmentBytes += bytesOf(next);
-    ++size;
-  }
-  return size;
-}
-
 StoreStatus LogStructuredStore::commitBatch(std::span<const WriteRequest> writes, UnixTime now) {
   const std::uint64_t sweepAndHeaders = recordBytes(0, 0) + 2 * fileHeaderBytes;
-  if (!makeRoom(bytesOf(writes) + sweepAndHeaders, now))
+  if (!makeRoom(BatchWriter::bytesOf(writes) + sweepAndHeaders, now))
     return countRefused(writes.size(),
                         {StoreErrorCode::storeFull, "no room under disk_bytes, and none could be made"});
   DiskError error;
@@ -126,7 +98,7 @@
   for (int attempt = 0; attempt < maxCommitAttempts; ++attempt) {
     auto status = ensureActiveSegment();
     if (!status.isOk()) return countRefused(writes.size(), std::move(status));
-    error = writeBatch(writes, now);
+    error = batchWriter_.write(writes, now);
     if (!error) return {};
     if (activeSegment()) break;  // not a sync: the file is as it was before
   }
@@ -146,106 +118,6 @@
   return activeSegment() ? StoreStatus{} : catalog_.openWriter(SegmentRole::commits);
 }
 
-DiskError LogStructuredStore::writeBatch(std::span<const WriteRequest> writes, UnixTime now) {
-  const auto sweep = appendExpirySweep();
-  const auto updates = appendWrites(writes, now);
-  if (updates.empty() && !sweep) return {};
-  if (const DiskError error = makeDurable()) return error;
-  if (sweep) catalog_.addSweep(*sweep);
-  publish(writes, updates, sweep);
-  return {};
-}
-
-/// Records what was seen as expired since the last commit.
-std::optional<ExpirySweep> LogStructuredStore::appendExpirySweep() {
-  std::optional<UnixTime> expiredBy;
-  {
-    const std::lock_guard lock(state_.mutex);
-    expiredBy = state_.unrecordedExpiry;
-  }
-  if (!expiredBy) return std::nullopt;
-  const ExpirySweep sweep{catalog_.takeSequence(), *expiredBy};
-  activeSegment()->append({RecordKind::expirySweep, false, sweep.before, sweep.expiredBy, {}, {}});
-  return sweep;
-}
-
-std::vector<LogStructuredStore::IndexUpdate> LogStructuredStore::appendWrites(
-    std::span<const WriteRequest> writes, UnixTime now) {
-  std::vector<IndexUpdate> updates;
-  for (std::size_t i = 0; i < writes.size(); ++i) {
-    const WriteRequest& write = writes[i];
-    const bool isErasure = write.isErase() || write.expiry <= now;
-    if (!isErasure)
-      updates.push_back(appendWrite(write, RecordKind::put));
-    else if (isErasureNeeded(write.key, writes.first(i)))
-      updates.push_back(appendWrite(write, RecordKind::erase));
-  }
-  return updates;
-}
-
-/// Whether there is anything to erase: in the index, earlier in the batch, or left by a write that failed.
-bool LogStructuredStore::isErasureNeeded(std::string_view key,
-                                         std::span<const WriteRequest> earlierWrites) const {
-  const bool isInBatch = std::any_of(earlierWrites.begin(), earlierWrites.end(),
-                                     [&](const WriteRequest& earlier) { return earlier.key == key; });
-  if (isInBatch || mayHoldFailedWrite_) return true;
-  const std::lock_guard lock(state_.mutex);
-  const IndexEntry* entry = state_.index.find(key);
-  return entry && entry->state != EntryState::deleted;
-}
-
-LogStructuredStore::IndexUpdate LogStructuredStore::appendWrite(const WriteRequest& write, RecordKind kind) {
-  Record record{kind, false, catalog_.takeSequence(), neverExpires, write.key, {}};
-  std::optional<std::string> compressed;
-  if (kind == RecordKind::put) {
-    record.expiry = write.expiry;
-    if (write.value.size() >= settings_.minCompressedValueBytes) compressed = compress(write.value);
-    record.isCompressed = compressed.has_value();
-    record.value = compressed ? *compressed : write.value;
-  }
-  const RecordLocation location = activeSegment()->append(record);
-  return {write.key, kind, record.sequence, record.expiry, location};
-}
-
-/// Writes and syncs what was appended to the active segment. On an error none of it counts; where the
-/// segment can't be trusted any more it is sealed.
-DiskError LogStructuredStore::makeDurable() {
-  SegmentWriter& segment = *activeSegment();
-  if (const DiskError error = segment.flush()) {
-    mayHoldFailedWrite_ = true;
-    if (segment.isBroken()) catalog_.seal(SegmentRole::commits, SegmentTrust::untrusted);
-    return error;
-  }
-  if (const DiskError error = segment.sync()) {
-    log(describeError(segmentFileName(segment.number()), error) +
-        "; the segment is untrusted, its live records will be rewritten");
-    mayHoldFailedWrite_ = true;
-    segment.rollBack();
-    catalog_.seal(SegmentRole::commits, SegmentTrust::untrusted);
-    const std::lock_guard lock(state_.mutex);
-    ++state_.statistics.failedSyncs;
-    return error;
-  }
-  segment.commit();
-  return {};
-}
-
-void LogStructuredStore::publish(std::span<const WriteRequest> writes,
-                                 const std::vector<IndexUpdate>& updates,
-                                 const std::optional<ExpirySweep>& sweep) {
-  const std::lock_guard lock(state_.mutex);
-  for (const IndexUpdate& update : updates)
-    state_.index.addRecord(update.key, update.kind, update.sequence, update.expiry, update.location);
-  StoreStatistics& statistics = state_.statistics;
-  ++statistics.commits;
-  for (const WriteRequest& write : writes) ++(write.isErase() ? statistics.erases : statistics.puts);
-  statistics.writtenBytes += bytesOf(writes);
-  // A reader may have seen something expire later since the sweep was appended.
-  if (sweep && state_.unrecordedExpiry == sweep->expiredBy) state_.unrecordedExpiry.reset();
-}
-
-// --- Reads ---
-
 ReadResult LogStructuredStore::get(std::string_view key, UnixTime now) const {
   return reader_.read(catalog_.storeId(), key, now);
 }
@@ -276,8 +148,6 @@
   return out;
 }
 
-// --- Maintenance ---
-
 bool LogStructuredStore::runMaintenance(UnixTime now, bool hasWaitingWriters) {
   if (!isOpen_) return false;
   takeOverCorruptRecords();
--- a/src/store/log_structured_store.h
+++ b/src/store/log_structured_store.h
@@ -13,6 +13,7 @@
 #include <string_view>
 #include <vector>
 
+#include "store/batch_writer.h"
 #include "store/compaction_policy.h"
 #include "store/compactor.h"
 #include "store/disk.h"
@@ -46,12 +47,16 @@
   StoreStatus open(std::uint64_t seed);
   /// Writes with as few syncs as possible; returns a status for each write.
   std::vector<StoreStatus> commit(std::span<const WriteRequest> writes, UnixTime now);
+  /// The value of a key, by one read of the disk at most.
   ReadResult get(std::string_view key, UnixTime now) const;
+  /// A page of the live entries in the order of their keys.
   ScanPage scanByKey(std::string_view from, ScanStart start, std::size_t maxRows, UnixTime now) const;
   /// The oldest entries first, beginning after the cursor.
   ScanPage scanByAge(const std::optional<KeyIndex::AgeCursor>& cursor, std::size_t maxRows,
                      UnixTime now) const;
+  /// Counters since `open`, and the present size.
   StoreStatistics statistics() const;
+  /// Of the open store.
   StoreId id() const { return catalog_.storeId(); }
 
   /// Does one step of what is due besides commits: expiry, ageing out, compaction, a snapshot. False where
@@ -68,27 +73,8 @@
   void close();
 
  private:
-  /// A write that the index takes over once it is durable.
-  struct IndexUpdate {
-    std::string_view key;
-    RecordKind kind{};
-    SequenceNumber sequence{};
-    UnixTime expiry = neverExpires;
-    RecordLocation location;
-  };
-
-  std::size_t batchSize(std::span<const WriteRequest> writes) const;
   StoreStatus commitBatch(std::span<const WriteRequest> writes, UnixTime now);
   StoreStatus countRefused(std::size_t writes, StoreStatus status);
-  DiskError writeBatch(std::span<const WriteRequest> writes, UnixTime now);
-  std::optional<ExpirySweep> appendExpirySweep();
-  std::vector<IndexUpdate> appendWrites(std::span<const WriteRequest> writes, UnixTime now);
-  bool isErasureNeeded(std::string_view key, std::span<const WriteRequest> earlierWrites) const;
-  IndexUpdate appendWrite(const WriteRequest& write, RecordKind kind);
-  DiskError makeDurable();
-  void publish(std::span<const WriteRequest> writes, const std::vector<IndexUpdate>& updates,
-               const std::optional<ExpirySweep>& sweep);
-
   StoreStatus ensureActiveSegment();
   bool makeRoom(std::uint64_t bytes, UnixTime now);
   bool expireEntries(UnixTime now);
@@ -109,10 +95,10 @@
   SegmentCatalog catalog_;
   mutable SegmentFileCache files_;
   mutable RecordReader reader_;
+  BatchWriter batchWriter_;
   Compactor compactor_;
   std::unique_ptr<SnapshotCopy> snapshot_;  // while one is under way
   bool isOpen_ = false;
-  bool mayHoldFailedWrite_ = false;  // a write has failed, and a start may find it all the same
 };
 
 }  // namespace rainhook::store
--- a/src/store/record_format.h
+++ b/src/store/record_format.h
@@ -15,28 +15,36 @@
 
 namespace rainhook::store {
 
+/// Written into each file; a file of a higher version is not read.
 inline constexpr std::uint16_t formatVersion = 1;
 
+/// What a file holds.
 enum class FileKind : std::uint16_t { segment = 1, hint = 2, manifest = 3 };
 
 /// Stands at the beginning of every segment, hint file and manifest.
 struct FileHeader {
-  FileKind kind{};
-  StoreId storeId{};
-  SegmentNumber segment{};  ///< 0 in a manifest.
-  std::uint16_t version = formatVersion;
+  FileKind kind{};                        ///< What the file holds.
+  StoreId storeId{};                      ///< The store that it belongs to.
+  SegmentNumber segment{};                ///< 0 in a manifest.
+  std::uint16_t version = formatVersion;  ///< Of the format.
 };
+/// Length of a header on disk.
 inline constexpr std::size_t fileHeaderBytes = 40;
 
+/// What is wrong with a header.
 enum class HeaderError { none, truncated, corrupt, newerVersion };
+/// How the reading of a header ended.
 struct HeaderReadResult {
-  FileHeader header;  ///< Valid also with newerVersion.
-  HeaderError error = HeaderError::none;
+  FileHeader header;                      ///< Valid also with newerVersion.
+  HeaderError error = HeaderError::none;  ///< Why it is not valid.
 };
 
+/// The header's bytes, with their checksum.
 std::string encodeHeader(const FileHeader& header);
+/// Reads the header at the beginning of the bytes.
 HeaderReadResult decodeHeader(std::string_view bytes);
 
+/// What a record says.
 enum class RecordKind : std::uint8_t {
   put = 1,
   erase = 2,
@@ -46,15 +54,18 @@
   manifest = 6,     ///< The only record of a manifest.
 };
 
+/// A record without its position; does not own its key and value.
 struct Record {
-  RecordKind kind{};
-  bool isCompressed = false;  ///< The value is a zstd frame.
-  SequenceNumber sequence{};
-  UnixTime expiry = neverExpires;
-  std::string_view key;
-  std::string_view value;
+  RecordKind kind{};               ///< What it says.
+  bool isCompressed = false;       ///< The value is a zstd frame.
+  SequenceNumber sequence{};       ///< Orders it among all records of the store.
+  UnixTime expiry = neverExpires;  ///< When its value expires.
+  std::string_view key;            ///< The key, as the caller gave it.
+  std::string_view value;          ///< As it stands on disk, perhaps compressed.
 };
+/// Length of a record without key and value.
 inline constexpr std::size_t recordHeaderBytes = 48;
+/// Length of the value of a hint entry.
 inline constexpr std::size_t hintLocationBytes = 16;
 
 /// Length of a record on disk.
@@ -68,16 +79,21 @@
 
 /// Where a record stands; part of its checksum.
 struct RecordPosition {
-  FileHeader file;
-  std::uint64_t offset = 0;
+  FileHeader file;           ///< The header of its file.
+  std::uint64_t offset = 0;  ///< From the beginning of the file.
 };
 
+/// Appends the record's bytes, which will stand at this position.
 void appendRecord(std::string& out, const Record& record, const RecordPosition& position);
 
+/// How the reading of a record ended.
 struct RecordReadResult {
-  enum class State { complete, needsMoreBytes, notARecord } state = State::notARecord;
-  Record record;          ///< Its views point into the bytes that were read.
-  std::size_t bytes = 0;  ///< Of the record; with needsMoreBytes the length that it claims.
+  /// Whether an intact record was found.
+  enum class State { complete, needsMoreBytes, notARecord };
+
+  State state = State::notARecord;  ///< Only a complete record is valid.
+  Record record;                    ///< Its views point into the bytes that were read.
+  std::size_t bytes = 0;            ///< Of the record; with needsMoreBytes the length that it claims.
 };
 /// Reads the record at the beginning of the bytes.
 RecordReadResult readRecord(std::string_view bytes, const RecordPosition& position);
@@ -86,10 +102,12 @@
 
 /// The value of a hint entry: where in the segment the record stands that it describes.
 struct HintLocation {
-  std::uint64_t offset = 0;
-  std::uint64_t bytes = 0;
+  std::uint64_t offset = 0;  ///< From the beginning of the segment's file.
+  std::uint64_t bytes = 0;   ///< Length of the record.
 };
+/// The value of a hint entry.
 std::string encodeHintLocation(const HintLocation& location);
+/// Nothing where the value has another length.
 std::optional<HintLocation> decodeHintLocation(std::string_view value);
 
 }  // namespace rainhook::store
--- a/src/store/record_reader.h
+++ b/src/store/record_reader.h
@@ -16,8 +16,11 @@
 /// Any thread may read. The state's mutex is not held during the read of the disk.
 class RecordReader {
  public:
+  /// State and files must outlive this.
   RecordReader(StoreState& state, SegmentFileCache& files, LogCallback log);
 
+  /// Reads the current value of the key. An error of the disk leaves the key as it is; a corrupt record is
+  /// lost.
   ReadResult read(StoreId storeId, std::string_view key, UnixTime now);
 
  private:
--- a/src/store/record_scanner.h
+++ b/src/store/record_scanner.h
@@ -13,15 +13,21 @@
 
 namespace rainhook::store {
 
+/// Owns the file that it reads.
 class RecordScanner {
  public:
+  /// What was found next.
   struct Step {
-    enum class Kind { record, corruption, end } kind = Kind::end;
+    /// Which of the following is valid.
+    enum class Kind { record, corruption, end };
+
+    Kind kind = Kind::end;     ///< `record` is valid with `record` alone.
     Record record;             ///< Its views are valid until the next call.
     std::uint64_t offset = 0;  ///< Of the record or the corrupt stretch.
-    std::uint64_t bytes = 0;
+    std::uint64_t bytes = 0;   ///< Of the record or the corrupt stretch.
   };
 
+  /// The header is part of each record's checksum.
   RecordScanner(std::shared_ptr<File> file, FileHeader header);
 
   /// What the disk can't read counts as corrupt.
--- a/src/store/recovery.h
+++ b/src/store/recovery.h
@@ -25,6 +25,7 @@
 /// Used once, before any other thread sees the state. The caller holds the folder's lock.
 class Recovery {
  public:
+  /// All references must outlive this.
   Recovery(Disk& disk, const CompactionPolicy& policy, FolderUsage& usage, StoreState& state,
            const LogCallback& log);
 
--- a/src/store/segment_catalog.h
+++ b/src/store/segment_catalog.h
@@ -27,12 +27,12 @@
 
 /// A segment that takes no more records.
 struct SealedSegment {
-  std::uint64_t bytes = 0;
-  std::uint64_t hintBytes = 0;
-  std::uint64_t committedBytes = 0;  ///< Behind it may stand records of a write that failed.
-  SequenceNumber lastSequence{};
-  bool isUntrusted = false;
-  bool isDamaged = false;
+  std::uint64_t bytes = 0;            ///< Of the file of records.
+  std::uint64_t hintBytes = 0;        ///< Of the hint file.
+  std::uint64_t committedBytes = 0;   ///< Behind it may stand records of a write that failed.
+  SequenceNumber lastSequence{};      ///< The highest of its records.
+  bool isUntrusted = false;           ///< A sync or a truncation of it failed.
+  bool isDamaged = false;             ///< Some of its records can't be read.
   std::vector<RecordId> lostRecords;  ///< Its unreadable records that hide older ones.
 };
 
@@ -43,29 +43,35 @@
  public:
   /// What recovery finds in the folder.
   struct Contents {
-    StoreId storeId{};
-    SegmentNumber nextSegment{1};
-    SequenceNumber nextSequence{1};
-    ExpirySweeps sweeps;
-    std::map<SegmentNumber, SealedSegment> sealed;
-    std::uint64_t manifestBytes = 0;
+    StoreId storeId{};                              ///< Of the store in the folder.
+    SegmentNumber nextSegment{1};                   ///< The number of the next new segment.
+    SequenceNumber nextSequence{1};                 ///< Of the next record.
+    ExpirySweeps sweeps;                            ///< Of the manifest and of later records.
+    std::map<SegmentNumber, SealedSegment> sealed;  ///< All segments that were found.
+    std::uint64_t manifestBytes = 0;                ///< Size of the manifest's file.
   };
   /// Which segments a manifest is to list.
   enum class ManifestScope { allSegments, sealedSegments };
 
+  /// All references must outlive this.
   SegmentCatalog(Disk& disk, FolderUsage& usage, const StoreState& state)
       : disk_(disk), usage_(usage), state_(state) {}
 
+  /// Takes over what recovery found; call once, before everything else.
   void restore(Contents contents) { contents_ = std::move(contents); }
 
+  /// Of the open store.
   StoreId storeId() const { return contents_.storeId; }
+  /// Of the next record.
   SequenceNumber nextSequence() const { return contents_.nextSequence; }
   /// Returns the next sequence number, which is used with that.
   SequenceNumber takeSequence();
+  /// Remembers a sweep that is durable.
   void addSweep(ExpirySweep sweep) { contents_.sweeps.add(sweep); }
 
   /// The segment that is being written for this role; null where there is none.
   SegmentWriter* writer(SegmentRole role) { return writerSlot(role).get(); }
+  /// The same for reading.
   const SegmentWriter* writer(SegmentRole role) const {
     return role == SegmentRole::commits ? commitWriter_.get() : compactionWriter_.get();
   }
@@ -78,13 +84,16 @@
   /// Ends the segment of this role, which must have one.
   void seal(SegmentRole role, SegmentTrust trust);
 
+  /// By their numbers.
   const std::map<SegmentNumber, SealedSegment>& sealedSegments() const { return contents_.sealed; }
   /// Null where that segment is not sealed.
   SealedSegment* findSealed(SegmentNumber number);
+  /// Whether any segment still has to be written anew.
   bool hasUntrustedSegment() const;
   /// Takes a sealed segment out of the manifest, then removes its files. On an error it stays.
   DiskError removeSealed(SegmentNumber number);
 
+  /// What the manifest says at present.
   Manifest manifest(ManifestScope scope) const;
   /// Replaces the manifest on disk.
   DiskError writeManifest();
--- a/src/store/segment_file_cache.h
+++ b/src/store/segment_file_cache.h
@@ -16,8 +16,10 @@
 /// evicted stays readable for whoever holds it.
 class SegmentFileCache {
  public:
+  /// The disk must outlive this.
   SegmentFileCache(Disk& disk, std::uint64_t maxOpenFiles) : disk_(disk), maxOpenFiles_(maxOpenFiles) {}
 
+  /// Opens the segment's file, or returns the one that is open.
   Disk::OpenResult open(SegmentNumber number);
   /// Call after the file has lost its name, or a reader could open it once more.
   void evict(SegmentNumber number);
--- a/src/store/segment_writer.h
+++ b/src/store/segment_writer.h
@@ -18,9 +18,10 @@
 /// the acknowledged record before it. Belongs to the writer's thread; keeps FolderUsage up to date.
 class SegmentWriter {
  public:
+  /// How the creation of a segment ended.
   struct CreateResult {
     std::unique_ptr<SegmentWriter> segment;  ///< Null with an error.
-    DiskError error;
+    DiskError error;                         ///< Why there is none.
   };
   /// Creates both files with their headers; the directory is not synced yet. Where the hint file can't be
   /// created the segment goes without, and the next start creates it.
@@ -30,6 +31,7 @@
   RecordLocation append(const Record& record);
   /// Writes what was appended. On an error all of it is dropped and the file truncated to before.
   DiskError flush();
+  /// What was flushed is durable once this succeeds.
   DiskError sync() { return file_->sync(); }
   /// A hint to the system to write back what was flushed.
   void startWriteback() { file_->startWriteback(); }
@@ -40,14 +42,17 @@
   /// Ends the hint file; the segment takes no more. Nothing is lost where this fails.
   void seal();
 
+  /// Which segment.
   SegmentNumber number() const { return header_.segment; }
   /// Of the segment's file.
   std::uint64_t bytes() const { return writtenBytes_; }
   /// What counts of the file; behind it may stand what failed.
   std::uint64_t committedBytes() const { return committedBytes_; }
+  /// Of the hint file.
   std::uint64_t hintBytes() const { return hintBytes_; }
   /// Of both files once everything that waits has been written and the segment is sealed.
   std::uint64_t projectedBytes() const;
+  /// The highest of all records that were appended.
   SequenceNumber lastSequence() const { return lastSequence_; }
   /// A failed write could not be truncated: nothing more may go in.
   bool isBroken() const { return isBroken_; }
--- a/src/store/status.h
+++ b/src/store/status.h
@@ -6,6 +6,7 @@
 
 namespace rainhook::store {
 
+/// Why a call failed.
 enum class StoreErrorCode {
   none,
   storeFull,        ///< No room under the limits, and none could be made.
@@ -18,10 +19,12 @@
   invalidArgument,  ///< The call makes no sense as it is.
 };
 
+/// How a call ended; a failure must not be dropped.
 struct [[nodiscard]] StoreStatus {
-  StoreErrorCode code = StoreErrorCode::none;
-  std::string message;  ///< For people: which file, which limit, which process.
+  StoreErrorCode code = StoreErrorCode::none;  ///< Why it failed.
+  std::string message;                         ///< For people: which file, which limit, which process.
 
+  /// Whether it succeeded.
   bool isOk() const { return code == StoreErrorCode::none; }
 };
 
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -35,11 +35,12 @@
   /// Called on the writer's thread and on those that read.
   using Clock = std::function<UnixTime()>;
 
+  /// Counters since the store was opened.
   struct Statistics {
-    StoreStatistics log;  ///< Of the LogStructuredStore.
-    std::uint64_t queueBytes = 0;
-    std::uint64_t peakQueueBytes = 0;
-    std::uint64_t rejectedCalls = 0;  ///< Because the queue was full.
+    StoreStatistics log;               ///< Of the LogStructuredStore.
+    std::uint64_t queueBytes = 0;      ///< What is pending at present.
+    std::uint64_t peakQueueBytes = 0;  ///< The most that was pending.
+    std::uint64_t rejectedCalls = 0;   ///< Because the queue was full.
   };
 
   /// Owns the disk. `log` receives lines on any of these threads.
@@ -57,6 +58,7 @@
   /// Accepts a write or refuses it at once (queueFull, entryTooLarge, invalidArgument, closed); `onDone` is
   /// called only where it was accepted.
   StoreStatus put(std::string key, std::string value, UnixTime expiry, StatusCallback onDone);
+  /// The same for an erasure; it succeeds also where there is nothing to erase.
   StoreStatus erase(std::string key, StatusCallback onDone);
   /// What was put and has not been refused since, or what is on the disk. May wait for a read of the disk.
   ReadResult get(std::string_view key) const;
@@ -67,7 +69,9 @@
   ScanPage scanByKey(std::string_view from, ScanStart start, std::size_t maxRows) const;
   /// The oldest entries first, beginning after the cursor.
   ScanPage scanByAge(const std::optional<KeyIndex::AgeCursor>& cursor, std::size_t maxRows) const;
+  /// Counters since `open`, and the present size.
   Statistics statistics() const;
+  /// Of the open store.
   StoreId id() const { return store_.id(); }
 
   /// Copies the store into an empty folder while writes go on.
--- a/src/store/store_settings.h
+++ b/src/store/store_settings.h
@@ -6,6 +6,7 @@
 
 namespace rainhook::store {
 
+/// All sizes in bytes.
 struct StoreSettings {
   std::uint64_t maxDiskBytes = 256 << 20;   ///< The whole folder, at every moment.
   std::uint64_t maxIndexBytes = 64 << 20;   ///< Memory of the index, as KeyIndex::memoryBytes counts it.
@@ -18,6 +19,7 @@
   std::uint64_t minCompressedValueBytes = 512;     ///< Shorter values are stored uncompressed.
   std::uint64_t maxCommitWrites = 1024;            ///< Writes in one group commit; 1 syncs each on its own.
 
+  /// Compares all members.
   bool operator==(const StoreSettings&) const = default;
 };
 
--- a/src/store/store_state.h
+++ b/src/store/store_state.h
@@ -16,20 +16,20 @@
 
 /// A record as the index knows it, without its place.
 struct RecordId {
-  std::string key;
-  SequenceNumber sequence{};
+  std::string key;            ///< Its key.
+  SequenceNumber sequence{};  ///< Its place in the order of writing.
 };
 
 /// A record that a read has found to be corrupt.
 struct CorruptRecord {
-  SegmentNumber segment{};
-  RecordId record;
+  SegmentNumber segment{};  ///< Where it stands.
+  RecordId record;          ///< Which record.
 };
 
 /// Hold `mutex` for all of it. Only the writer raises the floor of the index, so it may read that without.
 struct StoreState {
-  mutable std::mutex mutex;
-  KeyIndex index;
+  mutable std::mutex mutex;    ///< Over all that follows.
+  KeyIndex index;              ///< Of all keys.
   StoreStatistics statistics;  ///< Without the present size, which is computed on demand.
   /// The latest time by which something was seen as expired and no record on disk says so yet.
   std::optional<UnixTime> unrecordedExpiry;
