--- a/src/commands/store_command.cpp
+++ b/src/commands/store_command.cpp
@@ -6,6 +6,7 @@
 #include <cstdio>
 #include <iostream>
 
+#include "commands/command_line.h"
 #include "commands/commands.h"
 #include "commands/store_dump_commands.h"
 #include "commands/store_entry_commands.h"
@@ -37,7 +38,7 @@
   po::options_description out("options of store");
   out.add_options()("dir", po::value<std::string>(),
                     "the store's folder; made by put and load where it is absent")(
-      "options", po::value<std::string>()->default_value(fromEnvironment("RAINHOOK_OPTIONS")),
+      "options", po::value<std::string>()->default_value(environmentVariable("RAINHOOK_OPTIONS")),
       "our own settings, for the store's bounds, and for its folder where --dir is absent")(
       "command", po::value<std::string>(), "what to do, as the first word")(
       "key", po::value<std::string>(), "the key, also as the word behind the command")(
@@ -63,28 +64,28 @@
   if (command == "dump") return dumpStore(session);
   if (command == "load") return loadStore(session);
   if (command == "snapshot") {
-    if (!options.count("to")) throw Misuse("store snapshot: --to is missing");
+    if (!options.count("to")) throw UsageError("store snapshot: --to is missing");
     return snapshotStore(session, options["to"].as<std::string>());
   }
-  throw Misuse("unknown command 'store " + command + "'");
+  throw UsageError("unknown command 'store " + command + "'");
 }
 
 }  // namespace
 
-int store(const Words& words) {
-  const auto options = read(words, describeOptions(), {"command", "key"});
+int store(const Arguments& arguments) {
+  const auto options = parseArguments(arguments, describeOptions(), {"command", "key"});
   const auto command = options.count("command") ? options["command"].as<std::string>() : std::string();
-  if (words.empty() || options.count("help") || command == "help") {
+  if (arguments.empty() || options.count("help") || command == "help") {
     std::cout << usage << describeOptions();
-    return words.empty() ? misused : fine;
+    return arguments.empty() ? exitUsageError : exitSuccess;
   }
-  if (command.empty()) throw Misuse("store: no command is given");
+  if (command.empty()) throw UsageError("store: no command is given");
   StoreSession session(options);
   try {
     return runSubCommand(command, options, session);
   } catch (const StoreCommandError& error) {
     fmt::print(stderr, "rainhook: store: {}\n", error.what());
-    return faulty;
+    return exitStoreError;
   }
 }
 
--- a/src/commands/store_dump_commands.cpp
+++ b/src/commands/store_dump_commands.cpp
@@ -72,13 +72,13 @@
 
 int dumpStore(StoreSession& session) {
   store::Store& store = session.openStore();
-  int status = fine;
+  int status = exitSuccess;
   forEachEntry(store, ListOrder::byAge, [&](const store::ScanPage::Row& row) {
     const auto read = store.get(row.key);
     if (!read.value) {
       if (read.status.isOk()) return;
       fmt::print(stderr, "store: {}\n", read.status.message);
-      status = damaged;
+      status = exitDamaged;
       return;
     }
     nlohmann::json line{{keyField, encodeBase64(row.key)}, {valueField, encodeBase64(*read.value)}};
@@ -109,7 +109,7 @@
   store.waitUntilIdle();
   requireSuccess(lastFailure);
   fmt::print("{} entries are on the disk\n", durableEntries);
-  return fine;
+  return exitSuccess;
 }
 
 }  // namespace rainhook::commands
--- a/src/commands/store_dump_commands.h
+++ b/src/commands/store_dump_commands.h
@@ -6,7 +6,7 @@
 
 namespace rainhook::commands {
 
-/// Writes the entries to standard output, the oldest first; the status `damaged` where one can't be read.
+/// Writes the entries to standard output, the oldest first; the status exitDamaged where one can't be read.
 int dumpStore(StoreSession& session);
 /// Puts the entries that standard input holds.
 int loadStore(StoreSession& session);
--- a/src/commands/store_entry_commands.cpp
+++ b/src/commands/store_entry_commands.cpp
@@ -68,16 +68,16 @@
   }
   store.waitUntilIdle();
   requireSuccess(lastFailure);
-  return fine;
+  return exitSuccess;
 }
 
 int getEntry(StoreSession& session) {
   const std::string key = session.key();
   const auto read = session.openStore().get(key);
   requireSuccess(read.status);
-  if (!read.value) return absent;
+  if (!read.value) return exitNotFound;
   std::cout << *read.value << std::flush;
-  return fine;
+  return exitSuccess;
 }
 
 int eraseEntry(StoreSession& session) {
@@ -88,7 +88,7 @@
       [&] { return store.erase(key, [&](const StoreStatus& status) { outcome = status; }); });
   store.waitUntilIdle();
   requireSuccess(outcome);
-  return fine;
+  return exitSuccess;
 }
 
 int listEntries(StoreSession& session, ListOrder order, ListFormat format) {
@@ -102,7 +102,7 @@
     std::cout << '\n';
   });
   std::cout << std::flush;
-  return fine;
+  return exitSuccess;
 }
 
 }  // namespace rainhook::commands
--- a/src/commands/store_entry_commands.h
+++ b/src/commands/store_entry_commands.h
@@ -1,6 +1,6 @@
 /// @file
 /// The sub-commands of `rainhook store` on single entries and lists of them. Each returns the status to end
-/// with and throws StoreCommandError or Misuse.
+/// with and throws StoreCommandError or UsageError.
 #pragma once
 
 #include <functional>
@@ -22,7 +22,7 @@
 
 /// `put`: writes one value or many lines; returns once they are durable.
 int putEntries(StoreSession& session, PutInput input);
-/// `get`: prints the value; the status `absent` where there is none.
+/// `get`: prints the value; the status exitNotFound where there is none.
 int getEntry(StoreSession& session);
 /// `erase`: returns once the erasure is durable.
 int eraseEntry(StoreSession& session);
--- a/src/commands/store_maintenance_commands.cpp
+++ b/src/commands/store_maintenance_commands.cpp
@@ -38,7 +38,7 @@
       {"failed_syncs", statistics.failedSyncs},
   };
   for (const auto& [name, value] : rows) fmt::print("{}={}\n", name, value);
-  return fine;
+  return exitSuccess;
 }
 
 int verifyStore(const StoreSession& session) {
@@ -56,7 +56,7 @@
   for (const auto& finding : report.damage) print("damage", finding);
   fmt::print("{} segments, {} records, {} bytes, {} damaged places\n", report.segments, report.records,
              report.bytes, report.damage.size());
-  return report.damage.empty() ? fine : damaged;
+  return report.damage.empty() ? exitSuccess : exitDamaged;
 }
 
 int compactStore(StoreSession& session) {
@@ -67,7 +67,7 @@
   store.waitUntilIdle();
   requireSuccess(outcome);
   fmt::print("{} bytes before, {} after\n", bytesBefore, store.statistics().log.folderBytes);
-  return fine;
+  return exitSuccess;
 }
 
 int snapshotStore(StoreSession& session, const std::string& destination) {
@@ -77,7 +77,7 @@
                                 [&](const StoreStatus& status) { outcome = status; }));
   store.waitUntilIdle();
   requireSuccess(outcome);
-  return fine;
+  return exitSuccess;
 }
 
 }  // namespace rainhook::commands
--- a/src/commands/store_maintenance_commands.h
+++ b/src/commands/store_maintenance_commands.h
@@ -11,7 +11,7 @@
 
 /// Prints name=value lines. The names are part of the command line.
 int printStoreStatistics(StoreSession& session);
-/// Reads everything without opening the store; the status `damaged` where something is.
+/// Reads everything without opening the store; the status exitDamaged where something is.
 int verifyStore(const StoreSession& session);
 /// Writes every segment anew that holds anything dead, and prints what that gained.
 int compactStore(StoreSession& session);
--- a/src/commands/store_session.cpp
+++ b/src/commands/store_session.cpp
@@ -35,13 +35,13 @@
 std::string readAllInput(std::istream& in) { return {std::istreambuf_iterator<char>(in), {}}; }
 
 StoreSession::StoreSession(const boost::program_options::variables_map& options) : options_(options) {
-  const auto ownSettings = options::readOptionsFile(options["options"].as<std::string>());
-  if (ownSettings.store) {
-    folder_ = ownSettings.store->folder;
-    settings_ = ownSettings.store->bounds;
+  const auto ownOptions = options::readOptionsFile(options["options"].as<std::string>());
+  if (ownOptions.store) {
+    folder_ = ownOptions.store->folder;
+    settings_ = ownOptions.store->bounds;
   }
   if (options.count("dir")) folder_ = options["dir"].as<std::string>();
-  if (folder_.empty()) throw Misuse("store: --dir is missing");
+  if (folder_.empty()) throw UsageError("store: --dir is missing");
 }
 
 store::Store& StoreSession::openStore() {
@@ -54,14 +54,15 @@
 }
 
 std::string StoreSession::key() const {
-  if (!options_.count("key")) throw Misuse("store: the key is missing");
+  if (!options_.count("key")) throw UsageError("store: the key is missing");
   return options_["key"].as<std::string>();
 }
 
 store::UnixTime StoreSession::expiry() const {
   if (!options_.count("for")) return store::neverExpires;
   const auto seconds = options_["for"].as<std::uint64_t>();
-  if (seconds == 0 || seconds > maxExpirySeconds) throw Misuse("store: --for takes 1 to 3162240000 seconds");
+  if (seconds == 0 || seconds > maxExpirySeconds)
+    throw UsageError("store: --for takes 1 to 3162240000 seconds");
   return systemTime() + std::chrono::seconds(seconds);
 }
 
--- a/src/commands/store_session.h
+++ b/src/commands/store_session.h
@@ -16,7 +16,7 @@
 
 namespace rainhook::commands {
 
-/// A failure of the store, or input that it can't take; ends the command with the status `faulty`.
+/// A failure of the store, or input that it can't take; ends the command with exitStoreError.
 struct StoreCommandError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
@@ -29,7 +29,7 @@
 /// A store that is open for the time of one command. Its log lines go to standard error.
 class StoreSession {
  public:
-  /// Throws Misuse where no folder is given, neither as an option nor in our own settings.
+  /// Throws UsageError where no folder is given, neither as an option nor in our own settings.
   explicit StoreSession(const boost::program_options::variables_map& options);
 
   /// The store's folder.
@@ -37,9 +37,9 @@
   /// Opens the store at the first call; throws StoreCommandError where that fails.
   store::Store& openStore();
 
-  /// The option `key`; throws Misuse where it is absent.
+  /// The option `key`; throws UsageError where it is absent.
   std::string key() const;
-  /// The time that the option `for` asks for; throws Misuse where it is out of range.
+  /// The time that the option `for` asks for; throws UsageError where it is out of range.
   store::UnixTime expiry() const;
 
   /// Repeats a call while the queue is full, as a command may wait; throws StoreCommandError for other
--- a/src/options/failover_options.h
+++ b/src/options/failover_options.h
@@ -13,7 +13,7 @@
 
 /// Reads the keys zones, costs, in-region, beyond, margin, look and step of a section that may hold more.
 /// Throws OptionsError.
-[[nodiscard]] failover::FailoverSettings readFailoverSettings(Section& section);
+[[nodiscard]] failover::FailoverSettings readFailoverSettings(YamlSection& section);
 
 /// What `rainhook failover plan` computes a plan from.
 struct PlanningScenario {
--- a/src/pools/pool_limiter.cpp
+++ b/src/pools/pool_limiter.cpp
@@ -2,7 +2,7 @@
 
 #include <cmath>
 
-#include "decision/decision.h"
+#include "decision/fuzzy_rules.h"
 
 namespace rainhook::pools {
 namespace {
--- a/tests/fleet/persisted_state.h
+++ b/tests/fleet/persisted_state.h
@@ -7,7 +7,7 @@
 #include <string>
 #include <vector>
 
-#include "fleet/together.h"
+#include "fleet/converged_fleet.h"
 
 namespace rainhook::fleet {
 
