--- a/src/options/store_options.cpp
+++ b/src/options/store_options.cpp
@@ -19,13 +19,13 @@
 constexpr std::uint64_t minEntriesInSegment = 4;
 constexpr std::uint64_t minEntriesInQueue = 2;
 
-void checkProportions(const YamlSection& section, const store::StoreBounds& bounds) {
-  if (bounds.segmentBytes > bounds.diskBytes / minSegmentsOnDisk)
+void checkProportions(const YamlSection& section, const store::StoreSettings& bounds) {
+  if (bounds.maxSegmentBytes > bounds.maxDiskBytes / minSegmentsOnDisk)
     section.reject("segment_bytes", "is over an eighth of disk_bytes");
-  const std::uint64_t entryBytes = bounds.longestKey + bounds.longestValue;
-  if (entryBytes > bounds.segmentBytes / minEntriesInSegment)
+  const std::uint64_t entryBytes = bounds.maxKeyBytes + bounds.maxValueBytes;
+  if (entryBytes > bounds.maxSegmentBytes / minEntriesInSegment)
     section.reject("longest_value", "is, with longest_key, over a quarter of segment_bytes");
-  if (entryBytes > bounds.queueBytes / minEntriesInQueue)
+  if (entryBytes > bounds.maxQueueBytes / minEntriesInQueue)
     section.reject("longest_value", "is, with longest_key, over half of queue_bytes");
 }
 
@@ -33,18 +33,19 @@
 
 StoreOptions readStoreOptions(YamlSection section) {
   StoreOptions options;
-  store::StoreBounds& bounds = options.bounds;
+  store::StoreSettings& bounds = options.bounds;
   options.folder = section.text("folder");
-  bounds.diskBytes = section.bytes("disk_bytes", bounds.diskBytes, 256 * kib, 1024 * gib);
-  bounds.segmentBytes = section.bytes("segment_bytes", bounds.segmentBytes, 16 * kib, gib);
-  bounds.indexBytes = section.bytes("index_bytes", bounds.indexBytes, 64 * kib, 64 * gib);
-  bounds.queueBytes = section.bytes("queue_bytes", bounds.queueBytes, 4 * kib, gib);
-  bounds.longestKey = section.bytes("longest_key", bounds.longestKey, 1, maxKeyBytes);
-  bounds.longestValue = section.bytes("longest_value", bounds.longestValue, 1, 256 * mib);
-  bounds.openFiles = section.count("open_files", bounds.openFiles, minOpenFiles, maxOpenFiles);
-  bounds.stepBytes = section.bytes("step_bytes", bounds.stepBytes, 4 * kib, 16 * mib);
-  bounds.compressFrom = section.bytes("compress_from", bounds.compressFrom, 64, 256 * mib);
-  bounds.commitMost = section.count("commit_most", bounds.commitMost, 1, maxCommitWrites);
+  bounds.maxDiskBytes = section.bytes("disk_bytes", bounds.maxDiskBytes, 256 * kib, 1024 * gib);
+  bounds.maxSegmentBytes = section.bytes("segment_bytes", bounds.maxSegmentBytes, 16 * kib, gib);
+  bounds.maxIndexBytes = section.bytes("index_bytes", bounds.maxIndexBytes, 64 * kib, 64 * gib);
+  bounds.maxQueueBytes = section.bytes("queue_bytes", bounds.maxQueueBytes, 4 * kib, gib);
+  bounds.maxKeyBytes = section.bytes("longest_key", bounds.maxKeyBytes, 1, maxKeyBytes);
+  bounds.maxValueBytes = section.bytes("longest_value", bounds.maxValueBytes, 1, 256 * mib);
+  bounds.maxOpenFiles = section.count("open_files", bounds.maxOpenFiles, minOpenFiles, maxOpenFiles);
+  bounds.maintenanceStepBytes = section.bytes("step_bytes", bounds.maintenanceStepBytes, 4 * kib, 16 * mib);
+  bounds.minCompressedValueBytes =
+      section.bytes("compress_from", bounds.minCompressedValueBytes, 64, 256 * mib);
+  bounds.maxCommitWrites = section.count("commit_most", bounds.maxCommitWrites, 1, maxCommitWrites);
   section.rejectUnknownKeys();
   checkProportions(section, bounds);
   return options;
