--- a/src/server/request_server.cpp
+++ b/src/server/request_server.cpp
@@ -54,7 +54,7 @@
                {forBalancers(place_.maxDescriptors), megabytes(place_.memoryMb) / 8}),
       servers_(reactor, pool_, log, *this, addressOf(place_.downstream), forCalls(place_.maxDescriptors)),
       engine_(reactor, pool_, log, *this, net::Connection::Address(place_.engine)),
-      marks_(megabytes(place_.memoryMb) / 8, longestWait(facts_)) {
+      marks_({megabytes(place_.memoryMb) / 8, longestWait(facts_), facts_.resultSharing.sharingDuration}) {
   if (const auto address = addressOf(place_.registry))
     list_ = std::make_unique<peers::RegistryClient>(reactor, pool_, log, *address, place_.name, chance());
 }
@@ -133,7 +133,7 @@
 
 void RequestServer::endTurn() {
   if (!module_ || (happened_.empty() && !std::exchange(fresh_, false))) return;
-  marks_.turnEnds();
+  marks_.onIterationEnd();
   marks_.expire(std::chrono::system_clock::now());
   const auto happened = std::exchange(happened_, {});
   for (const auto& action : module_->onEvents(sinceOpened(), happened))
@@ -147,26 +147,26 @@
     log_.message(logging::LogCategory::clients, "{} reqs in hand: no more are taken", table_.size());
     return "too many reqs in hand";
   }
-  if (table_.named(req.name)) {
+  if (table_.findByName(req.name)) {
     log_.message(logging::LogCategory::clients, "a req whose name is in hand already: {}", req.name);
     return "its id is in hand already";
   }
   const RequestId id{++reqs_};
   std::optional<RequestId> repeats;
   if (const auto key = DeduplicationCache::keyOf(req, facts_.handlerPolicies)) {
-    const auto known =
-        marks_.firstOf(*key, DeduplicationCache::contentOf(req), id, req.readAt - req.readDelay, req.readAt,
-                       facts_.resultSharing.sharingDuration);
-    if (known.conflicts) {
+    const auto known = marks_.findOriginalOrRegister(
+        *key, DeduplicationCache::fingerprintOf(req),
+        {.id = id, .arrivedAt = req.readAt - req.readDelay, .readAt = req.readAt});
+    if (known.hasConflictingPayload) {
       log_.message(logging::LogCategory::clients, "a repeat whose first had another content: {}", req.name);
       return otherContent;
     }
-    repeats = known.first;
+    repeats = known.original;
   }
   openModule(true, 0s);
   ++counts_.read, counts_.unread += req.readDelay;
   enter(id, req, repeats);
-  table_.add(id, std::move(req)).repeats = repeats;
+  table_.add(id, std::move(req)).duplicateOf = repeats;
   return id;
 }
 
@@ -203,70 +203,73 @@
 
 void RequestServer::onExecutionEnded(const std::string& name, Outcome outcome, Duration took,
                                      std::string&& result) {
-  const auto id = table_.named(name);
+  const auto id = table_.findByName(name);
   if (!id) return;
   InFlightRequest& req = *table_.find(*id);
-  if (req.course < RequestState::running) return;
+  if (req.state < RequestState::executing) return;
   servers_.cancel(*id);
-  const bool wasOwed = req.owed;
+  const bool wasOwed = req.isResponsePending;
   if (outcome != Outcome::cancelled) {
     // A run that never was ends a req that the engine takes for over; one answer more does no harm.
     if (wasOwed && outcome == Outcome::completed)
-      ++counts_.done, clients_.sendResult(req.req.response, result);
+      ++counts_.done, clients_.sendResult(req.request.response, result);
     if (wasOwed && outcome != Outcome::completed)
-      ++counts_.errored, clients_.sendFailure(req.req.response, "failed");
-    req.owed = false;
+      ++counts_.errored, clients_.sendFailure(req.request.response, "failed");
+    req.isResponsePending = false;
   }
   tell(ExecutionEnded{*id, outcome, took});
   if (outcome == Outcome::superseded) neverRan(*id);
   if (outcome != Outcome::cancelled || !wasOwed)
-    firstEnded(
-        *id, outcome == Outcome::completed ? DeduplicationCache::End::done : DeduplicationCache::End::errored,
-        result);
-  if (req.owed && outcome == Outcome::cancelled) {  // back in the hold
-    req.course = RequestState::held;
-    req.said = InFlightRequest::Said::nothing;
+    firstEnded(*id,
+               outcome == Outcome::completed ? DeduplicationCache::OriginalState::completed
+                                             : DeduplicationCache::OriginalState::failed,
+               result);
+  if (req.isResponsePending && outcome == Outcome::cancelled) {  // back in the hold
+    req.state = RequestState::queued;
+    req.lastCommand = EngineCommand::none;
     return;
   }
-  table_.drop(*id);
+  table_.remove(*id);
 }
 
 void RequestServer::onDownstreamCallRequested(const std::string& name, std::uint64_t notice,
                                               std::string&& body) {
-  const auto id = table_.named(name);
+  const auto id = table_.findByName(name);
   if (!id) return;
   InFlightRequest& req = *table_.find(*id);
-  if (req.course < RequestState::running) return;
-  req.course = RequestState::wantsCall;
-  req.said = InFlightRequest::Said::nothing;
-  req.notice = notice;
-  req.reply = std::move(body);
+  if (req.state < RequestState::executing) return;
+  req.state = RequestState::wantsDownstreamCall;
+  req.lastCommand = EngineCommand::none;
+  req.callNotificationId = notice;
+  req.downstreamPayload = std::move(body);
   tell(DownstreamCallRequested{*id});
 }
 
 void RequestServer::onDownstreamCallEnded(RequestId id, Outcome outcome, Duration took, std::string&& reply) {
   InFlightRequest* req = table_.find(id);
-  if (!req || req->course != RequestState::calling) return;
+  if (!req || req->state != RequestState::callingDownstream) return;
   counts_.callsDone += outcome == Outcome::completed;
   tell(DownstreamCallEnded{id, outcome, took});
   if (outcome != Outcome::completed) {
-    req->course = RequestState::wantsCall;
+    req->state = RequestState::wantsDownstreamCall;
     return;
   }
-  req->course = RequestState::running;
-  req->reply = std::move(reply);
-  say(*req, InFlightRequest::Said::deliver);
+  req->state = RequestState::executing;
+  req->downstreamPayload = std::move(reply);
+  say(*req, EngineCommand::deliverReply);
 }
 
-void RequestServer::say(InFlightRequest& req, InFlightRequest::Said what) {
-  const std::string& name = req.req.name;
-  req.said = what;
-  req.saidAt = net::Reactor::Clock::now();
-  if (what == InFlightRequest::Said::launch)
-    req.sent = engine_.startExecution(name, facts_.handlerNames[static_cast<std::size_t>(req.req.handler)],
-                                      req.req.body);
-  if (what == InFlightRequest::Said::deliver) req.sent = engine_.deliverReply(name, req.reply);
-  if (what == InFlightRequest::Said::forgo) req.sent = engine_.continueWithoutReply(name, req.notice);
+void RequestServer::say(InFlightRequest& req, EngineCommand what) {
+  const std::string& name = req.request.name;
+  req.lastCommand = what;
+  req.lastCommandAt = net::Reactor::Clock::now();
+  if (what == EngineCommand::startExecution)
+    req.wasCommandSent = engine_.startExecution(
+        name, facts_.handlerNames[static_cast<std::size_t>(req.request.handler)], req.request.body);
+  if (what == EngineCommand::deliverReply)
+    req.wasCommandSent = engine_.deliverReply(name, req.downstreamPayload);
+  if (what == EngineCommand::continueWithoutReply)
+    req.wasCommandSent = engine_.continueWithoutReply(name, req.callNotificationId);
 }
 
 // A new link. What the engine may not have read is said again; but a run that must not be doubled, and may
@@ -274,17 +277,19 @@
 void RequestServer::onNotificationsCaughtUp() {
   std::vector<RequestId> unsure;
   for (const auto& [id, req] : table_.all())
-    if (req.said != InFlightRequest::Said::nothing && (!req.sent || engine_.mayBeLost(req.saidAt)))
+    if (req.lastCommand != EngineCommand::none &&
+        (!req.wasCommandSent || engine_.mayBeLost(req.lastCommandAt)))
       unsure.push_back(id);
   for (const RequestId id : unsure) {
     InFlightRequest& req = *table_.find(id);
-    const bool replayable = facts_.handlerPolicies[static_cast<std::size_t>(req.req.handler)].idempotency ==
-                            Idempotency::idempotent;
-    if (req.said != InFlightRequest::Said::launch || replayable || !req.sent)
-      say(req, req.said);
+    const bool replayable =
+        facts_.handlerPolicies[static_cast<std::size_t>(req.request.handler)].idempotency ==
+        Idempotency::idempotent;
+    if (req.lastCommand != EngineCommand::startExecution || replayable || !req.wasCommandSent)
+      say(req, req.lastCommand);
     else
-      onExecutionEnded(std::string(req.req.name), Outcome::failed, net::Reactor::Clock::now() - req.since,
-                       {});
+      onExecutionEnded(std::string(req.request.name), Outcome::failed,
+                       net::Reactor::Clock::now() - req.stateSince, {});
   }
   if (!unsure.empty())
     log_.message(logging::LogCategory::engine, "{} reqs were told to the engine again", unsure.size());
@@ -297,11 +302,11 @@
 // Nothing of this req runs there any more. One whose launch was refused never began: no repeat is to wait for
 // what it never did.
 void RequestServer::onCommandRejected(const std::string& name, const std::string& command) {
-  const auto id = table_.named(name);
-  if (!id || table_.find(*id)->course < RequestState::running) return;
+  const auto id = table_.findByName(name);
+  if (!id || table_.find(*id)->state < RequestState::executing) return;
   if (command == "launch") neverRan(*id);
-  onExecutionEnded(std::string(name), Outcome::failed, net::Reactor::Clock::now() - table_.find(*id)->since,
-                   {});
+  onExecutionEnded(std::string(name), Outcome::failed,
+                   net::Reactor::Clock::now() - table_.find(*id)->stateSince, {});
 }
 
 void RequestServer::ring(std::uint64_t question, const std::vector<double>& values) {
@@ -316,24 +321,24 @@
 // Actions of the module.
 void RequestServer::perform(const StartExecution& action) {
   InFlightRequest* req = table_.find(action.id);
-  if (!req || req->course != RequestState::held) return;
-  req->course = RequestState::running;
-  req->started = true;
-  req->since = net::Reactor::Clock::now();
-  say(*req, InFlightRequest::Said::launch);
+  if (!req || req->state != RequestState::queued) return;
+  req->state = RequestState::executing;
+  req->wasStarted = true;
+  req->stateSince = net::Reactor::Clock::now();
+  say(*req, EngineCommand::startExecution);
 }
 void RequestServer::perform(const ShedRequest& action) {
   InFlightRequest* req = table_.find(action.id);
-  if (!req || !req->owed) return;
+  if (!req || !req->isResponsePending) return;
   ++counts_.shed;
-  clients_.sendShed(req->req.response, action.retryAfter, action.discourageRetry);
+  clients_.sendShed(req->request.response, action.retryAfter, action.discourageRetry);
   settled(action.id, *req);
 }
 void RequestServer::perform(const FailRequest& action) {
   InFlightRequest* req = table_.find(action.id);
-  if (!req || !req->owed) return;
+  if (!req || !req->isResponsePending) return;
   ++counts_.errored;
-  clients_.sendFailure(req->req.response, "given up");
+  clients_.sendFailure(req->request.response, "given up");
   settled(action.id, *req);
 }
 // The engine's protocol has no word to stop a run, so a run that is no longer wanted goes on until it ends or
@@ -341,34 +346,36 @@
 void RequestServer::perform(const CancelExecution&) {}
 void RequestServer::perform(const CallDownstream& action) {
   InFlightRequest* req = table_.find(action.id);
-  if (!req || req->course != RequestState::wantsCall) return;
-  req->course = RequestState::calling;
+  if (!req || req->state != RequestState::wantsDownstreamCall) return;
+  req->state = RequestState::callingDownstream;
   ++counts_.calls;
-  servers_.call(action.id, req->req.name, action.timeout, req->reply);
+  servers_.call(action.id, req->request.name, action.timeout, req->downstreamPayload);
 }
 void RequestServer::perform(const SkipDownstreamCall& action) {
   InFlightRequest* req = table_.find(action.id);
-  if (!req || req->course != RequestState::wantsCall) return;
-  req->course = RequestState::running;
-  say(*req, InFlightRequest::Said::forgo);
+  if (!req || req->state != RequestState::wantsDownstreamCall) return;
+  req->state = RequestState::executing;
+  say(*req, EngineCommand::continueWithoutReply);
 }
 void RequestServer::perform(const RetainResult& action) {
   const InFlightRequest* req = table_.find(action.id);
   if (!req) return;
-  if (const auto key = DeduplicationCache::keyOf(req->req, facts_.handlerPolicies))
-    marks_.keep(*key, DeduplicationCache::contentOf(req->req), action.id, req->req.readAt + action.retention);
+  if (const auto key = DeduplicationCache::keyOf(req->request, facts_.handlerPolicies))
+    marks_.retain(*key, DeduplicationCache::fingerprintOf(req->request), action.id,
+                  req->request.readAt + action.retention);
 }
 void RequestServer::perform(const DropResult& action) { neverRan(action.id); }
 void RequestServer::perform(const AnswerFromOriginal& action) {
   InFlightRequest* req = table_.find(action.id);
   if (!req) return;
-  const auto* kept = req->repeats ? marks_.find(*req->repeats) : nullptr;
-  req->course = RequestState::waitingForFirst;
-  req->since = net::Reactor::Clock::now();
-  if (!kept && req->repeats && neverRan_.contains(*req->repeats)) return readAnew(action.id);
-  if (!kept) return answerFrom(action.id, *req, DeduplicationCache::End::errored, {});
-  if (kept->end != DeduplicationCache::End::none) return answerFrom(action.id, *req, kept->end, kept->result);
-  table_.waitFor(*req->repeats, action.id);
+  const auto* kept = req->duplicateOf ? marks_.find(*req->duplicateOf) : nullptr;
+  req->state = RequestState::awaitingOriginal;
+  req->stateSince = net::Reactor::Clock::now();
+  if (!kept && req->duplicateOf && neverRan_.contains(*req->duplicateOf)) return readAnew(action.id);
+  if (!kept) return answerFrom(action.id, *req, DeduplicationCache::OriginalState::failed, {});
+  if (kept->state != DeduplicationCache::OriginalState::pending)
+    return answerFrom(action.id, *req, kept->state, kept->result);
+  table_.awaitOriginal(*req->duplicateOf, action.id);
 }
 void RequestServer::perform(const PublishHealth& action) {
   clients_.setHealth(action.healthy);
@@ -393,57 +400,60 @@
 
 // No answer is owed any more. What has not started is over; a run that stands at a call ends there.
 void RequestServer::settled(RequestId id, InFlightRequest& req) {
-  req.owed = false;
+  req.isResponsePending = false;
   servers_.cancel(id);
-  if (req.course >= RequestState::running) return;
-  if (!req.started) neverRan(id);
-  firstEnded(id, DeduplicationCache::End::errored, {});
-  table_.drop(id);
+  if (req.state >= RequestState::executing) return;
+  if (!req.wasStarted) neverRan(id);
+  firstEnded(id, DeduplicationCache::OriginalState::failed, {});
+  table_.remove(id);
 }
 
 // What provably had no effect is nobody's first: its key is free, and those that waited for it are read anew,
 // with what is left of their time. The next of them that runs is the first of the others.
 void RequestServer::neverRan(RequestId first) {
   if (!neverRan_.insert(first).second) return;
-  marks_.forget(first);
-  for (const RequestId id : table_.waitingFor(first)) readAnew(id);
+  marks_.drop(first);
+  for (const RequestId id : table_.duplicatesAwaiting(first)) readAnew(id);
 }
 
 void RequestServer::readAnew(RequestId id) {
   InFlightRequest& req = *table_.find(id);
-  tell(ExecutionEnded{id, Outcome::failed, net::Reactor::Clock::now() - req.since});
-  table_.waitNoMore(id, req);
+  tell(ExecutionEnded{id, Outcome::failed, net::Reactor::Clock::now() - req.stateSince});
+  table_.stopAwaitingOriginal(id, req);
   const auto now = std::chrono::system_clock::now();
-  const Duration since = std::max<Duration>(now - req.req.readAt, 0s);
-  req.req.readAt = now;
-  req.req.readDelay += since;
-  if (req.req.timeRemaining) req.req.timeRemaining = std::max<Duration>(*req.req.timeRemaining - since, 0s);
-  const auto known = marks_.firstOf(*DeduplicationCache::keyOf(req.req, facts_.handlerPolicies),
-                                    DeduplicationCache::contentOf(req.req), id, now - req.req.readDelay, now,
-                                    facts_.resultSharing.sharingDuration);
-  req.repeats = known.first;
-  if (!known.conflicts) return enter(id, req.req, known.first);
+  const Duration since = std::max<Duration>(now - req.request.readAt, 0s);
+  req.request.readAt = now;
+  req.request.readDelay += since;
+  if (req.request.timeRemaining)
+    req.request.timeRemaining = std::max<Duration>(*req.request.timeRemaining - since, 0s);
+  const auto known =
+      marks_.findOriginalOrRegister(*DeduplicationCache::keyOf(req.request, facts_.handlerPolicies),
+                                    DeduplicationCache::fingerprintOf(req.request),
+                                    {.id = id, .arrivedAt = now - req.request.readDelay, .readAt = now});
+  req.duplicateOf = known.original;
+  if (!known.hasConflictingPayload) return enter(id, req.request, known.original);
   ++counts_.errored;
-  clients_.sendFailure(req.req.response, otherContent);
-  table_.drop(id);
+  clients_.sendFailure(req.request.response, otherContent);
+  table_.remove(id);
 }
 
-void RequestServer::firstEnded(RequestId first, DeduplicationCache::End end, const std::string& result) {
-  marks_.ended(first, end, std::chrono::system_clock::now(), result);
-  for (const RequestId id : table_.waitingFor(first)) answerFrom(id, *table_.find(id), end, result);
+void RequestServer::firstEnded(RequestId first, DeduplicationCache::OriginalState end,
+                               const std::string& result) {
+  marks_.onOriginalEnded(first, end, std::chrono::system_clock::now(), result);
+  for (const RequestId id : table_.duplicatesAwaiting(first)) answerFrom(id, *table_.find(id), end, result);
 }
 
-void RequestServer::answerFrom(RequestId id, InFlightRequest& req, DeduplicationCache::End end,
+void RequestServer::answerFrom(RequestId id, InFlightRequest& req, DeduplicationCache::OriginalState end,
                                const std::string& result) {
-  const bool done = end == DeduplicationCache::End::done;
-  if (req.owed) {
-    done ? clients_.sendResult(req.req.response, result)
-         : clients_.sendFailure(req.req.response, "the first try failed");
+  const bool done = end == DeduplicationCache::OriginalState::completed;
+  if (req.isResponsePending) {
+    done ? clients_.sendResult(req.request.response, result)
+         : clients_.sendFailure(req.request.response, "the first try failed");
     ++(done ? counts_.done : counts_.errored);
   }
   tell(ExecutionEnded{id, done ? Outcome::completed : Outcome::failed,
-                      net::Reactor::Clock::now() - req.since});
-  table_.drop(id);
+                      net::Reactor::Clock::now() - req.stateSince});
+  table_.remove(id);
 }
 
 void RequestServer::report() {
@@ -467,10 +477,10 @@
 RequestServer::Standing RequestServer::standing() const {
   Standing out;
   for (const auto& [id, req] : table_.all()) {
-    ++(req.course < RequestState::running    ? out.held
-       : req.course == RequestState::running ? out.onCores
-                                             : out.atCalls);
-    out.unowed += !req.owed;
+    ++(req.state < RequestState::executing    ? out.held
+       : req.state == RequestState::executing ? out.onCores
+                                              : out.atCalls);
+    out.unowed += !req.isResponsePending;
   }
   out.callsOpen = servers_.openCalls();
   return out;
--- a/src/server/request_server.h
+++ b/src/server/request_server.h
@@ -18,6 +18,7 @@
 #include "peers/execution_engine_client.h"
 #include "peers/registry_client.h"
 #include "peers/request_listener.h"
+#include "server/deduplication_cache.h"
 #include "server/request_table.h"
 
 namespace rainhook::server {
@@ -90,9 +91,10 @@
   void settled(RequestId id, InFlightRequest& req);
   void neverRan(RequestId first);
   void readAnew(RequestId id);
-  void firstEnded(RequestId first, DeduplicationCache::End end, const std::string& result);
-  void answerFrom(RequestId id, InFlightRequest& req, DeduplicationCache::End end, const std::string& result);
-  void say(InFlightRequest& req, InFlightRequest::Said what);
+  void firstEnded(RequestId first, DeduplicationCache::OriginalState end, const std::string& result);
+  void answerFrom(RequestId id, InFlightRequest& req, DeduplicationCache::OriginalState end,
+                  const std::string& result);
+  void say(InFlightRequest& req, EngineCommand what);
   void ring(std::uint64_t question, const std::vector<double>& values);
   void tell(const Event& event);
   void report();
