--- a/src/commands/serve_command.cpp
+++ b/src/commands/serve_command.cpp
@@ -49,8 +49,8 @@
   std::optional<server::RequestServer> server;  // a signal that comes before it is there waits in the reactor
   std::optional<server::MembershipService> presence;
   reactor.onSignals({SIGTERM, SIGINT, SIGHUP}, [&](int signal) {
-    if (signal == SIGHUP) return server->reloadFrom(file);
-    server->leave();
+    if (signal == SIGHUP) return server->reloadFile(file);
+    server->shutDownGracefully();
     if (presence) presence->leave();
   });
   const auto own = options::readOptionsFile(given["options"].as<std::string>());
--- a/src/server/deduplication_cache.h
+++ b/src/server/deduplication_cache.h
@@ -36,6 +36,7 @@
     HandlerId handler{};
     std::string idempotencyKey;
     ResourceKey resourceKey{};
+    // NOLINTNEXTLINE(modernize-use-nullptr): false positive of clang-tidy 14 on defaulted comparisons
     auto operator<=>(const Key&) const = default;
   };
 
--- a/src/server/membership_service.cpp
+++ b/src/server/membership_service.cpp
@@ -36,14 +36,14 @@
                  if (change.what == membership::Change::What::astray) {
                    log_.message(logging::LogCategory::membership, "{}: this one leaves",
                                 astray(place_, change.who));
-                   return server_.leave();
+                   return server_.shutDownGracefully();
                  }
                  // Two under one name would each take a share for one: the second leaves, in good order.
                  if (change.what != membership::Change::What::refused) return;
                  log_.message(logging::LogCategory::membership,
                               "the name {} is held by the living instance at {}: this one leaves",
                               change.who.name.text, change.who.address.text);
-                 server_.leave();
+                 server_.shutDownGracefully();
                }),
       share_({servers, lease_, place.probeEvery * calmPeriods}) {}
 
@@ -65,21 +65,21 @@
 void MembershipService::look() {
   next_ = reactor_.after(every_, [this] { look(); });
   const membership::Span now = net::Reactor::Clock::now().time_since_epoch();
-  const auto figures = server_.figures();
+  const auto figures = server_.status();
   const double secs =
       lookedAt_ ? std::max(std::chrono::duration<double>(now - *lookedAt_).count(), 0.001) : 1;
   lookedAt_ = now;
   using membership::Phase;
   membership::Digest digest;
-  digest.phase = figures.leaving      ? Phase::draining
-                 : !figures.works     ? Phase::unfit
-                 : figures.warmth < 1 ? Phase::cold
-                                      : Phase::serving;
-  digest.warmth = figures.warmth, digest.limit = figures.limit;
-  digest.running = static_cast<double>(figures.running);
-  digest.read = static_cast<double>(figures.read - before_.read) / secs;
-  digest.done = static_cast<double>(figures.done - before_.done) / secs;
-  heldBack_ += 0.2 * ((figures.held > 0 ? 1.0 : 0.0) - heldBack_);
+  digest.phase = figures.isShuttingDown        ? Phase::draining
+                 : !figures.isEngineResponsive ? Phase::unfit
+                 : figures.warmUpProgress < 1  ? Phase::cold
+                                               : Phase::serving;
+  digest.warmth = figures.warmUpProgress, digest.limit = figures.concurrencyLimit;
+  digest.running = static_cast<double>(figures.executing);
+  digest.read = static_cast<double>(figures.requestsRead - before_.requestsRead) / secs;
+  digest.done = static_cast<double>(figures.requestsCompleted - before_.requestsCompleted) / secs;
+  heldBack_ += 0.2 * ((figures.queued > 0 ? 1.0 : 0.0) - heldBack_);
   digest.heldBack = heldBack_;
   before_ = figures;
   digest.fleet = static_cast<double>(share_.fleet());
@@ -92,7 +92,7 @@
              {{"share", share},
               {"counted", static_cast<std::int64_t>(share_.counted())},
               {"doubtful", seen.doubtful}});
-  server_.mayCall(share);
+  server_.setDownstreamQuota(share);
 }
 
 }  // namespace rainhook::server
--- a/src/server/membership_service.h
+++ b/src/server/membership_service.h
@@ -36,7 +36,7 @@
   membershipTransport::MembershipTransport members_;
   membership::DependencyShare share_;
   std::optional<double> said_;
-  RequestServer::Figures before_;
+  ServerStatus before_;
   std::optional<membership::Span> lookedAt_;
   double heldBack_ = 0;
   net::Reactor::Timer next_;
--- a/src/server/request_server.cpp
+++ b/src/server/request_server.cpp
@@ -1,63 +1,70 @@
 #include "server/request_server.h"
 
-#include <fmt/ranges.h>
-
 #include <algorithm>
 #include <utility>
 
+#include "server/optional_address.h"
+
 namespace rainhook::server {
 namespace {
 
 using namespace std::chrono_literals;
+using OriginalState = DeduplicationCache::OriginalState;
 
-std::optional<net::Connection::Address> addressOf(const std::string& text) {
-  if (text.empty()) return std::nullopt;
-  return net::Connection::Address(text);
-}
+// Why a request is failed, as its client reads it: part of the protocol.
+constexpr std::string_view reasonConflictingPayload = "its key came with another content";
+constexpr std::string_view reasonTooManyInFlight = "too many reqs in hand";
+constexpr std::string_view reasonNameInFlight = "its id is in hand already";
+constexpr std::string_view reasonGivenUp = "given up";
+constexpr std::string_view reasonExecutionFailed = "failed";
+constexpr std::string_view reasonOriginalFailed = "the first try failed";
 
-peers::RequestListener::RequestRules termsOf(const DeploymentSettings& facts) {
-  peers::RequestListener::RequestRules out{
-      facts.handlerNames, facts.tenantNames, {}, facts.clientsSendTimeRemaining};
-  for (const auto& terms : facts.handlerPolicies) out.clientTimeouts.push_back(terms.clientTimeout);
-  return out;
-}
+// The engine's name for the command that starts an execution, in its rejections.
+constexpr std::string_view startExecutionCommand = "launch";
 
-// A repeat is read at the latest once nobody waits for it any more; older ones are refused unread.
-Duration longestWait(const DeploymentSettings& facts) {
-  Duration out = peers::RequestListener::longPast;
-  for (const auto& terms : facts.handlerPolicies)
-    out = std::max(out, terms.clientTimeout + peers::RequestListener::longPast);
-  return out;
+peers::RequestListener::RequestRules requestRules(const DeploymentSettings& deployment) {
+  peers::RequestListener::RequestRules rules{
+      deployment.handlerNames, deployment.tenantNames, {}, deployment.clientsSendTimeRemaining};
+  for (const HandlerPolicy& handler : deployment.handlerPolicies)
+    rules.clientTimeouts.push_back(handler.clientTimeout);
+  return rules;
 }
 
-// Descriptors: half of them are the balancers' to open, and a few more for what they have closed and we have
-// not yet; some are for the listener, the links, signals and the log; all others are for calls.
-constexpr std::size_t ownDescriptors = 14, fewestForCalls = 2;
-std::size_t forBalancers(std::size_t all) {
-  return std::min(all / 2 + all / 16, all - ownDescriptors - fewestForCalls);
+// A duplicate is read at the latest once nobody waits for it any more; older ones are rejected unread.
+Duration maxReadDelay(const DeploymentSettings& deployment) {
+  Duration longest = peers::RequestListener::longPast;
+  for (const HandlerPolicy& handler : deployment.handlerPolicies)
+    longest = std::max(longest, handler.clientTimeout + peers::RequestListener::longPast);
+  return longest;
 }
-std::size_t forCalls(std::size_t all) { return all - forBalancers(all) - ownDescriptors; }
-
-// Memory: a quarter of it for reqs in hand, each with a body of 2 kB and a reply of 4 kB at most; an eighth
-// for what waits to be sent, and one for the results that are kept.
-constexpr std::size_t inHandBytes = 8 * 1024;
-constexpr std::string_view otherContent = "its key came with another content";
-std::size_t megabytes(int count) { return static_cast<std::size_t>(count) << 20; }
 
 }  // namespace
 
-RequestServer::RequestServer(net::Reactor& reactor, logging::Log& log, ServerConfiguration configured)
+RequestServer::RequestServer(net::Reactor& reactor, logging::Log& log, ServerConfiguration configuration)
     : reactor_(reactor),
       log_(log),
-      configured_(std::move(configured)),
-      clients_(reactor, pool_, log, *this, termsOf(facts_),
-               {forBalancers(place_.maxDescriptors), megabytes(place_.memoryMb) / 8}),
-      servers_(reactor, pool_, log, *this, addressOf(place_.downstream), forCalls(place_.maxDescriptors)),
-      engine_(reactor, pool_, log, *this, net::Connection::Address(place_.engine)),
-      marks_({megabytes(place_.memoryMb) / 8, longestWait(facts_), facts_.resultSharing.sharingDuration}) {
-  if (const auto address = addressOf(place_.registry))
-    list_ = std::make_unique<peers::RegistryClient>(reactor, pool_, log, *address, place_.name, chance());
-}
+      configuration_(std::move(configuration)),
+      requestListener_(reactor, bufferPool_, log, *this, requestRules(deployment_),
+                       {budget_.maxClientConnections, budget_.maxOutputBytes}),
+      downstreamClient_(reactor, bufferPool_, log, *this, optionalAddress(endpoints_.downstream),
+                        budget_.maxDownstreamCalls),
+      engineClient_(reactor, bufferPool_, log, *this, net::Connection::Address(endpoints_.engine)),
+      registration_(reactor, bufferPool_, log, endpoints_.name, jitterSeed(),
+                    optionalAddress(endpoints_.registry)),
+      deduplicationCache_({.maxResultBytes = budget_.maxResultBytes,
+                           .maxReadDelay = maxReadDelay(deployment_),
+                           .sharingDuration = deployment_.resultSharing.sharingDuration}),
+      engineCommands_(engineClient_, deployment_),
+      policyTimers_(reactor, engineClient_, deployment_,
+                    [this](const TimerFired& event) { onTimerFired(event); }),
+      statistics_(reactor, log,
+                  [this] {
+                    return RequestStatistics::Snapshot{.inFlight = inFlightCounts(),
+                                                       .engineRunnableTasks = engineRunnableTasks_,
+                                                       .openConnections = requestListener_.openConnections()};
+                  }),
+      configurationReload_(log, configuration_, engineClient_, downstreamClient_, registration_),
+      shutdown_(reactor, log, requestListener_, registration_, requests_) {}
 
 RequestServer::~RequestServer() {
   reactor_.atTurnEnd({});
@@ -65,470 +72,418 @@
 }
 
 void RequestServer::open() {
-  clients_.listen(net::Connection::Address(place_.listen));
-  reactor_.atTurnEnd([this] { endTurn(); });
-  engine_.connect();
-  if (list_) list_->setInService(true);
-  report();
-  log_.message(logging::LogCategory::start, "{} serves at {}", place_.name, place_.listen);
-}
-
-void RequestServer::reload(const ServerConfiguration& offered) {
-  ServerEndpoints& place = configured_.endpoints;
-  const auto left = restartRequiredChanges(configured_, offered);
-  place.engine = offered.endpoints.engine, place.downstream = offered.endpoints.downstream,
-  place.registry = offered.endpoints.registry;
-  place.shutdownTimeout = offered.endpoints.shutdownTimeout;
-  log_.message(logging::LogCategory::start, "configuration read again: engine {}, next tier {}, list {}{}{}",
-               place.engine, place.downstream.empty() ? "none" : place.downstream,
-               place.registry.empty() ? "none" : place.registry,
-               left.empty() ? "" : "; left as it is until a restart: ", fmt::join(left, ", "));
-  engine_.setAddress(net::Connection::Address(place.engine));
-  servers_.moveTo(addressOf(place.downstream));
-  const auto list = addressOf(place.registry);
-  if (list && list_) return list_->setAddress(*list);
-  list_ = list ? std::make_unique<peers::RegistryClient>(reactor_, pool_, log_, *list, place.name, chance())
-               : nullptr;
-  if (list_) list_->setInService(clients_.isHealthy());
-}
-
-void RequestServer::reloadFrom(const std::string& file) {
-  try {
-    reload(readConfigurationFile(file));
-  } catch (const std::exception& fault) {
-    log_.message(logging::LogCategory::start, "the new configuration is not taken: {}", fault.what());
-  }
+  requestListener_.listen(net::Connection::Address(endpoints_.listen));
+  reactor_.atTurnEnd([this] { onIterationEnd(); });
+  engineClient_.connect();
+  registration_.setInService(true);
+  statistics_.start();
+  log_.message(logging::LogCategory::start, "{} serves at {}", endpoints_.name, endpoints_.listen);
 }
 
-// The module counts from the engine's start, since that is what is cold or warm. What is read before the
-// greeting, though it be in the same turn, opens it too: then the engine is taken for cold until it tells.
-void RequestServer::openModule(bool cold, Duration since) {
-  if (module_) return;
-  origin_ = net::Reactor::Clock::now() - since;
-  MachineProfile machine = facts_.machine;
-  machine.coldStart = cold;
-  module_ = makeAdmissionPolicy(place_.seed, machine, facts_.handlerPolicies, facts_.downstream,
-                                facts_.protocolLimits, facts_.signaling, facts_.resultSharing, facts_.fleet);
-  fresh_ = true;
-  if (part_ < 1) tell(DownstreamQuotaChanged{part_});
+void RequestServer::shutDownGracefully() {
+  if (shutdown_.isInProgress()) return;
+  const Duration policyTime = shutdown_.begin(endpoints_.shutdownTimeout);
+  openPolicy(true, 0s);
+  notify(ShutdownNotice{policyTime});
 }
 
-void RequestServer::mayCall(double part) {
-  part_ = part;
-  if (module_) tell(DownstreamQuotaChanged{part});
+void RequestServer::setDownstreamQuota(double share) {
+  downstreamQuota_ = share;
+  if (policy_) notify(DownstreamQuotaChanged{share});
 }
 
-// Told from others that were given one seed by the name.
-std::uint64_t RequestServer::chance() const {
-  return static_cast<std::uint64_t>(place_.seed) ^ std::hash<std::string>{}(place_.name);
+InFlightCounts RequestServer::inFlightCounts() const {
+  return countInFlight(requests_, downstreamClient_.openCalls());
 }
 
-Duration RequestServer::sinceOpened() const { return net::Reactor::Clock::now() - origin_; }
-
-// What happens after this turn's question to the module is not to wait for the next socket or timer.
-void RequestServer::tell(const Event& event) {
-  if (happened_.empty()) again_ = reactor_.after(0s, [] {});
-  happened_.push_back(event);
-}
-
-void RequestServer::endTurn() {
-  if (!module_ || (happened_.empty() && !std::exchange(fresh_, false))) return;
-  marks_.onIterationEnd();
-  marks_.expire(std::chrono::system_clock::now());
-  const auto happened = std::exchange(happened_, {});
-  for (const auto& action : module_->onEvents(sinceOpened(), happened))
-    std::visit([this](const auto& a) { perform(a); }, action);
-  neverRan_.clear();
-}
-
-// News of the peers.
-std::variant<RequestId, std::string_view> RequestServer::onRequest(peers::IncomingRequest&& req) {
-  if (table_.size() >= megabytes(place_.memoryMb) / 4 / inHandBytes) {
-    log_.message(logging::LogCategory::clients, "{} reqs in hand: no more are taken", table_.size());
-    return "too many reqs in hand";
+ServerStatus RequestServer::status() const {
+  ServerStatus status;
+  status.isShuttingDown = shutdown_.isInProgress();
+  status.isEngineResponsive = engineClient_.isResponsive();
+  if (policy_) status.concurrencyLimit = policy_->concurrencyLimit();
+  const Duration warmUpDuration = deployment_.machine.warmUpDuration;
+  if (coldStartedAt_ && warmUpDuration > 0s) {
+    const std::chrono::duration<double> age = net::Reactor::Clock::now() - *coldStartedAt_;
+    status.warmUpProgress = std::min(1.0, age / warmUpDuration);
   }
-  if (table_.findByName(req.name)) {
-    log_.message(logging::LogCategory::clients, "a req whose name is in hand already: {}", req.name);
-    return "its id is in hand already";
+  const InFlightCounts counts = inFlightCounts();
+  status.executing = counts.executing + counts.inDownstreamCalls;
+  status.queued = counts.queued;
+  status.requestsRead = statistics_.requestsRead();
+  status.requestsCompleted = statistics_.requestsCompleted();
+  return status;
+}
+
+// Differs between servers that were given the same seed.
+std::uint64_t RequestServer::jitterSeed() const {
+  return static_cast<std::uint64_t>(endpoints_.seed) ^ std::hash<std::string>{}(endpoints_.name);
+}
+
+// The policy counts its time from the engine's start, since the engine is what is cold or warm. A request
+// that is read before the engine's handshake opens it, too; then a cold start is assumed until the engine
+// reports.
+void RequestServer::openPolicy(bool isColdStart, Duration engineAge) {
+  if (policy_) return;
+  policyOrigin_ = net::Reactor::Clock::now() - engineAge;
+  MachineProfile machine = deployment_.machine;
+  machine.coldStart = isColdStart;
+  policy_ = makeAdmissionPolicy(endpoints_.seed, machine, deployment_.handlerPolicies, deployment_.downstream,
+                                deployment_.protocolLimits, deployment_.signaling, deployment_.resultSharing,
+                                deployment_.fleet);
+  isPolicyNew_ = true;
+  if (downstreamQuota_ < 1) notify(DownstreamQuotaChanged{downstreamQuota_});
+}
+
+// An event that comes after this iteration's batch must not wait for the next socket or timer.
+void RequestServer::notify(const Event& event) {
+  if (pendingEvents_.empty()) wakeUpTimer_ = reactor_.after(0s, [] {});
+  pendingEvents_.push_back(event);
+}
+
+void RequestServer::onIterationEnd() {
+  if (!policy_) return;
+  if (pendingEvents_.empty() && !std::exchange(isPolicyNew_, false)) return;
+  deduplicationCache_.onIterationEnd();
+  deduplicationCache_.expire(std::chrono::system_clock::now());
+  const std::vector<Event> events = std::exchange(pendingEvents_, {});
+  const Duration now = net::Reactor::Clock::now() - policyOrigin_;
+  for (const Action& action : policy_->onEvents(now, events))
+    std::visit([this](const auto& typedAction) { perform(typedAction); }, action);
+  neverExecuted_.clear();
+}
+
+// Reports of the peers.
+
+std::variant<RequestId, std::string_view> RequestServer::onRequest(peers::IncomingRequest&& incoming) {
+  if (requests_.size() >= budget_.maxRequestsInFlight) {
+    log_.message(logging::LogCategory::clients, "{} requests in flight: no more are accepted",
+                 requests_.size());
+    return reasonTooManyInFlight;
   }
-  const RequestId id{++reqs_};
-  std::optional<RequestId> repeats;
-  if (const auto key = DeduplicationCache::keyOf(req, facts_.handlerPolicies)) {
-    const auto known = marks_.findOriginalOrRegister(
-        *key, DeduplicationCache::fingerprintOf(req),
-        {.id = id, .arrivedAt = req.readAt - req.readDelay, .readAt = req.readAt});
-    if (known.hasConflictingPayload) {
-      log_.message(logging::LogCategory::clients, "a repeat whose first had another content: {}", req.name);
-      return otherContent;
-    }
-    repeats = known.original;
+  if (requests_.findByName(incoming.name)) {
+    log_.message(logging::LogCategory::clients, "a request whose name is already in flight: {}",
+                 incoming.name);
+    return reasonNameInFlight;
   }
-  openModule(true, 0s);
-  ++counts_.read, counts_.unread += req.readDelay;
-  enter(id, req, repeats);
-  table_.add(id, std::move(req)).duplicateOf = repeats;
+  const RequestId id{++lastRequestId_};
+  const DeduplicationCache::Lookup known = findOriginal(id, incoming);
+  if (known.hasConflictingPayload) {
+    log_.message(logging::LogCategory::clients, "a duplicate whose original had another payload: {}",
+                 incoming.name);
+    return reasonConflictingPayload;
+  }
+  openPolicy(true, 0s);
+  statistics_.onRequestRead(incoming.readDelay);
+  InFlightRequest& request = requests_.add(id, std::move(incoming));
+  request.duplicateOf = known.original;
+  notifyArrival(id, request);
   return id;
 }
 
-void RequestServer::enter(RequestId id, const peers::IncomingRequest& req, std::optional<RequestId> repeats) {
-  RequestArrived read;
-  read.id = id;
-  read.handler = req.handler;
-  read.tenant = req.tenant;
-  read.client = req.client;
-  read.resourceKey = req.resourceKey;
-  read.duplicateOf = repeats;
-  read.rank = req.rank;
-  read.queuedMemoryKb = req.queuedMemoryKb;
-  read.estimatedWork = req.estimatedWork;
-  read.timeRemaining = req.timeRemaining;
-  read.readDelay = req.readDelay;
-  read.isWrite = req.resourceKey == ResourceKey{};
-  tell(read);
+void RequestServer::notifyArrival(RequestId id, const InFlightRequest& request) {
+  const peers::IncomingRequest& incoming = request.request;
+  RequestArrived event;
+  event.id = id;
+  event.handler = incoming.handler;
+  event.tenant = incoming.tenant;
+  event.client = incoming.client;
+  event.resourceKey = incoming.resourceKey;
+  event.duplicateOf = request.duplicateOf;
+  event.rank = incoming.rank;
+  event.queuedMemoryKb = incoming.queuedMemoryKb;
+  event.estimatedWork = incoming.estimatedWork;
+  event.timeRemaining = incoming.timeRemaining;
+  event.readDelay = incoming.readDelay;
+  event.isWrite = incoming.resourceKey == ResourceKey{};
+  notify(event);
 }
 
 void RequestServer::onClientDisconnected(RequestId id) {
-  InFlightRequest* req = table_.find(id);
-  if (!req) return;
-  ++counts_.left;
-  tell(ClientDisconnected{id});
-  settled(id, *req);
+  InFlightRequest* request = requests_.find(id);
+  if (request == nullptr) return;
+  statistics_.onClientDisconnected();
+  notify(ClientDisconnected{id});
+  endResponse(id, *request);
 }
 
 void RequestServer::onEngineConnected(bool cold, Duration since) {
-  coldSince_ = cold ? std::optional(net::Reactor::Clock::now() - since) : std::nullopt;
-  if (module_) tell(ExecutionEngineStarted{cold, since});
-  openModule(cold, since);
+  coldStartedAt_ = cold ? std::optional(net::Reactor::Clock::now() - since) : std::nullopt;
+  if (policy_) notify(ExecutionEngineStarted{cold, since});
+  openPolicy(cold, since);
+}
+
+// After a reconnect, commands that the engine may not have read are sent again. An execution that must not
+// run twice and may have begun is failed instead: its client learns that it may have run.
+void RequestServer::onNotificationsCaughtUp() {
+  const std::vector<RequestId> unconfirmed = engineCommands_.findUnconfirmed(requests_);
+  for (const RequestId id : unconfirmed) {
+    InFlightRequest& request = *requests_.find(id);
+    if (!engineCommands_.resend(request)) failExecution(id, request);
+  }
+  if (!unconfirmed.empty())
+    log_.message(logging::LogCategory::engine,
+                 "{} requests had unconfirmed engine commands: sent again or failed", unconfirmed.size());
 }
 
 void RequestServer::onExecutionEnded(const std::string& name, Outcome outcome, Duration took,
                                      std::string&& result) {
-  const auto id = table_.findByName(name);
-  if (!id) return;
-  InFlightRequest& req = *table_.find(*id);
-  if (req.state < RequestState::executing) return;
-  servers_.cancel(*id);
-  const bool wasOwed = req.isResponsePending;
-  if (outcome != Outcome::cancelled) {
-    // A run that never was ends a req that the engine takes for over; one answer more does no harm.
-    if (wasOwed && outcome == Outcome::completed)
-      ++counts_.done, clients_.sendResult(req.request.response, result);
-    if (wasOwed && outcome != Outcome::completed)
-      ++counts_.errored, clients_.sendFailure(req.request.response, "failed");
-    req.isResponsePending = false;
-  }
-  tell(ExecutionEnded{*id, outcome, took});
-  if (outcome == Outcome::superseded) neverRan(*id);
-  if (outcome != Outcome::cancelled || !wasOwed)
-    firstEnded(*id,
-               outcome == Outcome::completed ? DeduplicationCache::OriginalState::completed
-                                             : DeduplicationCache::OriginalState::failed,
-               result);
-  if (req.isResponsePending && outcome == Outcome::cancelled) {  // back in the hold
-    req.state = RequestState::queued;
-    req.lastCommand = EngineCommand::none;
-    return;
-  }
-  table_.remove(*id);
+  const auto id = requests_.findByName(name);
+  if (id) endExecution(*id, *requests_.find(*id), outcome, took, result);
 }
 
-void RequestServer::onDownstreamCallRequested(const std::string& name, std::uint64_t notice,
+void RequestServer::onDownstreamCallRequested(const std::string& name, std::uint64_t notification,
                                               std::string&& body) {
-  const auto id = table_.findByName(name);
+  const auto id = requests_.findByName(name);
   if (!id) return;
-  InFlightRequest& req = *table_.find(*id);
-  if (req.state < RequestState::executing) return;
-  req.state = RequestState::wantsDownstreamCall;
-  req.lastCommand = EngineCommand::none;
-  req.callNotificationId = notice;
-  req.downstreamPayload = std::move(body);
-  tell(DownstreamCallRequested{*id});
+  InFlightRequest& request = *requests_.find(*id);
+  if (!request.isWithEngine()) return;
+  request.state = RequestState::wantsDownstreamCall;
+  request.lastCommand = EngineCommand::none;
+  request.callNotificationId = notification;
+  request.downstreamPayload = std::move(body);
+  notify(DownstreamCallRequested{*id});
 }
 
 void RequestServer::onDownstreamCallEnded(RequestId id, Outcome outcome, Duration took, std::string&& reply) {
-  InFlightRequest* req = table_.find(id);
-  if (!req || req->state != RequestState::callingDownstream) return;
-  counts_.callsDone += outcome == Outcome::completed;
-  tell(DownstreamCallEnded{id, outcome, took});
-  if (outcome != Outcome::completed) {
-    req->state = RequestState::wantsDownstreamCall;
+  InFlightRequest* request = requests_.find(id);
+  if (request == nullptr || request->state != RequestState::callingDownstream) return;
+  const bool isCompleted = outcome == Outcome::completed;
+  if (isCompleted) statistics_.onDownstreamCallCompleted();
+  notify(DownstreamCallEnded{id, outcome, took});
+  if (!isCompleted) {
+    request->state = RequestState::wantsDownstreamCall;
     return;
   }
-  req->state = RequestState::executing;
-  req->downstreamPayload = std::move(reply);
-  say(*req, EngineCommand::deliverReply);
-}
-
-void RequestServer::say(InFlightRequest& req, EngineCommand what) {
-  const std::string& name = req.request.name;
-  req.lastCommand = what;
-  req.lastCommandAt = net::Reactor::Clock::now();
-  if (what == EngineCommand::startExecution)
-    req.wasCommandSent = engine_.startExecution(
-        name, facts_.handlerNames[static_cast<std::size_t>(req.request.handler)], req.request.body);
-  if (what == EngineCommand::deliverReply)
-    req.wasCommandSent = engine_.deliverReply(name, req.downstreamPayload);
-  if (what == EngineCommand::continueWithoutReply)
-    req.wasCommandSent = engine_.continueWithoutReply(name, req.callNotificationId);
-}
-
-// A new link. What the engine may not have read is said again; but a run that must not be doubled, and may
-// have begun, is over: its caller hears that it may have run.
-void RequestServer::onNotificationsCaughtUp() {
-  std::vector<RequestId> unsure;
-  for (const auto& [id, req] : table_.all())
-    if (req.lastCommand != EngineCommand::none &&
-        (!req.wasCommandSent || engine_.mayBeLost(req.lastCommandAt)))
-      unsure.push_back(id);
-  for (const RequestId id : unsure) {
-    InFlightRequest& req = *table_.find(id);
-    const bool replayable =
-        facts_.handlerPolicies[static_cast<std::size_t>(req.request.handler)].idempotency ==
-        Idempotency::idempotent;
-    if (req.lastCommand != EngineCommand::startExecution || replayable || !req.wasCommandSent)
-      say(req, req.lastCommand);
-    else
-      onExecutionEnded(std::string(req.request.name), Outcome::failed,
-                       net::Reactor::Clock::now() - req.stateSince, {});
-  }
-  if (!unsure.empty())
-    log_.message(logging::LogCategory::engine, "{} reqs were told to the engine again", unsure.size());
+  request->state = RequestState::executing;
+  request->downstreamPayload = std::move(reply);
+  engineCommands_.send(*request, EngineCommand::deliverReply);
 }
 
-void RequestServer::onGauges(std::uint64_t question, const std::vector<double>& values) {
-  ring(question, values);
+void RequestServer::onGauges(std::uint64_t gaugeRequest, const std::vector<double>& values) {
+  policyTimers_.onGauges(gaugeRequest, values);
 }
 
-// Nothing of this req runs there any more. One whose launch was refused never began: no repeat is to wait for
-// what it never did.
-void RequestServer::onCommandRejected(const std::string& name, const std::string& command) {
-  const auto id = table_.findByName(name);
-  if (!id || table_.find(*id)->state < RequestState::executing) return;
-  if (command == "launch") neverRan(*id);
-  onExecutionEnded(std::string(name), Outcome::failed,
-                   net::Reactor::Clock::now() - table_.find(*id)->stateSince, {});
+void RequestServer::onTimerFired(const TimerFired& event) {
+  if (event.runnableTasks) engineRunnableTasks_ = event.runnableTasks;
+  notify(event);
 }
 
-void RequestServer::ring(std::uint64_t question, const std::vector<double>& values) {
-  const auto it = ringing_.find(question);
-  if (it == ringing_.end()) return;
-  const auto rang = timerFired(it->second.timer, values, facts_.gauges);
-  if (rang.runnableTasks) wantingCore_ = rang.runnableTasks;
-  tell(rang);
-  ringing_.erase(it);
+// Nothing of this request is executed there any more. One whose start was rejected never began: no duplicate
+// must wait for what it never did.
+void RequestServer::onCommandRejected(const std::string& name, const std::string& command) {
+  const auto id = requests_.findByName(name);
+  if (!id) return;
+  InFlightRequest& request = *requests_.find(*id);
+  if (!request.isWithEngine()) return;
+  if (command == startExecutionCommand) releaseDuplicates(*id);
+  failExecution(*id, request);
 }
 
-// Actions of the module.
+// Actions of the policy.
+
 void RequestServer::perform(const StartExecution& action) {
-  InFlightRequest* req = table_.find(action.id);
-  if (!req || req->state != RequestState::queued) return;
-  req->state = RequestState::executing;
-  req->wasStarted = true;
-  req->stateSince = net::Reactor::Clock::now();
-  say(*req, EngineCommand::startExecution);
+  InFlightRequest* request = requests_.find(action.id);
+  if (request == nullptr || request->state != RequestState::queued) return;
+  request->state = RequestState::executing;
+  request->wasStarted = true;
+  request->stateSince = net::Reactor::Clock::now();
+  engineCommands_.send(*request, EngineCommand::startExecution);
 }
+
 void RequestServer::perform(const ShedRequest& action) {
-  InFlightRequest* req = table_.find(action.id);
-  if (!req || !req->isResponsePending) return;
-  ++counts_.shed;
-  clients_.sendShed(req->request.response, action.retryAfter, action.discourageRetry);
-  settled(action.id, *req);
+  InFlightRequest* request = requests_.find(action.id);
+  if (request == nullptr || !request->isResponsePending) return;
+  statistics_.onRequestShed();
+  requestListener_.sendShed(request->request.response, action.retryAfter, action.discourageRetry);
+  endResponse(action.id, *request);
 }
+
 void RequestServer::perform(const FailRequest& action) {
-  InFlightRequest* req = table_.find(action.id);
-  if (!req || !req->isResponsePending) return;
-  ++counts_.errored;
-  clients_.sendFailure(req->request.response, "given up");
-  settled(action.id, *req);
-}
-// The engine's protocol has no word to stop a run, so a run that is no longer wanted goes on until it ends or
-// reaches its next call. A run that was stopped there all the same comes back as stopped.
+  InFlightRequest* request = requests_.find(action.id);
+  if (request == nullptr || !request->isResponsePending) return;
+  statistics_.onRequestFailed();
+  requestListener_.sendFailure(request->request.response, reasonGivenUp);
+  endResponse(action.id, *request);
+}
+
+// The engine's protocol cannot cancel an execution, so one that is no longer wanted goes on until it ends or
+// reaches its next downstream call. One that is cancelled there all the same comes back as cancelled.
 void RequestServer::perform(const CancelExecution&) {}
+
 void RequestServer::perform(const CallDownstream& action) {
-  InFlightRequest* req = table_.find(action.id);
-  if (!req || req->state != RequestState::wantsDownstreamCall) return;
-  req->state = RequestState::callingDownstream;
-  ++counts_.calls;
-  servers_.call(action.id, req->request.name, action.timeout, req->downstreamPayload);
+  InFlightRequest* request = requests_.find(action.id);
+  if (request == nullptr || request->state != RequestState::wantsDownstreamCall) return;
+  request->state = RequestState::callingDownstream;
+  statistics_.onDownstreamCallStarted();
+  downstreamClient_.call(action.id, request->request.name, action.timeout, request->downstreamPayload);
 }
+
 void RequestServer::perform(const SkipDownstreamCall& action) {
-  InFlightRequest* req = table_.find(action.id);
-  if (!req || req->state != RequestState::wantsDownstreamCall) return;
-  req->state = RequestState::executing;
-  say(*req, EngineCommand::continueWithoutReply);
+  InFlightRequest* request = requests_.find(action.id);
+  if (request == nullptr || request->state != RequestState::wantsDownstreamCall) return;
+  request->state = RequestState::executing;
+  engineCommands_.send(*request, EngineCommand::continueWithoutReply);
 }
+
 void RequestServer::perform(const RetainResult& action) {
-  const InFlightRequest* req = table_.find(action.id);
-  if (!req) return;
-  if (const auto key = DeduplicationCache::keyOf(req->request, facts_.handlerPolicies))
-    marks_.retain(*key, DeduplicationCache::fingerprintOf(req->request), action.id,
-                  req->request.readAt + action.retention);
+  const InFlightRequest* request = requests_.find(action.id);
+  if (request == nullptr) return;
+  const peers::IncomingRequest& incoming = request->request;
+  const auto key = DeduplicationCache::keyOf(incoming, deployment_.handlerPolicies);
+  if (!key) return;
+  deduplicationCache_.retain(*key, DeduplicationCache::fingerprintOf(incoming), action.id,
+                             incoming.readAt + action.retention);
 }
-void RequestServer::perform(const DropResult& action) { neverRan(action.id); }
+
+void RequestServer::perform(const DropResult& action) { releaseDuplicates(action.id); }
+
 void RequestServer::perform(const AnswerFromOriginal& action) {
-  InFlightRequest* req = table_.find(action.id);
-  if (!req) return;
-  const auto* kept = req->duplicateOf ? marks_.find(*req->duplicateOf) : nullptr;
-  req->state = RequestState::awaitingOriginal;
-  req->stateSince = net::Reactor::Clock::now();
-  if (!kept && req->duplicateOf && neverRan_.contains(*req->duplicateOf)) return readAnew(action.id);
-  if (!kept) return answerFrom(action.id, *req, DeduplicationCache::OriginalState::failed, {});
-  if (kept->state != DeduplicationCache::OriginalState::pending)
-    return answerFrom(action.id, *req, kept->state, kept->result);
-  table_.awaitOriginal(*req->duplicateOf, action.id);
+  InFlightRequest* request = requests_.find(action.id);
+  if (request == nullptr) return;
+  request->state = RequestState::awaitingOriginal;
+  request->stateSince = net::Reactor::Clock::now();
+  const std::optional<RequestId> original = request->duplicateOf;
+  const auto* cached = original ? deduplicationCache_.find(*original) : nullptr;
+  if (cached == nullptr && original && neverExecuted_.contains(*original)) {
+    readmit(action.id);
+  } else if (cached == nullptr) {
+    answerDuplicate(action.id, *request, OriginalState::failed, {});
+  } else if (cached->state != OriginalState::pending) {
+    answerDuplicate(action.id, *request, cached->state, cached->result);
+  } else {
+    requests_.awaitOriginal(*original, action.id);
+  }
 }
+
 void RequestServer::perform(const PublishHealth& action) {
-  clients_.setHealth(action.healthy);
-  if (list_) list_->setInService(action.healthy);
+  requestListener_.setHealth(action.healthy);
+  registration_.setInService(action.healthy);
 }
-void RequestServer::perform(const PublishLoadSignal& action) { clients_.setLoadSignal(action.value); }
+
+void RequestServer::perform(const PublishLoadSignal& action) { requestListener_.setLoadSignal(action.value); }
+
 void RequestServer::perform(const SetIdleConnectionTimeout& action) {
-  clients_.setIdleTimeout(action.timeout);
-}
-void RequestServer::perform(const SetTimer& action) {
-  const auto number = ++timers_;
-  set_[number] = reactor_.after(action.delay, [this, number, timer = action.timer] {
-    const auto question = ++questions_;
-    ringing_[question] = {timer, reactor_.after(gaugesWait, [this, question] { ring(question, {}); })};
-    engine_.requestGauges(question);
-    set_.erase(number);
-  });
+  requestListener_.setIdleTimeout(action.timeout);
 }
+
+void RequestServer::perform(const SetTimer& action) { policyTimers_.start(action.timer, action.delay); }
+
 void RequestServer::perform(const DiagnosticMessage& action) {
   log_.message(logging::LogCategory::drain, "{}", action.text);
 }
 
-// No answer is owed any more. What has not started is over; a run that stands at a call ends there.
-void RequestServer::settled(RequestId id, InFlightRequest& req) {
-  req.isResponsePending = false;
-  servers_.cancel(id);
-  if (req.state >= RequestState::executing) return;
-  if (!req.wasStarted) neverRan(id);
-  firstEnded(id, DeduplicationCache::OriginalState::failed, {});
-  table_.remove(id);
+// The life of a request.
+
+void RequestServer::endExecution(RequestId id, InFlightRequest& request, Outcome outcome, Duration took,
+                                 const std::string& result) {
+  if (!request.isWithEngine()) return;
+  downstreamClient_.cancel(id);
+  const bool wasResponsePending = request.isResponsePending;
+  const bool isCancelled = outcome == Outcome::cancelled;
+  if (!isCancelled) respond(request, outcome, result);
+  notify(ExecutionEnded{id, outcome, took});
+  if (outcome == Outcome::superseded) releaseDuplicates(id);
+  if (!isCancelled || !wasResponsePending) {
+    const bool isCompleted = outcome == Outcome::completed;
+    originalEnded(id, isCompleted ? OriginalState::completed : OriginalState::failed, result);
+  }
+  if (isCancelled && request.isResponsePending) {  // back in the admission queue
+    request.state = RequestState::queued;
+    request.lastCommand = EngineCommand::none;
+    return;
+  }
+  requests_.remove(id);
 }
 
-// What provably had no effect is nobody's first: its key is free, and those that waited for it are read anew,
-// with what is left of their time. The next of them that runs is the first of the others.
-void RequestServer::neverRan(RequestId first) {
-  if (!neverRan_.insert(first).second) return;
-  marks_.drop(first);
-  for (const RequestId id : table_.duplicatesAwaiting(first)) readAnew(id);
+void RequestServer::failExecution(RequestId id, InFlightRequest& request) {
+  endExecution(id, request, Outcome::failed, net::Reactor::Clock::now() - request.stateSince, {});
 }
 
-void RequestServer::readAnew(RequestId id) {
-  InFlightRequest& req = *table_.find(id);
-  tell(ExecutionEnded{id, Outcome::failed, net::Reactor::Clock::now() - req.stateSince});
-  table_.stopAwaitingOriginal(id, req);
-  const auto now = std::chrono::system_clock::now();
-  const Duration since = std::max<Duration>(now - req.request.readAt, 0s);
-  req.request.readAt = now;
-  req.request.readDelay += since;
-  if (req.request.timeRemaining)
-    req.request.timeRemaining = std::max<Duration>(*req.request.timeRemaining - since, 0s);
-  const auto known =
-      marks_.findOriginalOrRegister(*DeduplicationCache::keyOf(req.request, facts_.handlerPolicies),
-                                    DeduplicationCache::fingerprintOf(req.request),
-                                    {.id = id, .arrivedAt = now - req.request.readDelay, .readAt = now});
-  req.duplicateOf = known.original;
-  if (!known.hasConflictingPayload) return enter(id, req.request, known.original);
-  ++counts_.errored;
-  clients_.sendFailure(req.request.response, otherContent);
-  table_.remove(id);
-}
-
-void RequestServer::firstEnded(RequestId first, DeduplicationCache::OriginalState end,
-                               const std::string& result) {
-  marks_.onOriginalEnded(first, end, std::chrono::system_clock::now(), result);
-  for (const RequestId id : table_.duplicatesAwaiting(first)) answerFrom(id, *table_.find(id), end, result);
-}
-
-void RequestServer::answerFrom(RequestId id, InFlightRequest& req, DeduplicationCache::OriginalState end,
-                               const std::string& result) {
-  const bool done = end == DeduplicationCache::OriginalState::completed;
-  if (req.isResponsePending) {
-    done ? clients_.sendResult(req.request.response, result)
-         : clients_.sendFailure(req.request.response, "the first try failed");
-    ++(done ? counts_.done : counts_.errored);
+// An execution that never was ends a request that the engine takes for over; one response more does no harm.
+void RequestServer::respond(InFlightRequest& request, Outcome outcome, const std::string& result) {
+  if (!std::exchange(request.isResponsePending, false)) return;
+  if (outcome == Outcome::completed) {
+    statistics_.onRequestCompleted();
+    requestListener_.sendResult(request.request.response, result);
+  } else {
+    statistics_.onRequestFailed();
+    requestListener_.sendFailure(request.request.response, reasonExecutionFailed);
   }
-  tell(ExecutionEnded{id, done ? Outcome::completed : Outcome::failed,
-                      net::Reactor::Clock::now() - req.stateSince});
-  table_.remove(id);
-}
-
-void RequestServer::report() {
-  reporting_ = reactor_.after(reportEvery, [this] { report(); });
-  readBefore_ += counts_.read, doneBefore_ += counts_.done;
-  const auto counts = std::exchange(counts_, {});
-  if (counts.read + counts.shed + counts.errored == 0) return;
-  const auto now = standing();
-  log_.message(logging::LogCategory::start,
-               "in {} s: read {} (unread for {} ms), done {}, shed {}, errored {}, callers gone {}; "
-               "calls {}, done {}; now held {}, on cores {} (the engine counts {:.0f}), at calls {}, owed to "
-               "nobody {}; connections {}",
-               std::chrono::duration_cast<std::chrono::seconds>(reportEvery).count(), counts.read,
-               std::chrono::duration_cast<std::chrono::milliseconds>(counts.unread).count() /
-                   static_cast<std::int64_t>(std::max<std::uint64_t>(counts.read, 1)),
-               counts.done, counts.shed, counts.errored, counts.left, counts.calls, counts.callsDone,
-               now.held, now.onCores, wantingCore_.value_or(-1), now.atCalls, now.unowed,
-               clients_.openConnections());
-}
-
-RequestServer::Standing RequestServer::standing() const {
-  Standing out;
-  for (const auto& [id, req] : table_.all()) {
-    ++(req.state < RequestState::executing    ? out.held
-       : req.state == RequestState::executing ? out.onCores
-                                              : out.atCalls);
-    out.unowed += !req.isResponsePending;
+}
+
+// No response is pending any more. A request that has not been started is over; one that waits for a
+// downstream call ends there.
+void RequestServer::endResponse(RequestId id, InFlightRequest& request) {
+  request.isResponsePending = false;
+  downstreamClient_.cancel(id);
+  if (request.isWithEngine()) return;
+  if (!request.wasStarted) releaseDuplicates(id);
+  originalEnded(id, OriginalState::failed, {});
+  requests_.remove(id);
+}
+
+// Duplicates and their originals.
+
+DeduplicationCache::Lookup RequestServer::findOriginal(RequestId id, const peers::IncomingRequest& request) {
+  const auto key = DeduplicationCache::keyOf(request, deployment_.handlerPolicies);
+  if (!key) return {};
+  return deduplicationCache_.findOriginalOrRegister(
+      *key, DeduplicationCache::fingerprintOf(request),
+      {.id = id, .arrivedAt = request.readAt - request.readDelay, .readAt = request.readAt});
+}
+
+// What provably had no effect is nobody's original: its key is free, and the duplicates that waited for it
+// are admitted anew. The next of them that is executed is the original of the others.
+void RequestServer::releaseDuplicates(RequestId original) {
+  if (!neverExecuted_.insert(original).second) return;
+  deduplicationCache_.drop(original);
+  for (const RequestId id : requests_.duplicatesAwaiting(original)) readmit(id);
+}
+
+// The policy decides on the request as on a new one, with what is left of its client's time.
+void RequestServer::readmit(RequestId id) {
+  InFlightRequest& request = *requests_.find(id);
+  notify(ExecutionEnded{id, Outcome::failed, net::Reactor::Clock::now() - request.stateSince});
+  requests_.stopAwaitingOriginal(id, request);
+
+  peers::IncomingRequest& incoming = request.request;
+  const auto now = std::chrono::system_clock::now();
+  const Duration waited = std::max<Duration>(now - incoming.readAt, 0s);
+  incoming.readAt = now;
+  incoming.readDelay += waited;
+  if (incoming.timeRemaining)
+    incoming.timeRemaining = std::max<Duration>(*incoming.timeRemaining - waited, 0s);
+
+  const DeduplicationCache::Lookup known = findOriginal(id, incoming);
+  request.duplicateOf = known.original;
+  if (!known.hasConflictingPayload) {
+    notifyArrival(id, request);
+    return;
   }
-  out.callsOpen = servers_.openCalls();
-  return out;
-}
-
-RequestServer::Figures RequestServer::figures() const {
-  Figures out;
-  out.leaving = stopAt_.has_value();
-  out.works = engine_.isResponsive();
-  const MachineProfile& machine = facts_.machine;
-  if (module_) out.limit = module_->concurrencyLimit();
-  if (coldSince_ && machine.warmUpDuration > 0s)
-    out.warmth = std::min(1.0, std::chrono::duration<double>(net::Reactor::Clock::now() - *coldSince_) /
-                                   machine.warmUpDuration);
-  const auto now = standing();
-  out.running = now.onCores + now.atCalls, out.held = now.held;
-  out.read = readBefore_ + counts_.read, out.done = doneBefore_ + counts_.done;
-  return out;
-}
-
-// Leaving: the module hears that it ends a little before the stop; late in it callers are asked to close
-// their connections and the listener ends, then connections that still rest are ended from our side, and the
-// end comes once none is left and the list has heard of it, or just before the stop.
-void RequestServer::leave() {
-  if (stopAt_) return;
-  stopAt_ = net::Reactor::Clock::now() + place_.shutdownTimeout;
-  log_.message(logging::LogCategory::drain, "told to leave within {} ms, {} reqs in hand",
-               std::chrono::duration_cast<std::chrono::milliseconds>(place_.shutdownTimeout).count(),
-               table_.size());
-  openModule(true, 0s);
-  tell(ShutdownNotice{std::max<Duration>(place_.shutdownTimeout - endMargin, 0s)});
-  leaving_ = reactor_.after(leaveStepEvery, [this] { leaveStep(); });  // once the module has heard of it
-}
-
-void RequestServer::leaveStep() {
-  leaving_ = reactor_.after(leaveStepEvery, [this] { leaveStep(); });
-  const auto left = *stopAt_ - net::Reactor::Clock::now();
-  if (left <= drainBefore && !std::exchange(draining_, true)) clients_.startDraining();
-  const bool listens = !draining_ || !clients_.stopListening();
-  // By now the module has given up on all that it was asked; nothing waits but who does not go.
-  if (left <= endRestingBefore) clients_.closeIdleConnections();
-  // Nor does it go, while there is time, before the list has heard that it does.
-  const bool told = !list_ || list_->isAcknowledged() || left <= endRestingBefore;
-  if ((!listens && clients_.openConnections() == 0 && told) || left <= endMargin / 2) {
-    log_.message(logging::LogCategory::drain, "leaves with {} reqs in hand, {} connections", table_.size(),
-                 clients_.openConnections());
-    reactor_.stop();
+  statistics_.onRequestFailed();
+  requestListener_.sendFailure(incoming.response, reasonConflictingPayload);
+  requests_.remove(id);
+}
+
+void RequestServer::originalEnded(RequestId original, OriginalState state, const std::string& result) {
+  deduplicationCache_.onOriginalEnded(original, state, std::chrono::system_clock::now(), result);
+  for (const RequestId id : requests_.duplicatesAwaiting(original))
+    answerDuplicate(id, *requests_.find(id), state, result);
+}
+
+void RequestServer::answerDuplicate(RequestId id, InFlightRequest& request, OriginalState state,
+                                    const std::string& result) {
+  const bool isCompleted = state == OriginalState::completed;
+  if (request.isResponsePending && isCompleted) {
+    requestListener_.sendResult(request.request.response, result);
+    statistics_.onRequestCompleted();
+  } else if (request.isResponsePending) {
+    requestListener_.sendFailure(request.request.response, reasonOriginalFailed);
+    statistics_.onRequestFailed();
   }
+  notify(ExecutionEnded{id, isCompleted ? Outcome::completed : Outcome::failed,
+                        net::Reactor::Clock::now() - request.stateSince});
+  requests_.remove(id);
 }
 
 }  // namespace rainhook::server
--- a/src/server/request_server.h
+++ b/src/server/request_server.h
@@ -1,13 +1,15 @@
-// One real server: what its peers tell becomes events, what the module asks for becomes actions of its peers.
-// It decides nothing. Everything read in one turn of the reactor is one batch.
+/// @file
+/// The server: wires its peers to the admission policy.
 #pragma once
 
+#include <chrono>
 #include <cstdint>
-#include <map>
 #include <memory>
 #include <optional>
 #include <set>
 #include <string>
+#include <string_view>
+#include <variant>
 #include <vector>
 
 #include "configuration/server_configuration.h"
@@ -16,62 +18,84 @@
 #include "net/reactor.h"
 #include "peers/downstream_client.h"
 #include "peers/execution_engine_client.h"
-#include "peers/registry_client.h"
 #include "peers/request_listener.h"
+#include "server/configuration_reload.h"
 #include "server/deduplication_cache.h"
+#include "server/endpoint_registration.h"
+#include "server/engine_command_dispatcher.h"
+#include "server/graceful_shutdown.h"
+#include "server/policy_timers.h"
+#include "server/request_statistics.h"
 #include "server/request_table.h"
+#include "server/resource_budget.h"
 
 namespace rainhook::server {
 
+/// What a server is doing, for the other members of its fleet.
+struct ServerStatus {
+  bool isShuttingDown = false;
+  bool isEngineResponsive = false;
+  double warmUpProgress = 1;    ///< Share of its full speed, 0 to 1.
+  double concurrencyLimit = 0;  ///< Requests that may execute.
+  std::size_t executing = 0;    ///< Downstream calls included.
+  std::size_t queued = 0;
+  std::uint64_t requestsRead = 0;       ///< Since the start.
+  std::uint64_t requestsCompleted = 0;  ///< Since the start.
+};
+
+/// One server process: what its peers report becomes events of the admission policy, and the policy's actions
+/// become messages to its peers. It decides nothing. All that was read in one iteration of the event loop is
+/// one batch of events.
+///
+/// Bounds: requests in flight, output and cached results are bounded by ResourceBudget; pending events by
+/// what one iteration reads.
+///
+/// Used from the event loop's thread only. The reactor and the log must outlive it.
 class RequestServer final : peers::RequestListener::Listener,
                             peers::ExecutionEngineClient::Listener,
                             peers::DownstreamClient::Listener {
  public:
-  RequestServer(net::Reactor& reactor, logging::Log& log, ServerConfiguration configured);
+  /// Throws Poco::Exception where an address can't be resolved.
+  RequestServer(net::Reactor& reactor, logging::Log& log, ServerConfiguration configuration);
   ~RequestServer() override;
+  RequestServer(const RequestServer&) = delete;
+  RequestServer& operator=(const RequestServer&) = delete;
 
-  // Binds its address; throws Poco::Exception where that can't be had.
+  /// Binds its address and connects to its peers; throws Poco::Exception where the address can't be bound.
   void open();
-  Poco::Net::SocketAddress address() const { return clients_.address(); }
-  // A new configuration: peers that moved are reached where they are now, all in hand goes on.
-  void reload(const ServerConfiguration& offered);
-  // The same from a file; one that can't be taken changes nothing.
-  void reloadFrom(const std::string& file);
-  // What is in hand now, by where it stands; said in the log every few seconds, to hold against the engine's
-  // gauges.
-  struct Standing {
-    std::size_t held = 0, onCores = 0, atCalls = 0, unowed = 0, callsOpen = 0;
-    auto operator<=>(const Standing&) const = default;
-  };
-  Standing standing() const;
-  // What it does, in numbers that others may hear.
-  struct Figures {
-    bool leaving = false, works = false;
-    double warmth = 1, limit = 0;  // share of its full speed; reqs that may run
-    std::size_t running = 0, held = 0;
-    std::uint64_t read = 0, done = 0;  // since the start
-  };
-  Figures figures() const;
-  // How much of its stated share of the dependency it may use from now on, 0 to 1.
-  void mayCall(double part);
-  std::uint64_t looks() const { return clients_.entriesScanned(); }
-  // The notice to leave; the reactor stops once all is answered.
-  void leave();
+  Poco::Net::SocketAddress address() const { return requestListener_.address(); }
+
+  /// Takes what a new configuration may change while the server runs, see ConfigurationReload.
+  void reload(const ServerConfiguration& offered) { configurationReload_.apply(offered); }
+  /// The same from a file; where it can't be read, nothing changes.
+  void reloadFile(const std::string& path) { configurationReload_.applyFile(path); }
+
+  /// Starts a graceful shutdown, at whose end the reactor is stopped. Later calls do nothing.
+  void shutDownGracefully();
+
+  /// How much of the configured quota of downstream calls it may use from now on, 0 to 1.
+  void setDownstreamQuota(double share);
+
+  InFlightCounts inFlightCounts() const;
+  ServerStatus status() const;
+  /// How many connections were visited so far to make room for new ones.
+  std::uint64_t connectionsScanned() const { return requestListener_.entriesScanned(); }
 
  private:
-  std::variant<RequestId, std::string_view> onRequest(peers::IncomingRequest&& req) override;
+  // Reports of the peers.
+  std::variant<RequestId, std::string_view> onRequest(peers::IncomingRequest&& incoming) override;
   void onClientDisconnected(RequestId id) override;
   void onEngineConnected(bool cold, Duration since) override;
   void onNotificationsCaughtUp() override;
   void onExecutionEnded(const std::string& name, Outcome outcome, Duration took,
                         std::string&& result) override;
-  void onDownstreamCallRequested(const std::string& name, std::uint64_t notice, std::string&& body) override;
-  void onGauges(std::uint64_t question, const std::vector<double>& values) override;
+  void onDownstreamCallRequested(const std::string& name, std::uint64_t notification,
+                                 std::string&& body) override;
+  void onGauges(std::uint64_t gaugeRequest, const std::vector<double>& values) override;
   void onCommandRejected(const std::string& name, const std::string& command) override;
   void onDownstreamCallEnded(RequestId id, Outcome outcome, Duration took, std::string&& reply) override;
 
-  void openModule(bool cold, Duration since);
-  void endTurn();
+  // Actions of the policy.
   void perform(const StartExecution& action);
   void perform(const ShedRequest& action);
   void perform(const FailRequest& action);
@@ -87,63 +111,61 @@
   void perform(const SetTimer& action);
   void perform(const DiagnosticMessage& action);
 
-  void enter(RequestId id, const peers::IncomingRequest& req, std::optional<RequestId> repeats);
-  void settled(RequestId id, InFlightRequest& req);
-  void neverRan(RequestId first);
-  void readAnew(RequestId id);
-  void firstEnded(RequestId first, DeduplicationCache::OriginalState end, const std::string& result);
-  void answerFrom(RequestId id, InFlightRequest& req, DeduplicationCache::OriginalState end,
-                  const std::string& result);
-  void say(InFlightRequest& req, EngineCommand what);
-  void ring(std::uint64_t question, const std::vector<double>& values);
-  void tell(const Event& event);
-  void report();
-  void leaveStep();
-  Duration sinceOpened() const;
-  std::uint64_t chance() const;
-
-  static constexpr Duration gaugesWait = std::chrono::milliseconds(8), reportEvery = std::chrono::seconds(5),
-                            endMargin = std::chrono::milliseconds(150),
-                            drainBefore = std::chrono::milliseconds(700),
-                            endRestingBefore = std::chrono::milliseconds(200),
-                            leaveStepEvery = std::chrono::milliseconds(10);
+  // The policy.
+  void openPolicy(bool isColdStart, Duration engineAge);
+  void onIterationEnd();
+  void notify(const Event& event);
+  void notifyArrival(RequestId id, const InFlightRequest& request);
+  void onTimerFired(const TimerFired& event);
+
+  // The life of a request.
+  void endExecution(RequestId id, InFlightRequest& request, Outcome outcome, Duration took,
+                    const std::string& result);
+  void failExecution(RequestId id, InFlightRequest& request);
+  void respond(InFlightRequest& request, Outcome outcome, const std::string& result);
+  void endResponse(RequestId id, InFlightRequest& request);
+
+  // Duplicates and their originals.
+  DeduplicationCache::Lookup findOriginal(RequestId id, const peers::IncomingRequest& request);
+  void releaseDuplicates(RequestId original);
+  void readmit(RequestId id);
+  void originalEnded(RequestId original, DeduplicationCache::OriginalState state, const std::string& result);
+  void answerDuplicate(RequestId id, InFlightRequest& request, DeduplicationCache::OriginalState state,
+                       const std::string& result);
+
+  std::uint64_t jitterSeed() const;
 
   net::Reactor& reactor_;
   logging::Log& log_;
-  ServerConfiguration configured_;  // the place may change by a reload, the facts never do
-  const ServerEndpoints& place_ = configured_.endpoints;
-  const DeploymentSettings& facts_ = configured_.deployment;
-  net::BufferPool pool_;
-  peers::RequestListener clients_;
-  peers::DownstreamClient servers_;
-  peers::ExecutionEngineClient engine_;
-  std::unique_ptr<peers::RegistryClient> list_;
-  std::unique_ptr<AdmissionPolicy> module_;
-  Moment origin_{};  // the start that the module counts from
-  RequestTable table_;
-  DeduplicationCache marks_;
-  std::vector<Event> happened_;
-  std::set<RequestId> neverRan_;  // of this turn: repeats that name one of them have no first
-  std::uint32_t reqs_ = 0;
-  std::uint64_t questions_ = 0;
-  struct Ringing {
-    TimerId timer{};
-    net::Reactor::Timer late;
-  };
-  std::map<std::uint64_t, Ringing> ringing_;          // timers that wait for their gauges, for a short while
-  std::map<std::uint64_t, net::Reactor::Timer> set_;  // a timer leaves when it rings
-  std::uint64_t timers_ = 0;
-  struct Counts {
-    std::uint64_t read = 0, done = 0, shed = 0, errored = 0, left = 0, calls = 0, callsDone = 0;
-    Duration unread{};
-  } counts_;
-  std::uint64_t readBefore_ = 0, doneBefore_ = 0;  // until the counts began anew
-  double part_ = 1;                                // of the stated share of calls
-  net::Reactor::Timer again_, reporting_, leaving_;
-  std::optional<Moment> stopAt_;
-  std::optional<Moment> coldSince_;        // the engine's start, where that was a cold one
-  std::optional<double> wantingCore_;      // as the engine said last
-  bool fresh_ = false, draining_ = false;  // fresh: the module has not been asked yet
+  ServerConfiguration configuration_;  // a reload changes its endpoints, never the deployment
+  const ServerEndpoints& endpoints_ = configuration_.endpoints;
+  const DeploymentSettings& deployment_ = configuration_.deployment;
+  const ResourceBudget budget_ = divideResources(endpoints_.maxDescriptors, endpoints_.memoryMb);
+
+  net::BufferPool bufferPool_;
+  peers::RequestListener requestListener_;
+  peers::DownstreamClient downstreamClient_;
+  peers::ExecutionEngineClient engineClient_;
+  EndpointRegistration registration_;
+
+  RequestTable requests_;
+  DeduplicationCache deduplicationCache_;
+  EngineCommandDispatcher engineCommands_;
+  PolicyTimers policyTimers_;
+  RequestStatistics statistics_;
+  ConfigurationReload configurationReload_;
+  GracefulShutdown shutdown_;
+
+  std::unique_ptr<AdmissionPolicy> policy_;
+  Moment policyOrigin_{};       // the start of the engine, from which the policy counts its time
+  bool isPolicyNew_ = false;    // it has not been asked yet
+  double downstreamQuota_ = 1;  // share of the configured one
+  std::vector<Event> pendingEvents_;
+  std::set<RequestId> neverExecuted_;  // in this iteration: they are nobody's originals
+  net::Reactor::Timer wakeUpTimer_;
+  std::uint32_t lastRequestId_ = 0;
+  std::optional<Moment> coldStartedAt_;        // the engine's start, where that was a cold one
+  std::optional<double> engineRunnableTasks_;  // as its gauges said last
 };
 
 }  // namespace rainhook::server
--- /dev/null
+++ b/src/server/resource_budget.cpp
@@ -0,0 +1,28 @@
+#include "server/resource_budget.h"
+
+#include <algorithm>
+
+namespace rainhook::server {
+namespace {
+
+constexpr std::size_t reservedDescriptors = 14;
+constexpr std::size_t minDownstreamCalls = 2;
+// A body of 2 kB, a reply of 4 kB at most, and what the tables hold beside them.
+constexpr std::size_t bytesPerRequestInFlight = 8 * 1024;
+constexpr int bytesPerMegabyteShift = 20;
+
+}  // namespace
+
+ResourceBudget divideResources(std::size_t maxDescriptors, int memoryMb) {
+  const std::size_t memoryBytes = static_cast<std::size_t>(memoryMb) << bytesPerMegabyteShift;
+  ResourceBudget budget;
+  budget.maxClientConnections = std::min(maxDescriptors / 2 + maxDescriptors / 16,
+                                         maxDescriptors - reservedDescriptors - minDownstreamCalls);
+  budget.maxDownstreamCalls = maxDescriptors - budget.maxClientConnections - reservedDescriptors;
+  budget.maxRequestsInFlight = memoryBytes / 4 / bytesPerRequestInFlight;
+  budget.maxOutputBytes = memoryBytes / 8;
+  budget.maxResultBytes = memoryBytes / 8;
+  return budget;
+}
+
+}  // namespace rainhook::server
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -384,7 +384,7 @@
   client.say(Balancer::message(6, paid(one, "k2"), "x") + Balancer::message(7, paid(two, "k2"), "y"));
   EXPECT_EQ(client.answer().fields.at("why"), "its key came with another content");
   EXPECT_EQ(w.launched(), one);
-  EXPECT_EQ(w.standing().onCores, 1u);
+  EXPECT_EQ(w.standing().executing, 1u);
 }
 
 // The last and the first millisecond of a short window, by the caller's clock.
--- a/tests/fake_peers.h
+++ b/tests/fake_peers.h
@@ -208,8 +208,8 @@
         ServerConfiguration{place, readDeploymentSettings(flattenSettingsJson(settings)), {}});
     reactor_.onSignals({SIGTERM, SIGHUP, SIGUSR1}, [this](int signal) {
       if (signal == SIGUSR1) return std::exchange(pause_, {})();
-      if (signal != SIGHUP) return server_->leave();
-      file.empty() ? server_->reload({place, {}, {}}) : server_->reloadFrom(file);
+      if (signal != SIGHUP) return server_->shutDownGracefully();
+      file.empty() ? server_->reload({place, {}, {}}) : server_->reloadFile(file);
     });
     server_->open();
     thread_ = std::thread([this] { reactor_.run(); });
@@ -239,16 +239,16 @@
     server_.reset();
   }
   // What the server believes to have in hand, once it stands still.
-  server::RequestServer::Standing standing() {
+  server::InFlightCounts standing() {
     std::this_thread::sleep_for(100ms);
     stopRunning();
-    return server_->standing();
+    return server_->inFlightCounts();
   }
   void waitForEnd() { thread_.join(); }
   // How many connections were gone through to make room; ends the server's thread.
   std::uint64_t looks() {
     stopRunning();
-    return server_->looks();
+    return server_->connectionsScanned();
   }
   Balancer balancer() { return Balancer(Poco::Net::StreamSocket(server_->address())); }
 
--- a/tests/server_test.cpp
+++ b/tests/server_test.cpp
@@ -324,8 +324,10 @@
   client.ask(3, Balancer::fields(one));
   auto line = w.command();
   while (line["call"] != one) line = w.command();
-  EXPECT_EQ(w.standing(), (server::RequestServer::Standing{
-                              .held = 0, .onCores = 1, .atCalls = 0, .unowed = 0, .callsOpen = 0}));
+  EXPECT_EQ(
+      w.standing(),
+      (server::InFlightCounts{
+          .queued = 0, .executing = 1, .inDownstreamCalls = 0, .abandoned = 0, .openDownstreamCalls = 0}));
 }
 
 // A link that stands but says nothing any more is made anew.
