--- a/tests/fleet/crossing_test.cpp
+++ b/tests/fleet/crossing_test.cpp
@@ -7,15 +7,15 @@
 #include <fstream>
 #include <iostream>
 
-#include "../fake_peers.h"
 #include "fleet/process.h"
+#include "support/test_server.h"
 #include "test_doubles/fake_downstream.h"
 #include "test_doubles/fake_engine.h"
 
 namespace rainhook::fleet {
 namespace {
 
-using What = Answer::What;
+using namespace std::chrono_literals;
 
 std::string reqName(int number) { return fmt::format("{:016x}", 0xc000 + number); }
 
@@ -25,19 +25,20 @@
  public:
   Program(int stopMs, int sockets, std::chrono::milliseconds work = 30ms)
       : engine_(std::make_unique<testDoubles::Engine>(work, false)) {
-    nlohmann::json settings = Peers().settings;
+    nlohmann::json settings = exampleSettings();
     settings["domain"]["below"] = "none", settings["domain"]["classCalls"] = {false, false};
     config_["agent"] = engine_->address();
     begin(stopMs, sockets, settings);
   }
-  Program(std::unique_ptr<testDoubles::Engine> engine, const std::string& next, const nlohmann::json& settings)
+  Program(std::unique_ptr<testDoubles::Engine> engine, const std::string& next,
+          const nlohmann::json& settings)
       : engine_(std::move(engine)) {
     config_["agent"] = engine_->address(), config_["backend"] = next;
     begin(3000, 256, settings);
   }
-  Program(Peers& peers, int stopMs, int sockets) {
+  Program(FakePeers& peers, int stopMs, int sockets, const nlohmann::json& settings = exampleSettings()) {
     at(peers);
-    begin(stopMs, sockets, peers.settings);
+    begin(stopMs, sockets, settings);
   }
   ~Program() {
     process_.reset();
@@ -47,10 +48,10 @@
       std::filesystem::remove_all(folder_);
   }
   // The peers' addresses as they are now; the file is not read before somebody says so.
-  void at(Peers& peers) {
-    config_["agent"] = peers.engineAt.address().toString();
-    config_["backend"] = peers.nextAt.address().toString();
-    config_["roster"] = peers.listAt.address().toString();
+  void at(FakePeers& peers) {
+    config_["agent"] = peers.engine.socket.address().toString();
+    config_["backend"] = peers.downstreamSocket.address().toString();
+    config_["roster"] = peers.registrySocket.address().toString();
     if (!folder_.empty()) write();
   }
   void start() {
@@ -63,15 +64,17 @@
     while (std::chrono::steady_clock::now() - from < most) {
       try {
         auto line = balancer();
-        line.health();
-        if (line.answer().what == What::good) break;
+        line.sendHealthCheck();
+        if (line.receiveResponse().kind == ResponseKind::healthy) break;
       } catch (const Poco::Exception&) {
         std::this_thread::sleep_for(5ms);
       }
     }
     return std::chrono::duration_cast<std::chrono::milliseconds>(std::chrono::steady_clock::now() - from);
   }
-  Balancer balancer() { return Balancer(Poco::Net::StreamSocket(Poco::Net::SocketAddress(address_))); }
+  FakeBalancer balancer() {
+    return FakeBalancer(Poco::Net::StreamSocket(Poco::Net::SocketAddress(address_)));
+  }
   Process& process() { return *process_; }
   const testDoubles::Engine& engine() const { return *engine_; }
   std::string file() const { return folder_ + "/config.json"; }
@@ -81,7 +84,7 @@
   void begin(int stopMs, int sockets, const nlohmann::json& settings) {
     char name[] = "/tmp/rainhook-crossing-XXXXXX";
     folder_ = ::mkdtemp(name);
-    auto any = Peers::any();
+    auto any = listenOnAnyPort();
     address_ = any.address().toString();
     any.close();
     config_["name"] = "n1", config_["listen"] = address_, config_["stop_ms"] = stopMs;
@@ -99,21 +102,21 @@
 };
 
 // How many of these got one answer each, to the req they sent.
-int answered(std::vector<Balancer>& clients) {
+int answered(std::vector<FakeBalancer>& clients) {
   int out = 0;
   for (auto& client : clients) {
-    Answer answer = client.answer();
-    while (answer.what == What::closing) answer = client.answer();
-    out += answer.number == 1 && answer.what != What::none;
+    Response answer = client.receiveResponse();
+    while (answer.kind == ResponseKind::closing) answer = client.receiveResponse();
+    out += answer.sequenceNumber == 1 && answer.kind != ResponseKind::none;
   }
   return out;
 }
 
-std::vector<Balancer> asking(Program& w, int count) {
-  std::vector<Balancer> out;
+std::vector<FakeBalancer> asking(Program& w, int count) {
+  std::vector<FakeBalancer> out;
   for (int i = 0; i < count; ++i) {
     out.push_back(w.balancer());
-    out.back().ask(1, Balancer::fields(reqName(i)));
+    out.back().sendRequest(1, FakeBalancer::requestFields(reqName(i)));
   }
   return out;
 }
@@ -151,12 +154,12 @@
   w.ready();
   auto rests = w.balancer();  // and never goes, so that the process stays to its last moment
   w.process().terminate();
-  std::vector<Balancer> came;
+  std::vector<FakeBalancer> came;
   const auto told = Clock::now();
   auto refused = told;
   while (refused == told && Clock::now() - told < 5s) try {
       came.push_back(w.balancer());
-      came.back().ask(1, Balancer::fields(reqName(static_cast<int>(came.size()))));
+      came.back().sendRequest(1, FakeBalancer::requestFields(reqName(static_cast<int>(came.size()))));
       std::this_thread::sleep_for(2ms);  // several come between two looks at the listener
     } catch (const Poco::Exception&) {
       refused = Clock::now();
@@ -172,20 +175,21 @@
 TEST(CrossingProgram, RestingClientsAreEndedInOrderAndTheDrainIsNotLateForThem) {
   Program w(1500, 256);
   w.ready();
-  std::vector<Balancer> rest;
+  std::vector<FakeBalancer> rest;
   for (int i = 0; i < 6; ++i) rest.push_back(w.balancer());
-  rest[0].ask(1, Balancer::fields(reqName(1)));
-  EXPECT_EQ(rest[0].answer().what, What::done);
-  const auto message = Balancer::message(1, Balancer::fields(reqName(2)), "x");
-  rest[1].say(std::string_view(message).substr(0, message.size() / 2));
+  rest[0].sendRequest(1, FakeBalancer::requestFields(reqName(1)));
+  EXPECT_EQ(rest[0].receiveResponse().kind, ResponseKind::completed);
+  const auto message = FakeBalancer::encodeRequest(1, FakeBalancer::requestFields(reqName(2)), "x");
+  rest[1].send(std::string_view(message).substr(0, message.size() / 2));
   const auto told = std::chrono::steady_clock::now();
   w.process().terminate();
   EXPECT_EQ(w.process().waitFor(5s), 0);
   EXPECT_LT(std::chrono::steady_clock::now() - told, 2500ms);
   for (auto& client : rest) {
     bool closing = false;
-    for (Answer answer = client.answer(); answer.what != What::none; answer = client.answer())
-      closing |= answer.what == What::closing;
+    for (Response answer = client.receiveResponse(); answer.kind != ResponseKind::none;
+         answer = client.receiveResponse())
+      closing |= answer.kind == ResponseKind::closing;
     EXPECT_TRUE(closing);
     EXPECT_FALSE(client.wasReset());
   }
@@ -197,16 +201,17 @@
   Program w(900, 256, 1ms);
   w.ready();
   auto client = w.balancer();
-  for (int i = 1; i <= 20; ++i) client.ask(i, Balancer::fields(reqName(i)));
+  for (int i = 1; i <= 20; ++i) client.sendRequest(i, FakeBalancer::requestFields(reqName(i)));
   w.process().terminate();
   // A frame that never becomes whole, in pieces until the server has ended its side.
   const std::string piece("\0\0\x10\0", 4);
-  client.say(piece);
+  client.send(piece);
   int answers = 0;
-  for (Answer answer = client.answer(); answer.what != What::none; answer = client.answer()) {
-    answers += answer.what != What::closing;
+  for (Response answer = client.receiveResponse(); answer.kind != ResponseKind::none;
+       answer = client.receiveResponse()) {
+    answers += answer.kind != ResponseKind::closing;
     try {
-      client.say("x");
+      client.send("x");
     } catch (const Poco::Exception&) {
     }
   }
@@ -220,16 +225,16 @@
   Program w(3000, 256);
   w.ready();
   auto client = w.balancer();
-  const auto closing = client.answer();  // it never said anything for 2 s
-  EXPECT_EQ(closing.what, What::closing);
+  const auto closing = client.receiveResponse();  // it never said anything for 2 s
+  EXPECT_EQ(closing.kind, ResponseKind::closing);
   w.process().stop();  // well before the end, which comes 150 ms later
   const auto stopped = std::chrono::steady_clock::now();
-  client.ask(1, Balancer::fields(reqName(1)));
+  client.sendRequest(1, FakeBalancer::requestFields(reqName(1)));
   std::this_thread::sleep_until(stopped + 400ms);  // the end is overdue
   w.process().wake();
-  const auto answer = client.answer();
-  EXPECT_EQ(answer.what, What::done);
-  EXPECT_EQ(answer.number, 1);
+  const auto answer = client.receiveResponse();
+  EXPECT_EQ(answer.kind, ResponseKind::completed);
+  EXPECT_EQ(answer.sequenceNumber, 1);
 }
 
 // The socket goes only once its peer has ended its side too: what that still sends meets no reset, which
@@ -238,14 +243,14 @@
   Program w(3000, 256);
   w.ready();
   auto client = w.balancer();
-  while (client.answer().what == What::closing) {
+  while (client.receiveResponse().kind == ResponseKind::closing) {
   }
   EXPECT_FALSE(client.wasReset());  // our side has ended, the client's has not
-  for (int i = 0; i < 3; ++i) EXPECT_NO_THROW(client.say("x")) << i;
+  for (int i = 0; i < 3; ++i) EXPECT_NO_THROW(client.send("x")) << i;
   // Nor is it waited for beyond half a second.
   const auto reset = [&] {
     try {
-      client.say("x");
+      client.send("x");
       return false;
     } catch (const Poco::Exception&) {
       return true;
@@ -259,7 +264,7 @@
 // The notice to leave that comes while the program starts, before it has read its file: it listens, says that
 // it takes no work, and leaves in good order. The file is a pipe, so that the moment is held.
 TEST(CrossingProgram, ANoticeBeforeTheServerStandsIsHeard) {
-  Peers peers;
+  FakePeers peers;
   Program w(peers, 600, 256);
   w.process().kill();
   std::filesystem::remove(w.file());
@@ -276,8 +281,8 @@
   ::close(pipe);
   std::string said;
   while (said != R"({"duty":"off"})") {
-    auto report = Line::accept(peers.listAt);
-    const auto asked = report.hear(Asked::read);
+    auto report = TestConnection::accept(peers.registrySocket);
+    const auto asked = report.receive(HttpRequest::parse);
     if (!report.isOpen()) break;
     if (asked) said = asked->body;
   }
@@ -289,42 +294,42 @@
 // hears of the leaving last, the new engine goes on with the run, what came after the grace does not run, and
 // all is answered before the end.
 TEST(CrossingProgram, AReloadAndTheNoticeInOneTurn) {
-  Peers peers;
+  FakePeers peers;
   Program w(peers, 2500, 256);
-  peers.link();
+  peers.engine.acceptConnection();
   auto client = w.balancer();
-  client.ask(1, Balancer::fields(reqName(1)));
-  EXPECT_EQ(peers.launched(), reqName(1));
+  client.sendRequest(1, FakeBalancer::requestFields(reqName(1)));
+  EXPECT_EQ(peers.engine.nextStartedRequest(), reqName(1));
   w.process().stop();
-  auto engineWas = std::exchange(peers.engineAt, Peers::any());
-  auto listWas = std::exchange(peers.listAt, Peers::any());
+  auto engineWas = std::exchange(peers.engine.socket, listenOnAnyPort());
+  auto listWas = std::exchange(peers.registrySocket, listenOnAnyPort());
   w.at(peers);
   ::kill(w.process().id(), SIGHUP);
   w.process().terminate();
   w.process().wake();
-  peers.link();
+  peers.engine.acceptConnection();
   std::string last;
   for (int reports = 0; reports < 6;) {
-    auto report = Line::accept(peers.listAt);
+    auto report = TestConnection::accept(peers.registrySocket);
     if (!report.isOpen()) break;
-    const auto asked = report.hear(Asked::read);
+    const auto asked = report.receive(HttpRequest::parse);
     if (!asked) continue;  // taken back for the newer one
     last = asked->body;
     reports += last == R"({"duty":"off"})";
     if (last == R"({"duty":"on"})") reports = 0;
-    report.say("HTTP/1.1 204 No Content\r\n\r\n");
+    report.send("HTTP/1.1 204 No Content\r\n\r\n");
   }
   EXPECT_EQ(last, R"({"duty":"off"})");  // more than half a second after the notice, and past the grace
-  client.ask(2, Balancer::fields(reqName(2)));
-  const auto late = client.answer();
-  EXPECT_EQ(late.number, 2);
-  EXPECT_EQ(late.what, What::shed);
-  EXPECT_EQ(peers.launched(), reqName(1));  // said again: it may not have been read
-  peers.ends(reqName(1));
-  auto answer = client.answer();
-  while (answer.what == What::closing) answer = client.answer();
-  EXPECT_EQ(answer.number, 1);
-  EXPECT_EQ(answer.what, What::done);
+  client.sendRequest(2, FakeBalancer::requestFields(reqName(2)));
+  const auto late = client.receiveResponse();
+  EXPECT_EQ(late.sequenceNumber, 2);
+  EXPECT_EQ(late.kind, ResponseKind::shed);
+  EXPECT_EQ(peers.engine.nextStartedRequest(), reqName(1));  // said again: it may not have been read
+  peers.engine.endExecution(reqName(1));
+  auto answer = client.receiveResponse();
+  while (answer.kind == ResponseKind::closing) answer = client.receiveResponse();
+  EXPECT_EQ(answer.sequenceNumber, 1);
+  EXPECT_EQ(answer.kind, ResponseKind::completed);
   EXPECT_EQ(w.process().waitFor(5s), 0);
 }
 
@@ -333,51 +338,52 @@
 // that asks is served.
 TEST(CrossingProgram, IdleCallersLeaveRoomForEveryOtherPeer) {
   constexpr int most = 32;
-  Peers peers;
-  peers.settings["domain"]["below"] = "none";
-  Program w(peers, 3000, most);
+  FakePeers peers;
+  auto settings = exampleSettings();
+  settings["domain"]["below"] = "none";
+  Program w(peers, 3000, most, settings);
   const rlimit limit{most, most};
   ASSERT_EQ(::prlimit(w.process().id(), RLIMIT_NOFILE, &limit, nullptr), 0);
-  peers.link();
+  peers.engine.acceptConnection();
   w.ready();
-  const auto listWas = peers.listAt.address();
-  peers.listAt.close();
-  std::vector<Balancer> idle;
+  const auto listWas = peers.registrySocket.address();
+  peers.registrySocket.close();
+  std::vector<FakeBalancer> idle;
   for (int i = 0; i < 3 * most; ++i) idle.push_back(w.balancer());
-  peers.engine.close();
-  peers.link();
+  peers.engine.connection.close();
+  peers.engine.acceptConnection();
   const auto client = [&](int number) {
     auto out = w.balancer();
-    out.ask(1, Balancer::fields(reqName(number)));
-    EXPECT_EQ(peers.launched(), reqName(number));
+    out.sendRequest(1, FakeBalancer::requestFields(reqName(number)));
+    EXPECT_EQ(peers.engine.nextStartedRequest(), reqName(number));
     return out;
   };
   auto first = client(1), second = client(2);
-  std::vector<Line> calls;
+  std::vector<TestConnection> calls;
   for (int number = 1; number <= 2; ++number) {
-    peers.wantsCall(reqName(number), "please");
-    calls.push_back(Line::accept(peers.nextAt));
-    EXPECT_TRUE(calls.back().hear(Asked::read)) << number;
+    peers.engine.requestDownstreamCall(reqName(number), "please");
+    calls.push_back(TestConnection::accept(peers.downstreamSocket));
+    EXPECT_TRUE(calls.back().receive(HttpRequest::parse)) << number;
   }
-  peers.listAt = Poco::Net::ServerSocket(listWas);
-  auto report = Line::accept(peers.listAt);
-  EXPECT_TRUE(report.hear(Asked::read));
-  for (auto& call : calls) call.say(Peers::response("200 OK", "reply"));
-  for (int number = 1; number <= 2; ++number) EXPECT_EQ(peers.command()["msg"], "deliver");
-  for (int number = 1; number <= 2; ++number) peers.ends(reqName(number));
-  EXPECT_EQ(first.answer().what, What::done);
-  EXPECT_EQ(second.answer().what, What::done);
+  peers.registrySocket = Poco::Net::ServerSocket(listWas);
+  auto report = TestConnection::accept(peers.registrySocket);
+  EXPECT_TRUE(report.receive(HttpRequest::parse));
+  for (auto& call : calls) call.send(httpResponse("200 OK", "reply"));
+  for (int number = 1; number <= 2; ++number) EXPECT_EQ(peers.engine.nextCommand()["msg"], "deliver");
+  for (int number = 1; number <= 2; ++number) peers.engine.endExecution(reqName(number));
+  EXPECT_EQ(first.receiveResponse().kind, ResponseKind::completed);
+  EXPECT_EQ(second.receiveResponse().kind, ResponseKind::completed);
 }
 
 // Killed with reqs in flight and the old process's connections open, and started at once under its name.
 TEST(CrossingProgram, NineInTenOfTwentyKilledAndStartedAgainAreReadyWithinTenSeconds) {
   std::vector<std::unique_ptr<Program>> fleet;
   for (int i = 0; i < 20; ++i) fleet.push_back(std::make_unique<Program>(3000, 64, 500ms));
-  std::vector<Balancer> open;
+  std::vector<FakeBalancer> open;
   for (auto& program : fleet) {
     program->ready();
     open.push_back(program->balancer());
-    open.back().ask(1, Balancer::fields(reqName(1)));
+    open.back().sendRequest(1, FakeBalancer::requestFields(reqName(1)));
   }
   for (auto& program : fleet) program->process().kill(), program->start();
   int ready = 0;
@@ -398,7 +404,7 @@
   constexpr double cores = 2, multiple = 8, coldFrom = 0.2;
   constexpr std::size_t size = 30;
   constexpr auto warmWithin = 4s, watched = 2s;
-  nlohmann::json settings = Peers().settings;
+  nlohmann::json settings = exampleSettings();
   settings["invariants"]["fallMultiple"] = multiple, settings["invariants"]["coldFrom"] = coldFrom;
   settings["invariants"]["warmWithinNs"] = std::chrono::nanoseconds(warmWithin).count();
   const auto allowed = [&](std::chrono::duration<double> age) {
@@ -406,14 +412,14 @@
   };
   testDoubles::Next next(10s);
   std::vector<std::unique_ptr<Program>> fleet;
-  std::vector<Balancer> callers;
+  std::vector<FakeBalancer> callers;
   for (std::size_t i = 0; i < size; ++i) {
     fleet.push_back(std::make_unique<Program>(std::make_unique<testDoubles::Engine>(2ms, true, true),
                                               next.address(), settings));
     fleet.back()->ready();
     callers.push_back(fleet.back()->balancer());
     for (int number = 1; number <= 30; ++number)
-      callers.back().ask(number, Balancer::fields(reqName(number)));
+      callers.back().sendRequest(number, FakeBalancer::requestFields(reqName(number)));
   }
   // Those that started last have been watched long enough, too.
   std::this_thread::sleep_for(watched);
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -5,8 +5,8 @@
 #include "codec/http.h"
 #include "codec/json_lines.h"
 #include "codec/thrift.h"
-#include "fake_peers.h"
 #include "net/buffer_pool.h"
+#include "support/fake_balancer.h"
 
 namespace rainhook::net {
 namespace {
@@ -40,7 +40,7 @@
 
 RC_GTEST_PROP(Thrift, ReadsWhatItWroteAndWaitsForTheRestOfACutFrame,
               (const codec::thrift::Fields& fields, const std::string& body)) {
-  const auto bytes = Balancer::message(7, fields, body);
+  const auto bytes = FakeBalancer::encodeRequest(7, fields, body);
   const auto read = readCall(bytes + "more");
   RC_ASSERT(read.first == fields);
   RC_ASSERT(read.second == body);
@@ -49,11 +49,11 @@
 }
 
 RC_GTEST_PROP(Thrift, TakesSpoiledBytes, (const codec::thrift::Fields& fields, const std::string& body)) {
-  takesSpoiled(Balancer::message(7, fields, body), [](std::string_view bytes) { readCall(bytes); });
+  takesSpoiled(FakeBalancer::encodeRequest(7, fields, body), [](std::string_view bytes) { readCall(bytes); });
 }
 
 TEST(Thrift, RefusesFramesAndVersionsThatCannotBe) {
-  const auto good = Balancer::message(7, {{"rid", "x"}}, "b");
+  const auto good = FakeBalancer::encodeRequest(7, {{"rid", "x"}}, "b");
   EXPECT_THROW(codec::thrift::readFrame(good, 10), ProtocolError);
   EXPECT_THROW(codec::thrift::readFrame("\xff\xff\xff\xff", 100), ProtocolError);
   EXPECT_THROW(codec::thrift::readMessage(std::string_view("\0\0\0\4call\1\0\0\0\7\0", 14)), ProtocolError);
--- a/tests/refusal_test.cpp
+++ b/tests/refusal_test.cpp
@@ -9,7 +9,7 @@
 #include <atomic>
 #include <cerrno>
 
-#include "fake_peers.h"
+#include "support/test_server.h"
 
 namespace {
 
@@ -35,29 +35,29 @@
 namespace rainhook {
 namespace {
 
-using What = Answer::What;
+using namespace std::chrono_literals;
 
 // One connection is refused its set-up; the next is served, rooms are made, and nothing of the first is left.
 void refusedOnce(std::atomic<int>& which, int call) {
-  Peers w;
-  w.place.maxDescriptors = 64;
-  w.start();
-  auto before = w.balancer();
-  before.health();
-  EXPECT_EQ(before.answer().what, What::good);
+  TestServer server;
+  server.endpoints.maxDescriptors = 64;
+  server.start();
+  auto before = server.connectBalancer();
+  before.sendHealthCheck();
+  EXPECT_EQ(before.receiveResponse().kind, ResponseKind::healthy);
   which = call;
-  auto refused = w.balancer();
-  EXPECT_TRUE(refused.endsNow());
+  auto refused = server.connectBalancer();
+  EXPECT_TRUE(refused.waitUntilClosed());
   EXPECT_EQ(which, 0);
   for (int i = 0; i < 80; ++i) {
-    auto after = w.balancer();
-    after.health();
-    EXPECT_EQ(after.answer().what, What::good);
+    auto after = server.connectBalancer();
+    after.sendHealthCheck();
+    EXPECT_EQ(after.receiveResponse().kind, ResponseKind::healthy);
   }
   std::this_thread::sleep_for(300ms);  // the sweep goes through all that is entered
-  auto last = w.balancer();
-  last.health();
-  EXPECT_EQ(last.answer().what, What::good);
+  auto last = server.connectBalancer();
+  last.sendHealthCheck();
+  EXPECT_EQ(last.receiveResponse().kind, ResponseKind::healthy);
 }
 
 TEST(SystemRefuses, AnOptionOfAnAcceptedSocketAndOnlyThatCallerIsGone) { refusedOnce(refusedOption, 1); }
--- /dev/null
+++ b/tests/server_deduplication_test.cpp
@@ -0,0 +1,281 @@
+#include <gtest/gtest.h>
+
+#include "support/test_server.h"
+
+namespace rainhook {
+namespace {
+
+using namespace std::chrono_literals;
+
+class ServerDeduplication : public ServerTest {};
+
+TEST_F(ServerDeduplication, ExecutesKeyedRequestOnceAndAnswersDuplicatesFromOriginal) {
+  server.start();
+  auto client = server.connectBalancer();
+  const auto pay = [&](std::int32_t number, const std::string& name) {
+    auto fields = FakeBalancer::requestFields(name, "pay");
+    fields["token"] = "t1";
+    client.sendRequest(number, fields);
+  };
+  pay(1, requestA);
+  EXPECT_EQ(engine.nextStartedRequest(), requestA);
+  pay(2, requestB);  // while the original is executing
+  engine.endExecution(requestA, "ok", "paid");
+  std::map<std::int32_t, std::string> results;
+  for (int i = 0; i < 2; ++i) {
+    const auto response = client.receiveResponse();
+    results[response.sequenceNumber] = response.body;
+  }
+  pay(3, requestC);  // after the original has ended
+  results[client.receiveResponse().sequenceNumber] += "paid";
+  EXPECT_EQ(results, (std::map<std::int32_t, std::string>{{1, "paid"}, {2, "paid"}, {3, "paid"}}));
+  client.sendRequest(4, FakeBalancer::requestFields("00000000000000a4"));
+  EXPECT_EQ(engine.nextStartedRequest(), "00000000000000a4");  // nothing else was started in between
+}
+
+// The first two are read in one iteration of the event loop; the third arrived within the window and is read
+// after it: it is neither executed nor shed.
+TEST_F(ServerDeduplication, ExecutesKeyedRequestOnceHoweverEarlyOrLateDuplicateIsRead) {
+  server.settings["classes"][1]["windowNs"] = 100000000;
+  server.start();
+  auto client = server.connectBalancer();
+  auto fields = FakeBalancer::requestFields(requestA, "pay");
+  fields["token"] = "t1";
+  const auto arrivedAtMs = std::stoll(fields["t0"]);
+  const auto original = FakeBalancer::encodeRequest(1, fields, "x");
+  fields["rid"] = requestB;
+  client.send(original + FakeBalancer::encodeRequest(2, fields, "x"));
+  EXPECT_EQ(engine.nextStartedRequest(), requestA);
+  engine.endExecution(requestA, "ok", "paid");
+  EXPECT_EQ(client.receiveResponse().body, "paid");
+  EXPECT_EQ(client.receiveResponse().body, "paid");
+  std::this_thread::sleep_for(400ms);
+  fields["rid"] = requestC;
+  fields["t0"] = std::to_string(arrivedAtMs + 80);
+  client.sendRequest(3, fields, "x");
+  EXPECT_EQ(client.receiveResponse().fields.at("why"), "the first try failed");
+  fields["rid"] = "00000000000000a4";
+  fields["t0"] = std::to_string(arrivedAtMs + 300);  // past the window: a request of its own
+  client.sendRequest(4, fields);
+  EXPECT_EQ(engine.nextStartedRequest(), "00000000000000a4");
+}
+
+TEST_F(ServerDeduplication, SharesPendingResultBetweenReadsOfOneResource) {
+  server.start();
+  auto client = server.connectBalancer();
+  auto fields = FakeBalancer::requestFields(requestA);
+  fields["obj"] = "7f3a9c21e0b4d655";
+  client.sendRequest(1, fields);
+  EXPECT_EQ(engine.nextStartedRequest(), requestA);
+  fields["rid"] = requestB;
+  client.sendRequest(2, fields);
+  client.sendHealthCheck();
+  EXPECT_EQ(client.receiveResponse().kind, ResponseKind::healthy);  // the duplicate has been read
+  engine.endExecution(requestA, "ok", "shared");
+  EXPECT_EQ(client.receiveResponse().body, "shared");
+  EXPECT_EQ(client.receiveResponse().body, "shared");
+}
+
+// A request with a known key and another body or tenant is no duplicate: it must neither get the result of
+// the original nor be executed beside it.
+TEST_F(ServerDeduplication, FailsDuplicateWithConflictingPayloadAtOnce) {
+  server.start();
+  auto client = server.connectBalancer();
+  client.sendRequest(1, FakeBalancer::keyedRequestFields(requestA), "x");
+  EXPECT_EQ(engine.nextStartedRequest(), requestA);
+  const auto conflicts = [&](std::int32_t number, const codec::thrift::Fields& fields, const char* body) {
+    client.sendRequest(number, fields, body);
+    const auto response = client.receiveResponse();
+    EXPECT_EQ(response.sequenceNumber, number);
+    EXPECT_EQ(response.fields.at("why"), "its key came with another content");
+  };
+  conflicts(2, FakeBalancer::keyedRequestFields(requestB), "y");  // while the original is executing
+  auto other = FakeBalancer::keyedRequestFields(requestB);
+  other["acct"] = "other";
+  conflicts(3, other, "x");
+  engine.endExecution(requestA, "ok", "paid");
+  EXPECT_EQ(client.receiveResponse().body, "paid");
+  conflicts(4, FakeBalancer::keyedRequestFields(requestB), "y");  // and after it
+  client.sendRequest(5, FakeBalancer::keyedRequestFields(requestC), "x");
+  EXPECT_EQ(client.receiveResponse().body, "paid");
+  // Both in one iteration.
+  client.send(FakeBalancer::encodeRequest(6, FakeBalancer::keyedRequestFields(requestA, "k2"), "x") +
+              FakeBalancer::encodeRequest(7, FakeBalancer::keyedRequestFields(requestB, "k2"), "y"));
+  EXPECT_EQ(client.receiveResponse().fields.at("why"), "its key came with another content");
+  EXPECT_EQ(engine.nextStartedRequest(), requestA);
+  EXPECT_EQ(server.stopAndCountInFlight().executing, 1u);
+}
+
+// The last millisecond of a short window and the first one after it, by the client's clock.
+TEST(ServerDeduplicationWindow, EndsToTheMillisecondByTheClientsClock) {
+  for (int round = 0; round < 20; ++round) {
+    TestServer server;
+    ScriptedEngine& engine = server.peers.engine;
+    server.settings["classes"][1]["windowNs"] = 100'000'000;
+    server.start();
+    auto client = server.connectBalancer();
+    auto fields = FakeBalancer::keyedRequestFields(requestA);
+    const auto arrivedAtMs = std::stoll(fields["t0"]) - 1000;  // all three arrived by then and are read now
+    fields["t0"] = std::to_string(arrivedAtMs);
+    client.sendRequest(1, fields, "x");
+    EXPECT_EQ(engine.nextStartedRequest(), requestA);
+    engine.endExecution(requestA, "ok", "paid");
+    EXPECT_EQ(client.receiveResponse().body, "paid");
+    fields["rid"] = requestB;
+    fields["t0"] =
+        std::to_string(arrivedAtMs + 151);  // the last one within the window and the protocol's slack
+    client.sendRequest(2, fields, "x");
+    // The result is no longer cached, but the duplicate must not be executed.
+    EXPECT_EQ(client.receiveResponse().kind, ResponseKind::failed);
+    fields["rid"] = requestC;
+    fields["t0"] = std::to_string(arrivedAtMs + 153);
+    client.sendRequest(3, fields, "x");
+    EXPECT_EQ(engine.nextStartedRequest(), requestC);
+  }
+}
+
+// A duplicate may be read as late as its client may wait, where that is long.
+TEST_F(ServerDeduplication, DoesNotExecuteDuplicateThatStoodUnreadLongerThanTheWindow) {
+  server.settings["classes"][1]["windowNs"] = 100'000'000;
+  server.settings["classes"][1]["aimNs"] = 20'000'000'000;
+  server.settings["classes"][1]["hardLimitNs"] = 20'000'000'000;
+  server.start();
+  auto client = server.connectBalancer();
+  auto fields = FakeBalancer::keyedRequestFields(requestA);
+  fields["budget"] = "20000";
+  fields["t0"] = std::to_string(std::stoll(fields["t0"]) - 12'000);
+  client.sendRequest(1, fields, "x");
+  EXPECT_EQ(engine.nextStartedRequest(), requestA);
+  engine.endExecution(requestA, "ok", "paid");
+  EXPECT_EQ(client.receiveResponse().kind, ResponseKind::completed);
+  client.sendHealthCheck();
+  EXPECT_EQ(client.receiveResponse().kind, ResponseKind::healthy);
+  fields["rid"] = requestB;
+  client.sendRequest(2, fields, "x");
+  EXPECT_EQ(client.receiveResponse().kind, ResponseKind::failed);
+}
+
+// What becomes of an original while its duplicates wait for it. One that was never executed is nobody's
+// original: one of its duplicates is executed for all. Both cores are busy at first, so that requests are
+// queued.
+class ServerOriginalRace : public ServerTest {
+ protected:
+  static constexpr std::int32_t originalNumber = 3;
+  static constexpr std::int32_t duplicateNumbers[] = {4, 5};
+  static constexpr std::int32_t laterNumber = 6;
+  const std::string busyRequests[2] = {"00000000000000c1", "00000000000000c2"};
+  const std::string laterRequest = "00000000000000c6";
+
+  ServerOriginalRace() {
+    server.start();
+    client = server.connectBalancer();
+    std::int32_t number = 0;
+    for (const std::string& name : busyRequests) {
+      client.sendRequest(++number, FakeBalancer::requestFields(name));
+      EXPECT_EQ(engine.nextStartedRequest(), name);
+    }
+  }
+
+  // Two duplicates wait; the one that is started now is the only one, and both get its result.
+  void expectOneExecutionForBothDuplicates() {
+    EXPECT_EQ(engine.nextStartedRequest(), requestB);
+    engine.endExecution(requestB, "ok", "paid");
+    for (const std::int32_t number : duplicateNumbers) {
+      const Response response = client.receiveResponse();
+      EXPECT_EQ(response.sequenceNumber, number);
+      EXPECT_EQ(response.body, "paid");
+    }
+    client.sendRequest(laterNumber, FakeBalancer::requestFields(laterRequest));
+    EXPECT_EQ(engine.nextStartedRequest(), laterRequest);
+  }
+
+  void waitUntilAllIsRead() {
+    client.sendHealthCheck();
+    EXPECT_EQ(client.receiveResponse().kind, ResponseKind::healthy);
+  }
+
+  void sendBothDuplicates() {
+    client.sendRequest(duplicateNumbers[0], FakeBalancer::keyedRequestFields(requestB));
+    client.sendRequest(duplicateNumbers[1], FakeBalancer::keyedRequestFields(requestC));
+    waitUntilAllIsRead();
+  }
+
+  // With both duplicates waiting for it.
+  void startOriginal() {
+    freeOneCore();
+    client.sendRequest(originalNumber, FakeBalancer::keyedRequestFields(requestA));
+    EXPECT_EQ(engine.nextStartedRequest(), requestA);
+    sendBothDuplicates();
+  }
+
+  void freeOneCore() {
+    engine.endExecution(busyRequests[0]);
+    EXPECT_EQ(client.receiveResponse().sequenceNumber, 1);
+  }
+
+  FakeBalancer client;
+};
+
+TEST_F(ServerOriginalRace, DuplicatesAreExecutedOnceWhenOriginalIsCancelledInQueue) {
+  client.sendRequest(originalNumber, FakeBalancer::keyedRequestFields(requestA));
+  sendBothDuplicates();
+  client.sendCancellation(originalNumber);
+  waitUntilAllIsRead();
+  freeOneCore();
+  expectOneExecutionForBothDuplicates();
+}
+
+TEST_F(ServerOriginalRace, DuplicatesAreExecutedOnceWhenOriginalIsCancelledInTheirIteration) {
+  client.send(
+      FakeBalancer::encodeRequest(originalNumber, FakeBalancer::keyedRequestFields(requestA), "body") +
+      FakeBalancer::encodeRequest(duplicateNumbers[0], FakeBalancer::keyedRequestFields(requestB), "body") +
+      FakeBalancer::encodeRequest(duplicateNumbers[1], FakeBalancer::keyedRequestFields(requestC), "body") +
+      FakeBalancer::encodeCancellation(originalNumber));
+  waitUntilAllIsRead();
+  freeOneCore();
+  expectOneExecutionForBothDuplicates();
+}
+
+TEST_F(ServerOriginalRace, DuplicatesAreExecutedOnceWhenOriginalIsShed) {
+  auto fields = FakeBalancer::keyedRequestFields(requestA);
+  fields["budget"] = "250";
+  client.sendRequest(originalNumber, fields);
+  sendBothDuplicates();
+  const auto response = client.receiveResponse();
+  EXPECT_EQ(response.sequenceNumber, originalNumber);
+  EXPECT_EQ(response.kind, ResponseKind::shed);
+  freeOneCore();
+  expectOneExecutionForBothDuplicates();
+}
+
+TEST_F(ServerOriginalRace, DuplicatesAreExecutedOnceWhenEngineRejectsOriginal) {
+  startOriginal();
+  engine.rejectStart(requestA);
+  EXPECT_EQ(client.receiveResponse().kind, ResponseKind::failed);
+  expectOneExecutionForBothDuplicates();
+}
+
+TEST_F(ServerOriginalRace, DuplicatesAreExecutedOnceWhenOriginalNeverBegan) {
+  startOriginal();
+  client.sendCancellation(originalNumber);
+  waitUntilAllIsRead();
+  engine.endExecution(requestA, "void", "");
+  expectOneExecutionForBothDuplicates();
+}
+
+// What was started may have been executed, whatever its client does, and no duplicate is executed beside it.
+TEST_F(ServerOriginalRace, DuplicatesAwaitOriginalThatIsCancelledWhileExecuting) {
+  startOriginal();
+  client.sendCancellation(originalNumber);
+  waitUntilAllIsRead();
+  engine.endExecution(busyRequests[1]);
+  EXPECT_EQ(client.receiveResponse().sequenceNumber, 2);
+  client.sendRequest(laterNumber, FakeBalancer::requestFields(laterRequest));
+  EXPECT_EQ(engine.nextStartedRequest(), laterRequest);
+  engine.endExecution(requestA, "ok", "paid");
+  EXPECT_EQ(client.receiveResponse().body, "paid");
+  EXPECT_EQ(client.receiveResponse().body, "paid");
+}
+
+}  // namespace
+}  // namespace rainhook
--- /dev/null
+++ b/tests/server_shutdown_test.cpp
@@ -0,0 +1,53 @@
+#include <gtest/gtest.h>
+
+#include "support/test_server.h"
+
+namespace rainhook {
+namespace {
+
+using namespace std::chrono_literals;
+
+class ServerShutdown : public ServerTest {};
+
+TEST_F(ServerShutdown, AnswersAllAndStartsNothingAfterGracePeriod) {
+  server.start();
+  auto report = TestConnection::accept(peers.registrySocket);
+  ASSERT_TRUE(report.receive(HttpRequest::parse));
+  report.send("HTTP/1.1 204 No Content\r\n\r\n");
+  auto client = server.connectBalancer();
+  client.sendRequest(1, FakeBalancer::requestFields(requestA));
+  EXPECT_EQ(engine.nextStartedRequest(), requestA);
+  const auto shutdownAt = std::chrono::steady_clock::now();
+  server.requestShutdown();
+  report = TestConnection::accept(peers.registrySocket);
+  const auto request = report.receive(HttpRequest::parse);
+  ASSERT_TRUE(request);
+  EXPECT_EQ(request->body, R"({"duty":"off"})");
+  client.sendHealthCheck();
+  EXPECT_EQ(client.receiveResponse().kind, ResponseKind::unhealthy);
+  std::this_thread::sleep_until(shutdownAt + 400ms);  // past the grace period of 300 ms
+  client.sendRequest(2, FakeBalancer::requestFields(requestB));
+  EXPECT_EQ(client.receiveResponse().kind, ResponseKind::shed);
+  EXPECT_EQ(client.receiveResponse().kind, ResponseKind::closing);
+  engine.endExecution(requestA);
+  EXPECT_EQ(client.receiveResponse().kind, ResponseKind::completed);
+  client.close();
+  server.waitForEnd();
+  EXPECT_LT(std::chrono::steady_clock::now() - shutdownAt, server.endpoints.shutdownTimeout);
+}
+
+TEST_F(ServerShutdown, AnswersExecutingRequestsBeforeItsTimeout) {
+  server.start();
+  auto client = server.connectBalancer();
+  client.sendRequest(1, FakeBalancer::requestFields(requestA));
+  EXPECT_EQ(engine.nextStartedRequest(), requestA);
+  const auto shutdownAt = std::chrono::steady_clock::now();
+  server.requestShutdown();
+  EXPECT_EQ(client.receiveResponse().kind, ResponseKind::closing);
+  EXPECT_EQ(client.receiveResponse().kind, ResponseKind::shed);
+  server.waitForEnd();
+  EXPECT_LT(std::chrono::steady_clock::now() - shutdownAt, server.endpoints.shutdownTimeout);
+}
+
+}  // namespace
+}  // namespace rainhook
--- /dev/null
+++ b/tests/support/fake_peers.cpp
@@ -0,0 +1,59 @@
+#include "support/fake_peers.h"
+
+#include <chrono>
+
+#include "codec/json_lines.h"
+
+namespace rainhook {
+
+std::uint64_t ScriptedEngine::acceptConnection(const char* start) {
+  constexpr std::uint64_t noHandshake = 99;
+  connection = TestConnection::accept(socket);
+  const auto handshake = connection.receive(codec::jsonLines::readLine);
+  send({{"msg", "greeting"}, {"how", start}, {"duration", 5.0}});
+  return handshake ? handshake->object.value("serial", noHandshake) : noHandshake;
+}
+
+void ScriptedEngine::send(const nlohmann::json& message) {
+  connection.send(codec::jsonLines::writeLine(message));
+}
+
+nlohmann::json ScriptedEngine::nextCommand() {
+  const nlohmann::json noCommand = {{"msg", "none"}};
+  const auto end = std::chrono::steady_clock::now() + TestConnection::timeout;
+  while (std::chrono::steady_clock::now() < end) {
+    const auto line = connection.receive(codec::jsonLines::readLine);
+    if (!line) return noCommand;
+    if (line->object["msg"] != "sample") return line->object;
+    send({{"msg", "sampled"}, {"cookie", line->object["cookie"]}, {"stats", {0.5, 1, 0.1, 3}}});
+  }
+  return noCommand;
+}
+
+std::string ScriptedEngine::nextStartedRequest() {
+  const auto command = nextCommand();
+  return command.value("msg", "") == "launch" ? command.value("call", "") : command.dump();
+}
+
+void ScriptedEngine::endExecution(const std::string& requestName, const char* outcome,
+                                  std::string_view result) {
+  send({{"msg", "outcome"},
+        {"serial", ++lastNotificationId},
+        {"call", requestName},
+        {"how", outcome},
+        {"duration", 12.5},
+        {"blob", codec::jsonLines::toBase64(result)}});
+}
+
+void ScriptedEngine::rejectStart(const std::string& requestName) {
+  send({{"msg", "refusal"}, {"how", "launch"}, {"call", requestName}});
+}
+
+void ScriptedEngine::requestDownstreamCall(const std::string& requestName, std::string_view body) {
+  send({{"msg", "request"},
+        {"serial", ++lastNotificationId},
+        {"call", requestName},
+        {"blob", codec::jsonLines::toBase64(body)}});
+}
+
+}  // namespace rainhook
