--- a/src/server/request_server.cpp
+++ b/src/server/request_server.cpp
@@ -127,9 +127,13 @@
   policyOrigin_ = net::Reactor::Clock::now() - engineAge;
   MachineProfile machine = deployment_.machine;
   machine.coldStart = isColdStart;
-  policy_ = makeAdmissionPolicy(endpoints_.seed, machine, deployment_.handlerPolicies, deployment_.downstream,
-                                deployment_.protocolLimits, deployment_.signaling, deployment_.resultSharing,
-                                deployment_.fleet);
+  policy_ = makeAdmissionPolicy({.machine = machine,
+                                 .handlers = deployment_.handlerPolicies,
+                                 .downstream = deployment_.downstream,
+                                 .limits = deployment_.protocolLimits,
+                                 .signaling = deployment_.signaling,
+                                 .sharing = deployment_.resultSharing,
+                                 .fleet = deployment_.fleet});
   isPolicyNew_ = true;
   if (downstreamQuota_ < 1) notify(DownstreamQuotaChanged{downstreamQuota_});
 }
--- a/tests/server_settings_test.cpp
+++ b/tests/server_settings_test.cpp
@@ -48,7 +48,7 @@
     bad[nlohmann::json::json_pointer(key)] = value;
     if (key == "/classes/0/aimNs") bad["classes"][0].erase("hardLimitNs");
     try {
-      readDeploymentSettings(flattenSettingsJson(bad));
+      static_cast<void>(readDeploymentSettings(flattenSettingsJson(bad)));
       ADD_FAILURE() << key;
     } catch (const ConfigurationError& error) {
       auto path = key.substr(1);
