--- a/src/commands/serve_command.cpp
+++ b/src/commands/serve_command.cpp
@@ -49,8 +49,8 @@
   std::optional<server::MembershipService> membership;
   // Signals wait in the reactor until it runs; by then the server is there.
   reactor.onSignals({SIGTERM, SIGINT, SIGHUP}, [&](int signal) {
-    if (signal == SIGHUP) return server->reloadFrom(configurationFile);
-    server->leave();
+    if (signal == SIGHUP) return server->reloadFile(configurationFile);
+    server->shutDownGracefully();
     if (membership) membership->leave();
   });
   const options::Options options = options::readOptionsFile(optionsFile);
--- a/src/server/membership_service.cpp
+++ b/src/server/membership_service.cpp
@@ -24,10 +24,10 @@
   return std::clamp<Span>(settings.probeInterval, 100ms, 1s);
 }
 
-Phase phaseOf(const RequestServer::Figures& figures) {
-  if (figures.leaving) return Phase::draining;
-  if (!figures.works) return Phase::unhealthy;
-  return figures.warmth < 1 ? Phase::warmingUp : Phase::serving;
+Phase phaseOf(const ServerStatus& status) {
+  if (status.isShuttingDown) return Phase::draining;
+  if (!status.isEngineResponsive) return Phase::unhealthy;
+  return status.warmUpProgress < 1 ? Phase::warmingUp : Phase::serving;
 }
 
 }  // namespace
@@ -72,12 +72,12 @@
   if (event.type == MembershipEvent::Type::regionMismatch) {
     log_.message(logging::LogCategory::membership, "{}: this one leaves",
                  regionMismatch(settings_, event.member));
-    server_.leave();
+    server_.shutDownGracefully();
   } else if (event.type == MembershipEvent::Type::nameRejected) {
     log_.message(logging::LogCategory::membership,
                  "the name {} is held by the living instance at {}: this one leaves", event.member.name.text,
                  event.member.address.text);
-    server_.leave();
+    server_.shutDownGracefully();
   }
 }
 
@@ -90,22 +90,22 @@
 
 MemberStatus MembershipService::sampleStatus(Span now) {
   constexpr double minSeconds = 0.001;
-  const auto figures = server_.figures();
+  const ServerStatus status = server_.status();
   const double seconds =
       lastSampleAt_ ? std::max(std::chrono::duration<double>(now - *lastSampleAt_).count(), minSeconds) : 1;
   lastSampleAt_ = now;
-  const double isQueueing = figures.held > 0 ? 1.0 : 0.0;
+  const double isQueueing = status.queued > 0 ? 1.0 : 0.0;
   queueingRatio_ += queueingSmoothing * (isQueueing - queueingRatio_);
   MemberStatus out;
-  out.phase = phaseOf(figures);
-  out.warmUpProgress = figures.warmth;
-  out.concurrencyLimit = figures.limit;
-  out.running = static_cast<double>(figures.running);
-  out.receivedPerSecond = static_cast<double>(figures.read - lastFigures_.read) / seconds;
-  out.completedPerSecond = static_cast<double>(figures.done - lastFigures_.done) / seconds;
+  out.phase = phaseOf(status);
+  out.warmUpProgress = status.warmUpProgress;
+  out.concurrencyLimit = status.concurrencyLimit;
+  out.running = static_cast<double>(status.executing);
+  out.receivedPerSecond = static_cast<double>(status.requestsRead - lastStatus_.requestsRead) / seconds;
+  out.completedPerSecond = static_cast<double>(status.requestsCompleted - lastStatus_.requestsCompleted) / seconds;
   out.queueingRatio = queueingRatio_;
   out.advertisedFleetSize = static_cast<double>(quota_.fleetSize());
-  lastFigures_ = figures;
+  lastStatus_ = status;
   return out;
 }
 
@@ -119,7 +119,7 @@
              {{"quota", quota},
               {"holders", static_cast<std::int64_t>(quota_.quotaHolders())},
               {"view_uncertain", view.isUncertain}});
-  server_.mayCall(quota);
+  server_.setDownstreamQuota(quota);
 }
 
 }  // namespace rainhook::server
--- a/src/server/membership_service.h
+++ b/src/server/membership_service.h
@@ -54,7 +54,7 @@
   membershipTransport::MembershipTransport transport_;
   membership::DependencyQuota quota_;
   std::optional<double> appliedQuota_;
-  RequestServer::Figures lastFigures_;
+  ServerStatus lastStatus_;
   std::optional<membership::Span> lastSampleAt_;
   double queueingRatio_ = 0;  ///< exponentially weighted
   net::Reactor::Timer timer_;
