--- a/src/codec/http.cpp
+++ b/src/codec/http.cpp
@@ -6,10 +6,14 @@
 #include <cctype>
 #include <charconv>
 
+#include "codec/protocol_error.h"
+
 namespace rainhook::codec::http {
 namespace {
 
 constexpr std::string_view lineEnd = "\r\n";
+/// The longest body, and the longest chunk, that is read.
+constexpr std::size_t maxBodyBytes = 16 * 1024;
 
 std::string lower(std::string_view text) {
   std::string out(text);
@@ -25,7 +29,7 @@
   std::size_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base);
   if (text.empty() || error != std::errc{} || end != text.data() + text.size())
-    throw net::ProtocolError(std::string(what) + " is no number");
+    throw codec::ProtocolError(std::string(what) + " is no number");
   return value;
 }
 
@@ -59,14 +63,14 @@
     const auto head = in.line();
     if (!head) return false;
     const auto size = number(trimmed(head->substr(0, head->find(';'))), 16, "a chunk's size");
-    if (size > net::BufferPool::bufferSize) throw net::ProtocolError("a chunk is too long");
+    if (size > maxBodyBytes) throw codec::ProtocolError("a chunk is too long");
     if (size == 0) break;
     const auto chunk = in.bytes(size);
     if (!chunk) return false;
     body.append(*chunk);
     const auto end = in.line();
     if (!end) return false;
-    if (!end->empty()) throw net::ProtocolError("a chunk runs on");
+    if (!end->empty()) throw codec::ProtocolError("a chunk runs on");
   }
   for (;;) {  // trailers
     const auto line = in.line();
@@ -79,7 +83,7 @@
   const auto first = in.line();
   if (!first) return false;
   if (first->size() < 12 || !first->starts_with("HTTP/1.") || (*first)[8] != ' ')
-    throw net::ProtocolError("no HTTP/1.x response");
+    throw codec::ProtocolError("no HTTP/1.x response");
   out.status = static_cast<int>(number(first->substr(9, 3), 10, "the status"));
   out.keeps = (*first)[7] != '0';
   for (;;) {
@@ -87,14 +91,14 @@
     if (!line) return false;
     if (line->empty()) break;
     const auto colon = line->find(':');
-    if (colon == std::string_view::npos) throw net::ProtocolError("a header without a colon");
+    if (colon == std::string_view::npos) throw codec::ProtocolError("a header without a colon");
     const std::string value(trimmed(line->substr(colon + 1)));
     const auto [header, isNew] = out.headers.try_emplace(lower(line->substr(0, colon)), value);
     if (!isNew && header->first == "content-length" && header->second != value)
-      throw net::ProtocolError("two different lengths of the content");
+      throw codec::ProtocolError("two different lengths of the content");
   }
   if (out.headers.contains("content-length") && out.headers.contains("transfer-encoding"))
-    throw net::ProtocolError("a length of the content beside chunks");
+    throw codec::ProtocolError("a length of the content beside chunks");
   if (const auto connection = lower(out.header("connection")); connection.find("close") != std::string::npos)
     out.keeps = false;
   return true;
@@ -115,12 +119,12 @@
     if (!readChunks(in, out.body)) return std::nullopt;
   } else if (const auto length = out.header("content-length"); !length.empty()) {
     const auto count = number(length, 10, "the content's length");
-    if (count > net::BufferPool::bufferSize) throw net::ProtocolError("the content is too long");
+    if (count > maxBodyBytes) throw codec::ProtocolError("the content is too long");
     const auto body = in.bytes(count);
     if (!body) return std::nullopt;
     out.body = *body;
   } else {
-    throw net::ProtocolError("the content's length is not stated");
+    throw codec::ProtocolError("the content's length is not stated");
   }
   out.size = in.used();
   return out;
--- a/src/codec/http.h
+++ b/src/codec/http.h
@@ -8,8 +8,6 @@
 #include <utility>
 #include <vector>
 
-#include "net/connection.h"
-
 namespace rainhook::codec::http {
 
 struct Response {
@@ -26,7 +24,7 @@
 
 // Nothing while the response is not whole; interim (1xx) responses are passed over. A body must state its
 // length or come in chunks, since one that ends with its connection can't be told from one cut short. Throws
-// Nonsense.
+// ProtocolError.
 std::optional<Response> readResponse(std::string_view bytes);
 
 using Headers = std::vector<std::pair<std::string_view, std::string>>;
--- a/src/codec/json_lines.cpp
+++ b/src/codec/json_lines.cpp
@@ -7,13 +7,15 @@
 #include <iterator>
 #include <sstream>
 
+#include "codec/protocol_error.h"
+
 namespace rainhook::codec::jsonLines {
 
 std::optional<Line> readLine(std::string_view bytes) {
   const auto end = bytes.find('\n');
   if (end == std::string_view::npos) return std::nullopt;
   auto object = nlohmann::json::parse(bytes.substr(0, end), nullptr, false);
-  if (!object.is_object()) throw net::ProtocolError("a line that holds no JSON object");
+  if (!object.is_object()) throw codec::ProtocolError("a line that holds no JSON object");
   return Line{std::move(object), end + 1};
 }
 
@@ -35,10 +37,10 @@
   Poco::Base64Decoder decoder(in);
   try {
     std::string out{std::istreambuf_iterator<char>(decoder), {}};
-    if (out.size() / 3 * 4 + 4 < text.size()) throw net::ProtocolError("base64 with what is none");
+    if (out.size() / 3 * 4 + 4 < text.size()) throw codec::ProtocolError("base64 with what is none");
     return out;
   } catch (const Poco::Exception&) {
-    throw net::ProtocolError("base64 with what is none");
+    throw codec::ProtocolError("base64 with what is none");
   }
 }
 
--- a/src/codec/json_lines.h
+++ b/src/codec/json_lines.h
@@ -6,8 +6,6 @@
 #include <string>
 #include <string_view>
 
-#include "net/connection.h"
-
 namespace rainhook::codec::jsonLines {
 
 struct Line {
@@ -15,7 +13,7 @@
   std::size_t size = 0;  // with its end
 };
 
-// Nothing while the line is not whole. Throws Nonsense where it holds no object.
+// Nothing while the line is not whole. Throws ProtocolError where it holds no object.
 std::optional<Line> readLine(std::string_view bytes);
 std::string writeLine(const nlohmann::json& object);
 
--- a/src/codec/thrift.cpp
+++ b/src/codec/thrift.cpp
@@ -3,6 +3,8 @@
 #include <concepts>
 #include <type_traits>
 
+#include "codec/protocol_error.h"
+
 namespace rainhook::codec::thrift {
 namespace {
 
@@ -12,7 +14,7 @@
 }  // namespace
 
 std::string_view Reader::bytes(std::size_t count) {
-  if (rest_.size() < count) throw net::ProtocolError("a value runs past its frame");
+  if (rest_.size() < count) throw codec::ProtocolError("a value runs past its frame");
   const auto taken = rest_.substr(0, count);
   rest_.remove_prefix(count);
   return taken;
@@ -32,16 +34,16 @@
 
 std::string_view Reader::text() {
   const auto length = i32();
-  if (length < 0) throw net::ProtocolError("a negative length");
+  if (length < 0) throw codec::ProtocolError("a negative length");
   return bytes(static_cast<std::size_t>(length));
 }
 
 Fields Reader::fields() {
   const Type key{byte()}, value{byte()};
   const auto count = i32();
-  if (count < 0) throw net::ProtocolError("a negative count");
+  if (count < 0) throw codec::ProtocolError("a negative count");
   if (count > 0 && (key != Type::text || value != Type::text))
-    throw net::ProtocolError("a map of other than texts");
+    throw codec::ProtocolError("a map of other than texts");
   Fields out;
   for (std::int32_t i = 0; i < count; ++i) {
     const auto name = text();
@@ -51,7 +53,7 @@
 }
 
 void Reader::skip(Type type, int depth) {
-  if (depth > deepest) throw net::ProtocolError("nested too deeply");
+  if (depth > deepest) throw codec::ProtocolError("nested too deeply");
   switch (type) {
     case Type::boolean:
     case Type::byte:
@@ -90,7 +92,7 @@
     case Type::stop:
       break;
   }
-  throw net::ProtocolError("an unknown type");
+  throw codec::ProtocolError("an unknown type");
 }
 
 void Reader::structure(const std::function<bool(std::int16_t, Type, Reader&)>& take) {
@@ -104,7 +106,7 @@
   if (bytes.size() < 4) return std::nullopt;
   const auto length = Reader(bytes.substr(0, 4)).i32();
   if (length < 0 || static_cast<std::size_t>(length) > longest)
-    throw net::ProtocolError("a frame's length is impossible");
+    throw codec::ProtocolError("a frame's length is impossible");
   const auto size = static_cast<std::size_t>(length);
   if (bytes.size() - 4 < size) return std::nullopt;
   return Frame{bytes.substr(4, size), size + 4};
@@ -113,11 +115,11 @@
 Message readMessage(std::string_view content) {
   Reader in(content);
   const auto head = static_cast<std::uint32_t>(in.i32());
-  if ((head & 0xffff0000) != strictVersion) throw net::ProtocolError("not the strict binary protocol");
+  if ((head & 0xffff0000) != strictVersion) throw codec::ProtocolError("not the strict binary protocol");
   Message message;
   message.kind = Kind{static_cast<std::uint8_t>(head & 0xff)};
   if (message.kind < Kind::call || message.kind > Kind::oneway)
-    throw net::ProtocolError("an unknown kind of message");
+    throw codec::ProtocolError("an unknown kind of message");
   const auto name = in.text();
   message.name = name;
   message.sequence = in.i32();
--- a/src/codec/thrift.h
+++ b/src/codec/thrift.h
@@ -8,8 +8,6 @@
 #include <string>
 #include <string_view>
 
-#include "net/connection.h"
-
 namespace rainhook::codec::thrift {
 
 enum class Kind : std::uint8_t { call = 1, reply = 2, exception = 3, oneway = 4 };
--- a/src/membership_transport/membership_transport.cpp
+++ b/src/membership_transport/membership_transport.cpp
@@ -4,6 +4,7 @@
 
 #include <nlohmann/json.hpp>
 
+#include "codec/protocol_error.h"
 #include "membership/message_codec.h"
 #include "membership/sums.h"
 
@@ -282,7 +283,7 @@
   if (whole.size() < lengthBytes) return bytes.size();
   std::size_t length = 0;
   for (std::size_t i = 0; i < lengthBytes; ++i) length = length << 8 | static_cast<unsigned char>(whole[i]);
-  if (length > mostFrame) throw net::ProtocolError("a message longer than a full state");
+  if (length > mostFrame) throw codec::ProtocolError("a message longer than a full state");
   if (whole.size() < lengthBytes + length) return bytes.size();
   const std::string message = whole.substr(lengthBytes, length);
   whole.clear();
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -126,7 +126,7 @@
       to_ -= from_, from_ = 0;
     }
     const auto space = BufferPool::bufferSize - to_;
-    if (space == 0) throw ProtocolError("a message longer than a buffer");
+    if (space == 0) return end(CloseReason::protocolError, "a message longer than a buffer");
     const int got = socket_.receiveBytes(in_->data() + to_, static_cast<int>(space));
     if (got < 0) return;
     if (got == 0) {
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -8,7 +8,6 @@
 
 #include <functional>
 #include <memory>
-#include <stdexcept>
 #include <string>
 #include <string_view>
 
@@ -17,15 +16,11 @@
 
 namespace rainhook::net {
 
-// What a peer sent that no rule of its protocol allows.
-struct ProtocolError : std::runtime_error {
-  using std::runtime_error::runtime_error;
-};
-
 enum class CloseReason { closedByPeer, connectionLost, unreachable, protocolError };
 
 struct Callbacks {
-  // The bytes so far; returns how many of them are done with. Throws Nonsense.
+  // The bytes so far; returns how many of them are done with. What it throws ends the connection as a
+  // protocol error.
   std::function<std::size_t(std::string_view)> onData;
   // Once, and never after close(): the connection is closed already.
   std::function<void(CloseReason, const std::string&)> onClosed;
--- a/src/peers/execution_engine_client.cpp
+++ b/src/peers/execution_engine_client.cpp
@@ -2,6 +2,8 @@
 
 #include <charconv>
 
+#include "codec/protocol_error.h"
+
 namespace rainhook::peers {
 namespace {
 
@@ -24,7 +26,7 @@
 std::optional<std::string> blob(const json& line) {
   try {
     return codec::jsonLines::fromBase64(text(line, "blob"));
-  } catch (const net::ProtocolError&) {
+  } catch (const codec::ProtocolError&) {
     return std::nullopt;
   }
 }
@@ -110,7 +112,7 @@
 
 bool ExecutionEngineClient::fresh(const json& line) {
   const auto it = line.find("serial");
-  if (it == line.end() || !it->is_number_unsigned()) throw net::ProtocolError("a notice without its number");
+  if (it == line.end() || !it->is_number_unsigned()) throw codec::ProtocolError("a notice without its number");
   const auto number = it->get<std::uint64_t>();
   if (number <= lastNotice_) return false;
   if (number > lastNotice_ + 1)
--- a/src/peers/request_listener.cpp
+++ b/src/peers/request_listener.cpp
@@ -8,6 +8,8 @@
 #include <cmath>
 #include <stdexcept>
 
+#include "codec/protocol_error.h"
+
 namespace rainhook::peers {
 namespace {
 
@@ -147,7 +149,7 @@
 std::size_t RequestListener::came(ConnectionId id, std::string_view bytes) {
   try {
     return takeFrame(id, bytes);
-  } catch (const net::ProtocolError& nonsense) {
+  } catch (const codec::ProtocolError& nonsense) {
     // Reqs that came whole before it are answered still; the rest of what it sends is not looked at.
     log_.message(logging::LogCategory::clients, "a connection is closed: {}", nonsense.what());
     Client& client = clients_.at(id);
@@ -208,7 +210,7 @@
     return hearer_.onClientDisconnected(req);
   }
   if (message.kind != Kind::call)
-    throw net::ProtocolError("an unexpected message: " + message.name.substr(0, 40));
+    throw codec::ProtocolError("an unexpected message: " + message.name.substr(0, 40));
   constexpr std::int32_t unknownMethod = 1;
   client.connection->write(exception(message, "unknown method", unknownMethod));
 }
--- a/tests/net_test.cpp
+++ b/tests/net_test.cpp
@@ -4,6 +4,7 @@
 
 #include "codec/http.h"
 #include "codec/json_lines.h"
+#include "codec/protocol_error.h"
 #include "codec/thrift.h"
 #include "fake_peers.h"
 #include "net/buffer_pool.h"
@@ -21,7 +22,7 @@
   bytes[at] = *rc::gen::arbitrary<char>();
   try {
     parse(bytes);
-  } catch (const ProtocolError&) {
+  } catch (const codec::ProtocolError&) {
   }
 }
 
@@ -54,14 +55,14 @@
 
 TEST(Thrift, RefusesFramesAndVersionsThatCannotBe) {
   const auto good = Balancer::message(7, {{"rid", "x"}}, "b");
-  EXPECT_THROW(codec::thrift::readFrame(good, 10), ProtocolError);
-  EXPECT_THROW(codec::thrift::readFrame("\xff\xff\xff\xff", 100), ProtocolError);
-  EXPECT_THROW(codec::thrift::readMessage(std::string_view("\0\0\0\4call\1\0\0\0\7\0", 14)), ProtocolError);
+  EXPECT_THROW(codec::thrift::readFrame(good, 10), codec::ProtocolError);
+  EXPECT_THROW(codec::thrift::readFrame("\xff\xff\xff\xff", 100), codec::ProtocolError);
+  EXPECT_THROW(codec::thrift::readMessage(std::string_view("\0\0\0\4call\1\0\0\0\7\0", 14)), codec::ProtocolError);
   EXPECT_THROW(codec::thrift::readMessage(std::string_view("\x80\x01\0\x09\0\0\0\0\0\0\0\1", 12)),
-               ProtocolError);
+               codec::ProtocolError);
   std::string deep;
   for (int i = 0; i < 40; ++i) deep += std::string("\x0c\0\1", 3);
-  EXPECT_THROW(codec::thrift::Reader(deep).skip(Type::structure), ProtocolError);
+  EXPECT_THROW(codec::thrift::Reader(deep).skip(Type::structure), codec::ProtocolError);
 }
 
 TEST(Thrift, SkipsFieldsOfEveryType) {
@@ -111,7 +112,7 @@
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc",
         "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
         "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n"})
-    EXPECT_THROW(codec::http::readResponse(bad), ProtocolError) << bad;
+    EXPECT_THROW(codec::http::readResponse(bad), codec::ProtocolError) << bad;
 }
 
 RC_GTEST_PROP(JsonLines, ReadsWhatItWroteAndWaitsForTheRestOfACutLine, (const std::string& body)) {
@@ -132,8 +133,8 @@
 
 TEST(JsonLines, RefusesWhatIsNoObjectAndNoBase64) {
   for (const char* bad : {"7\n", "[1]\n", "{\"a\":\n", "\n"})
-    EXPECT_THROW(codec::jsonLines::readLine(bad), ProtocolError) << bad;
-  EXPECT_THROW(codec::jsonLines::fromBase64("a*b="), ProtocolError);
+    EXPECT_THROW(codec::jsonLines::readLine(bad), codec::ProtocolError) << bad;
+  EXPECT_THROW(codec::jsonLines::fromBase64("a*b="), codec::ProtocolError);
 }
 
 // Buffers come back to the pool however what they held ends.
