--- /dev/null
+++ b/src/peers/client_connections.cpp
@@ -0,0 +1,195 @@
+#include "peers/client_connections.h"
+
+#include <algorithm>
+#include <utility>
+
+#include "peers/response_encoder.h"
+
+namespace rainhook::peers {
+namespace {
+
+using namespace std::chrono_literals;
+
+/// Output that may wait on a connection before it is no longer read.
+constexpr std::size_t maxBacklogBytes = 32 * 1024;
+/// How long a client may keep an idle connection after it was asked to close it.
+constexpr Duration closeRequestTimeout = 1s;
+/// The same for one that never sent a message: by the protocol it heeds the request within 50 ms.
+constexpr Duration closeRequestTimeoutWhenNeverUsed = 150ms;
+/// How long a client's side is waited for after ours has been shut down.
+constexpr Duration lingerTimeout = 500ms;
+/// How long a new connection may be silent, and a partial message may get no bytes.
+constexpr Duration silenceTimeout = 2s;
+
+}  // namespace
+
+bool ClientConnection::isIdle() const { return openRequests.empty() && connection->pendingBytes() == 0; }
+
+bool ClientConnection::hasFullBacklog() const { return connection->pendingBytes() > maxBacklogBytes; }
+
+ClientConnections::ClientConnections(logging::Log& log, Listener& listener, Limits limits,
+                                     std::optional<Duration> longestClientTimeout)
+    : log_(log),
+      listener_(listener),
+      limits_(limits),
+      maxMessageDuration_(silenceTimeout + longestClientTimeout.value_or(silenceTimeout)) {}
+
+void ClientConnections::add(ConnectionId id, std::shared_ptr<net::Connection> connection) {
+  ClientConnection& client = connections_[id];
+  client.connection = std::move(connection);
+  client.lastUsedAt = net::Reactor::Clock::now();
+  client.leastRecentlyUsedPosition = neverUsed_.insert(neverUsed_.end(), id);
+}
+
+ClientConnection* ClientConnections::find(ConnectionId id) {
+  const auto it = connections_.find(id);
+  return it == connections_.end() ? nullptr : &it->second;
+}
+
+bool ClientConnections::hasIdle() const {
+  return std::ranges::any_of(connections_, [](const auto& entry) { return entry.second.isIdle(); });
+}
+
+std::vector<ConnectionId> ClientConnections::allIds() const {
+  std::vector<ConnectionId> out;
+  for (const auto& [id, client] : connections_) out.push_back(id);
+  return out;
+}
+
+void ClientConnections::markUsed(ClientConnection& client) {
+  client.lastUsedAt = net::Reactor::Clock::now();
+  used_.splice(used_.end(), client.hasSentMessage ? used_ : neverUsed_, client.leastRecentlyUsedPosition);
+  client.hasSentMessage = true;
+}
+
+void ClientConnections::onHalfClosed(ConnectionId id) {
+  ClientConnection& client = connections_.at(id);
+  client.isHalfClosed = true;
+  if (client.isIdle()) remove(id);
+}
+
+void ClientConnections::resumeReading(ConnectionId id) {
+  const ClientConnection* client = find(id);
+  if (client && !client->hasFullBacklog() && !client->hasViolatedProtocol)
+    client->connection->resumeReading();
+}
+
+void ClientConnections::remove(ConnectionId id) {
+  const auto it = connections_.find(id);
+  if (it == connections_.end()) return;
+  const ClientConnection client = std::move(it->second);
+  connections_.erase(it);
+  (client.hasSentMessage ? used_ : neverUsed_).erase(client.leastRecentlyUsedPosition);
+  client.connection->close();
+  listener_.onConnectionRemoved(client);
+}
+
+bool ClientConnections::evictIdle() { return evictIdleFrom(neverUsed_) || evictIdleFrom(used_); }
+
+// Those passed over are in use and go behind the others, so that many new connections at once do not scan all
+// that are open for each.
+bool ClientConnections::evictIdleFrom(LeastRecentlyUsedList& candidates) {
+  for (std::size_t remaining = candidates.size(); remaining > 0 && !candidates.empty(); --remaining) {
+    const ConnectionId id = candidates.front();
+    ++entriesScanned_;
+    // Its place is wanted now: what it has sent is read first, but its end is not waited for.
+    if (const auto& client = connections_.at(id); client.isIdle()) client.connection->readNow();
+    const ClientConnection* client = find(id);
+    if (!client) return true;
+    if (client->isIdle()) {
+      remove(id);
+      return true;
+    }
+    if (!candidates.empty() && candidates.front() == id)
+      candidates.splice(candidates.end(), candidates, candidates.begin());
+  }
+  return false;
+}
+
+void ClientConnections::requestClose(ClientConnection& client) {
+  if (client.closeRequestedAt) return;
+  client.closeRequestedAt = net::Reactor::Clock::now();
+  client.connection->write(encodeCloseRequest());
+}
+
+void ClientConnections::startDraining() {
+  isDraining_ = true;
+  for (auto& [id, client] : connections_) requestClose(client);
+}
+
+void ClientConnections::closeIdle() {
+  for (const ConnectionId id : allIds()) closeGracefully(id);
+}
+
+// The one way in which a connection is ended that the client has not ended and that is not broken. All that
+// the client has sent is read first, since a close over unread bytes is a reset that drops responses under
+// way; a request among it is served and the connection stays. Then our side is shut down, what still comes is
+// not served, and the socket is closed when the client has ended its side, or has not for `lingerTimeout`.
+void ClientConnections::closeGracefully(ConnectionId id) {
+  const ClientConnection* before = find(id);
+  if (!before || before->shutdownAt) return;
+  const auto lastPartialBytesAt = before->lastPartialBytesAt;
+  before->connection->readNow();
+  ClientConnection* client = find(id);
+  if (!client || !client->isIdle() || client->lastPartialBytesAt != lastPartialBytesAt) return;
+  if (client->isHalfClosed) return remove(id);
+  client->shutdownAt = net::Reactor::Clock::now();
+  client->connection->shutdownSend();
+}
+
+// Clients that do not read what they are sent give way, the furthest behind first.
+void ClientConnections::limitPendingOutput() {
+  std::size_t pendingBytes = 0;
+  for (const auto& [id, client] : connections_) pendingBytes += client.connection->pendingBytes();
+  while (pendingBytes > limits_.pendingOutputBytes) {
+    const auto slowest =
+        std::max_element(connections_.begin(), connections_.end(), [](const auto& left, const auto& right) {
+          return left.second.connection->pendingBytes() < right.second.connection->pendingBytes();
+        });
+    const std::size_t backlogBytes = slowest->second.connection->pendingBytes();
+    pendingBytes -= backlogBytes;
+    log_.message(logging::LogCategory::clients,
+                 "connection closed: the client does not read, {} bytes of output pending", backlogBytes);
+    remove(slowest->first);
+  }
+}
+
+ClientConnections::SweepAction ClientConnections::sweepActionFor(const ClientConnection& client,
+                                                                 ClientConnection::TimePoint now) const {
+  if (client.shutdownAt)
+    return now - *client.shutdownAt > lingerTimeout ? SweepAction::remove : SweepAction::none;
+  if (!client.isIdle()) return SweepAction::none;
+  // Slow is not stuck: a message may take as long as anybody waits for it, while bytes come.
+  const bool isMessageStuck =
+      client.partialMessageSince && (now - *client.lastPartialBytesAt > silenceTimeout ||
+                                     now - *client.partialMessageSince > maxMessageDuration_);
+  const bool ignoresCloseRequest =
+      client.closeRequestedAt && !client.partialMessageSince &&
+      now - std::max(*client.closeRequestedAt, client.lastUsedAt) >
+          (client.hasSentMessage ? closeRequestTimeout : closeRequestTimeoutWhenNeverUsed);
+  if (isMessageStuck || client.isHalfClosed || client.hasViolatedProtocol || ignoresCloseRequest)
+    return SweepAction::closeGracefully;
+  const auto idleFor = now - client.lastUsedAt;
+  const bool isSilent = !client.hasSentMessage && !client.partialMessageSince && idleFor > silenceTimeout;
+  const bool isIdleTooLong = idleTimeout_ && idleFor > *idleTimeout_;
+  return isSilent || isIdleTooLong || isDraining_ ? SweepAction::requestClose : SweepAction::none;
+}
+
+void ClientConnections::sweep() {
+  const auto now = net::Reactor::Clock::now();
+  const auto all = allIds();
+  std::vector<ConnectionId> toClose;
+  std::vector<ConnectionId> toRemove;
+  for (auto& [id, client] : connections_) {
+    const SweepAction action = sweepActionFor(client, now);
+    if (action == SweepAction::requestClose) requestClose(client);
+    if (action == SweepAction::closeGracefully) toClose.push_back(id);
+    if (action == SweepAction::remove) toRemove.push_back(id);
+  }
+  for (const ConnectionId id : toClose) closeGracefully(id);
+  for (const ConnectionId id : toRemove) remove(id);
+  limitPendingOutput();
+  for (const ConnectionId id : all) resumeReading(id);
+}
+
+}  // namespace rainhook::peers
--- a/src/server/request_server.cpp
+++ b/src/server/request_server.cpp
@@ -15,18 +15,17 @@
   return net::Connection::Address(text);
 }
 
-peers::RequestListener::RequestRules termsOf(const DeploymentSettings& facts) {
-  peers::RequestListener::RequestRules out{
-      facts.handlerNames, facts.tenantNames, {}, facts.clientsSendTimeRemaining};
+peers::RequestRules termsOf(const DeploymentSettings& facts) {
+  peers::RequestRules out{facts.handlerNames, facts.tenantNames, {}, facts.clientsSendTimeRemaining};
   for (const auto& terms : facts.handlerPolicies) out.clientTimeouts.push_back(terms.clientTimeout);
   return out;
 }
 
 // A repeat is read at the latest once nobody waits for it any more; older ones are refused unread.
 Duration longestWait(const DeploymentSettings& facts) {
-  Duration out = peers::RequestListener::longPast;
+  Duration out = peers::expiredRequestGrace;
   for (const auto& terms : facts.handlerPolicies)
-    out = std::max(out, terms.clientTimeout + peers::RequestListener::longPast);
+    out = std::max(out, terms.clientTimeout + peers::expiredRequestGrace);
   return out;
 }
 
@@ -41,7 +40,6 @@
 // Memory: a quarter of it for reqs in hand, each with a body of 2 kB and a reply of 4 kB at most; an eighth
 // for what waits to be sent, and one for the results that are kept.
 constexpr std::size_t inHandBytes = 8 * 1024;
-constexpr std::string_view otherContent = "its key came with another content";
 std::size_t megabytes(int count) { return static_cast<std::size_t>(count) << 20; }
 
 }  // namespace
@@ -142,14 +140,14 @@
 }
 
 // News of the peers.
-std::variant<RequestId, std::string_view> RequestServer::onRequest(peers::IncomingRequest&& req) {
+peers::AdmitResult RequestServer::onRequest(peers::IncomingRequest&& req) {
   if (table_.size() >= megabytes(place_.memoryMb) / 4 / inHandBytes) {
     log_.message(logging::LogCategory::clients, "{} reqs in hand: no more are taken", table_.size());
-    return "too many reqs in hand";
+    return peers::FailureReason::tooManyInFlight;
   }
   if (table_.named(req.name)) {
     log_.message(logging::LogCategory::clients, "a req whose name is in hand already: {}", req.name);
-    return "its id is in hand already";
+    return peers::FailureReason::duplicateName;
   }
   const RequestId id{++reqs_};
   std::optional<RequestId> repeats;
@@ -159,7 +157,7 @@
                        facts_.resultSharing.sharingDuration);
     if (known.conflicts) {
       log_.message(logging::LogCategory::clients, "a repeat whose first had another content: {}", req.name);
-      return otherContent;
+      return peers::FailureReason::conflictingPayload;
     }
     repeats = known.first;
   }
@@ -214,7 +212,7 @@
     if (wasOwed && outcome == Outcome::completed)
       ++counts_.done, clients_.sendResult(req.req.response, result);
     if (wasOwed && outcome != Outcome::completed)
-      ++counts_.errored, clients_.sendFailure(req.req.response, "failed");
+      ++counts_.errored, clients_.sendFailure(req.req.response, peers::FailureReason::executionFailed);
     req.owed = false;
   }
   tell(ExecutionEnded{*id, outcome, took});
@@ -333,7 +331,7 @@
   InFlightRequest* req = table_.find(action.id);
   if (!req || !req->owed) return;
   ++counts_.errored;
-  clients_.sendFailure(req->req.response, "given up");
+  clients_.sendFailure(req->req.response, peers::FailureReason::abandoned);
   settled(action.id, *req);
 }
 // The engine's protocol has no word to stop a run, so a run that is no longer wanted goes on until it ends or
@@ -424,7 +422,7 @@
   req.repeats = known.first;
   if (!known.conflicts) return enter(id, req.req, known.first);
   ++counts_.errored;
-  clients_.sendFailure(req.req.response, otherContent);
+  clients_.sendFailure(req.req.response, peers::FailureReason::conflictingPayload);
   table_.drop(id);
 }
 
@@ -438,7 +436,7 @@
   const bool done = end == DeduplicationCache::End::done;
   if (req.owed) {
     done ? clients_.sendResult(req.req.response, result)
-         : clients_.sendFailure(req.req.response, "the first try failed");
+         : clients_.sendFailure(req.req.response, peers::FailureReason::originalFailed);
     ++(done ? counts_.done : counts_.errored);
   }
   tell(ExecutionEnded{id, done ? Outcome::completed : Outcome::failed,
--- a/src/server/request_server.h
+++ b/src/server/request_server.h
@@ -58,7 +58,7 @@
   void leave();
 
  private:
-  std::variant<RequestId, std::string_view> onRequest(peers::IncomingRequest&& req) override;
+  peers::AdmitResult onRequest(peers::IncomingRequest&& req) override;
   void onClientDisconnected(RequestId id) override;
   void onEngineConnected(bool cold, Duration since) override;
   void onNotificationsCaughtUp() override;
