--- a/src/peers/execution_engine_client.h
+++ b/src/peers/execution_engine_client.h
@@ -1,5 +1,5 @@
-// The engine: the agent that owns the cores and does the runs, over one link of JSON lines that is made again
-// whenever it breaks. Notices are taken once each, by their numbers. The protocol's names end in engine.cpp.
+/// @file
+/// The connection to the execution engine, the agent that owns the cores and executes requests.
 #pragma once
 
 #include <cstdint>
@@ -7,77 +7,107 @@
 #include <memory>
 #include <optional>
 #include <string>
+#include <string_view>
 #include <vector>
 
-#include "codec/json_lines.h"
 #include "decision/decision.h"
 #include "logging/log.h"
 #include "net/connection.h"
 #include "net/reactor.h"
+#include "peers/execution_engine_protocol.h"
 
 namespace rainhook::peers {
 
+/// Sends commands to the engine and takes its notifications, each once, by their numbers. The connection is
+/// made again whenever it breaks. Used on the reactor's thread only; the reactor, the pool, the log and the
+/// listener must outlive it.
 class ExecutionEngineClient {
  public:
+  /// Is told what the engine says.
   struct Listener {
     virtual ~Listener() = default;
-    virtual void onEngineConnected(bool cold, Duration since) = 0;
-    // After each engineUp: every notice that had been missed has been taken.
+    /// After each handshake.
+    /// @param isColdStart whether the engine's caches were cold when it started.
+    /// @param sinceStart how long ago it started.
+    virtual void onEngineConnected(bool isColdStart, Duration sinceStart) = 0;
+    /// After each onEngineConnected(): every notification that had been missed has been taken.
     virtual void onNotificationsCaughtUp() = 0;
-    virtual void onExecutionEnded(const std::string& name, Outcome outcome, Duration took,
+    virtual void onExecutionEnded(const std::string& name, Outcome outcome, Duration duration,
                                   std::string&& result) = 0;
-    virtual void onDownstreamCallRequested(const std::string& name, std::uint64_t notice,
+    /// @param notification the number to give to continueWithoutReply().
+    virtual void onDownstreamCallRequested(const std::string& name, std::uint64_t notification,
                                            std::string&& body) = 0;
-    virtual void onGauges(std::uint64_t question, const std::vector<double>& values) = 0;
-    // A command for this req was not carried out: the engine knows no such req, or does not allow it.
-    virtual void onCommandRejected(const std::string& name, const std::string& command) = 0;
+    /// @param requestId as given to requestGauges().
+    virtual void onGauges(std::uint64_t requestId, const std::vector<double>& values) = 0;
+    /// A command for this request was not carried out: the engine knows no such request, or does not allow
+    /// it.
+    virtual void onCommandRejected(const std::string& name, EngineCommandKind command) = 0;
   };
 
-  ExecutionEngineClient(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log, Listener& hearer,
+  ExecutionEngineClient(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log, Listener& listener,
                         const net::Connection::Address& address);
 
+  /// Begins to connect; to be called once.
   void connect();
-  // The engine is reached elsewhere from now on; its runs and notices go on.
+  /// The engine is reached there from now on; its executions and notifications go on.
   void setAddress(const net::Connection::Address& address);
-  // False where there is no link to say it on.
-  bool startExecution(const std::string& name, const std::string& handler, std::string_view body);
-  bool deliverReply(const std::string& name, std::string_view reply);
-  bool continueWithoutReply(const std::string& name, std::uint64_t notice);
-  void requestGauges(std::uint64_t question);
-  // Greeted, and no question has gone unanswered for a second: a hung engine keeps its link.
-  bool isResponsive() const {
-    return greeted_ &&
-           !(waitingSince_ && net::Reactor::Clock::now() - *waitingSince_ > std::chrono::seconds(1));
-  }
-  // Whether what was said then may never have been read: it went to a link that is gone, and no question that
-  // was asked later has been answered.
-  bool mayBeLost(net::Reactor::Clock::time_point said) const {
-    return said < linkedAt_ && said >= readUntil_;
+
+  /// @name Commands
+  /// They return false where there is no connection to send them on; whoever gave them gives them again after
+  /// onNotificationsCaughtUp() where they still hold.
+  /// @{
+  [[nodiscard]] bool startExecution(const std::string& name, const std::string& handler,
+                                    std::string_view body);
+  [[nodiscard]] bool deliverReply(const std::string& name, std::string_view reply);
+  [[nodiscard]] bool continueWithoutReply(const std::string& name, std::uint64_t notification);
+  /// @}
+
+  /// The answer comes by Listener::onGauges(), or never.
+  void requestGauges(std::uint64_t requestId);
+  /// Whether the handshake is done and no gauge request has gone unanswered for a second: an engine that
+  /// hangs keeps its connection.
+  [[nodiscard]] bool isResponsive() const;
+  /// Whether what was sent at that time may never have been read: it went to a connection that is gone, and
+  /// no gauge request made later has been answered.
+  [[nodiscard]] bool mayBeLost(net::Reactor::Clock::time_point sentAt) const {
+    return sentAt < connectedAt_ && sentAt >= readByEngineUntil_;
   }
 
  private:
-  void came(const nlohmann::json& line);
-  bool fresh(const nlohmann::json& line);
-  bool say(const nlohmann::json& line);
-  void lost(const std::string& why);
-  void breakOff(const std::string& why);
-  bool stillSilent(const std::function<bool()>& silent);
-
-  static constexpr net::Reactor::Wait again = std::chrono::milliseconds(50),
-                                      answersWithin = std::chrono::seconds(3);
-  static constexpr std::size_t mostWaiting = 1 << 20;
+  std::size_t onData(std::string_view bytes);
+  void handle(const EngineHandshake& message);
+  void handle(EngineExecutionEnded& message);
+  void handle(EngineDownstreamCallRequested& message);
+  void handle(const EngineInformation& message);
+  void handle(const EngineCaughtUp& message);
+  void handle(const EngineGauges& message);
+  void handle(const EngineCommandRejected& message);
+  void handle(const EngineUnknownMessage& message);
+  bool acknowledge(NotificationNumber number);
+  bool send(std::string_view message);
+  void onConnectionLost(const std::string& detail);
+  void reconnect(const std::string& reason);
+  bool holdsAfterReading(const std::function<bool()>& condition);
 
   net::Reactor& reactor_;
   net::BufferPool& pool_;
   logging::Log& log_;
-  Listener& hearer_;
+  Listener& listener_;
   net::Connection::Address address_;
   std::shared_ptr<net::Connection> connection_;
-  bool greeted_ = false, catchingUp_ = false, lostSaid_ = false;
-  std::uint64_t lastNotice_ = 0, asked_ = 0;
-  net::Reactor::Clock::time_point askedAt_{}, readUntil_{}, linkedAt_{};
-  std::optional<net::Reactor::Clock::time_point> waitingSince_;  // of the first question since it last spoke
-  net::Reactor::Timer retry_, greetingDue_;
+  bool isHandshakeDone_ = false;
+  bool isCatchingUp_ = false;
+  bool isLossLogged_ = false;
+  std::uint64_t lastNotification_ = 0;
+  std::uint64_t lastGaugeRequest_ = 0;
+  net::Reactor::Clock::time_point lastGaugeRequestAt_{};
+  /// What was sent before this time has been read by the engine.
+  net::Reactor::Clock::time_point readByEngineUntil_{};
+  net::Reactor::Clock::time_point connectedAt_{};
+  /// When the first gauge request was made after the engine last sent anything.
+  std::optional<net::Reactor::Clock::time_point> unansweredSince_;
+  net::Reactor::Timer reconnectTimer_;
+  net::Reactor::Timer handshakeTimer_;
 };
 
 }  // namespace rainhook::peers
--- a/src/server/request_server.cpp
+++ b/src/server/request_server.cpp
@@ -82,7 +82,7 @@
                place.registry.empty() ? "none" : place.registry,
                left.empty() ? "" : "; left as it is until a restart: ", fmt::join(left, ", "));
   engine_.setAddress(net::Connection::Address(place.engine));
-  servers_.moveTo(addressOf(place.downstream));
+  servers_.setAddress(addressOf(place.downstream));
   const auto list = addressOf(place.registry);
   if (list && list_) return list_->setAddress(*list);
   list_ = list ? std::make_unique<peers::RegistryClient>(reactor_, pool_, log_, *list, place.name, chance())
@@ -294,10 +294,10 @@
 
 // Nothing of this req runs there any more. One whose launch was refused never began: no repeat is to wait for
 // what it never did.
-void RequestServer::onCommandRejected(const std::string& name, const std::string& command) {
+void RequestServer::onCommandRejected(const std::string& name, peers::EngineCommandKind command) {
   const auto id = table_.named(name);
   if (!id || table_.find(*id)->course < RequestState::running) return;
-  if (command == "launch") neverRan(*id);
+  if (command == peers::EngineCommandKind::startExecution) neverRan(*id);
   onExecutionEnded(std::string(name), Outcome::failed, net::Reactor::Clock::now() - table_.find(*id)->since,
                    {});
 }
--- a/src/server/request_server.h
+++ b/src/server/request_server.h
@@ -66,7 +66,7 @@
                         std::string&& result) override;
   void onDownstreamCallRequested(const std::string& name, std::uint64_t notice, std::string&& body) override;
   void onGauges(std::uint64_t question, const std::vector<double>& values) override;
-  void onCommandRejected(const std::string& name, const std::string& command) override;
+  void onCommandRejected(const std::string& name, peers::EngineCommandKind command) override;
   void onDownstreamCallEnded(RequestId id, Outcome outcome, Duration took, std::string&& reply) override;
 
   void openModule(bool cold, Duration since);
