--- a/src/peers/downstream_client.cpp
+++ b/src/peers/downstream_client.cpp
@@ -1,44 +1,83 @@
 #include "peers/downstream_client.h"
 
 #include <algorithm>
+#include <cstdint>
+#include <utility>
 
 #include "codec/http.h"
 
 namespace rainhook::peers {
+namespace {
 
 using namespace std::chrono_literals;
 
+/// The service's names.
+constexpr std::string_view callPath = "/rpc/call";
+constexpr std::string_view requestNameHeader = "Parent-Call";
+constexpr std::string_view deadlineHeader = "Deadline-Ms";
+/// "1" where the service did not begin the call.
+constexpr const char* notExecutedHeader = "turned-away";
+
+constexpr int statusOk = 200;
+constexpr int statusConflict = 409;
+constexpr int statusServiceUnavailable = 503;
+constexpr int statusGatewayTimeout = 504;
+
+Outcome outcomeOf(const codec::http::Response& response) {
+  const bool wasNotExecuted = response.header(notExecutedHeader) == "1";
+  if (response.status == statusOk) return Outcome::completed;
+  if (response.status == statusServiceUnavailable && wasNotExecuted) return Outcome::rejected;
+  if (response.status == statusConflict && wasNotExecuted) return Outcome::superseded;
+  if (response.status == statusGatewayTimeout) return Outcome::timedOut;
+  return Outcome::failed;
+}
+
+std::string encodeCall(const net::Connection::Address& address, const std::string& requestName,
+                       Duration timeout, std::string_view body) {
+  const auto timeoutMs =
+      std::max<std::int64_t>(1, std::chrono::floor<std::chrono::milliseconds>(timeout).count());
+  return codec::http::request("POST", callPath, address.toString(),
+                              {{requestNameHeader, requestName}, {deadlineHeader, std::to_string(timeoutMs)}},
+                              body);
+}
+
+}  // namespace
+
 DownstreamClient::DownstreamClient(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log,
-                                   Listener& hearer, std::optional<net::Connection::Address> address,
-                                   std::size_t mostOpen)
+                                   Listener& listener, std::optional<net::Connection::Address> address,
+                                   std::size_t maxOpenCalls)
     : reactor_(reactor),
       pool_(pool),
       log_(log),
-      hearer_(hearer),
+      listener_(listener),
       address_(std::move(address)),
-      maxOpenCalls_(mostOpen) {}
+      maxOpenCalls_(maxOpenCalls) {}
 
-void DownstreamClient::call(RequestId id, const std::string& name, Duration limit, std::string_view body) {
+void DownstreamClient::call(RequestId id, const std::string& requestName, Duration timeout,
+                            std::string_view body) {
   cancel(id);
   Call& call = calls_[id];
-  call.made = net::Reactor::Clock::now();
-  const bool full = openCalls() > maxOpenCalls_;
-  if (full)
-    log_.message(logging::LogCategory::servers, "all {} connections for calls are in use: a call is not made",
+  call.startedAt = net::Reactor::Clock::now();
+  const bool isFull = openCalls() > maxOpenCalls_;
+  if (isFull)
+    log_.message(logging::LogCategory::servers, "all {} downstream connections in use: call not made",
                  maxOpenCalls_);
-  if (!address_ || full) {
-    call.limit = reactor_.after(0s, [this, id] { end(id, Outcome::unreachable, {}); });
+  if (!address_ || isFull) {
+    call.timeoutTimer = reactor_.after(0s, [this, id] { finish(id, Outcome::unreachable, {}); });
     return;
   }
+  connect(call, id, *address_);
+  call.timeoutTimer = reactor_.after(timeout, [this, id] { onTimeout(id); });
+  call.connection->write(encodeCall(*address_, requestName, timeout, body));
+}
+
+void DownstreamClient::connect(Call& call, RequestId id, const net::Connection::Address& address) {
   net::Callbacks callbacks;
-  callbacks.onData = [this, id](std::string_view bytes) { return came(id, bytes); };
-  callbacks.onClosed = [this, id](net::CloseReason how, const std::string& why) { broke(id, how, why); };
-  call.connection = net::Connection::connectTo(*address_, reactor_, pool_, std::move(callbacks));
-  call.limit = reactor_.after(limit, [this, id] { limitReached(id); });
-  const auto millis = std::max<std::int64_t>(1, std::chrono::floor<std::chrono::milliseconds>(limit).count());
-  call.connection->write(
-      codec::http::request("POST", "/rpc/call", address_->toString(),
-                           {{"Parent-Call", name}, {"Deadline-Ms", std::to_string(millis)}}, body));
+  callbacks.onData = [this, id](std::string_view bytes) { return onData(id, bytes); };
+  callbacks.onClosed = [this, id](net::CloseReason reason, const std::string& detail) {
+    onConnectionClosed(id, reason, detail);
+  };
+  call.connection = net::Connection::connectTo(address, reactor_, pool_, std::move(callbacks));
 }
 
 void DownstreamClient::cancel(RequestId id) {
@@ -48,42 +87,36 @@
   calls_.erase(it);
 }
 
-std::size_t DownstreamClient::came(RequestId id, std::string_view bytes) {
+std::size_t DownstreamClient::onData(RequestId id, std::string_view bytes) {
   auto response = codec::http::readResponse(bytes);
   if (!response) return 0;
-  const bool turnedAway = response->header("turned-away") == "1";
-  Outcome outcome = Outcome::failed;
-  if (response->status == 200) outcome = Outcome::completed;
-  if (response->status == 503 && turnedAway) outcome = Outcome::rejected;
-  if (response->status == 409 && turnedAway) outcome = Outcome::superseded;
-  if (response->status == 504) outcome = Outcome::timedOut;
-  end(id, outcome, std::move(response->body));
+  finish(id, outcomeOf(*response), std::move(response->body));
   return bytes.size();
 }
 
-void DownstreamClient::broke(RequestId id, net::CloseReason how, const std::string& why) {
+void DownstreamClient::onConnectionClosed(RequestId id, net::CloseReason reason, const std::string& detail) {
   const auto it = calls_.find(id);
   if (it == calls_.end()) return;
-  // A call of which nothing was sent has surely not run; any other break proves nothing.
-  const bool never = how == net::CloseReason::unreachable || !it->second.connection->hasSentData();
-  log_.message(logging::LogCategory::servers, "a call below {}: {}",
-               never ? "found no server" : "was cut short", why);
-  end(id, never ? Outcome::unreachable : Outcome::connectionLost, {});
+  // A call of which nothing was sent has surely not been executed; any other loss proves nothing.
+  const bool wasNeverSent = reason == net::CloseReason::unreachable || !it->second.connection->hasSentData();
+  log_.message(logging::LogCategory::servers, "downstream call {}: {}",
+               wasNeverSent ? "found the service unreachable" : "lost its connection", detail);
+  finish(id, wasNeverSent ? Outcome::unreachable : Outcome::connectionLost, {});
 }
 
-// A reply that came in time may lie unread, after a pause of the machine or in a long turn.
-void DownstreamClient::limitReached(RequestId id) {
+// A reply that came in time may lie unread, after a pause of the machine or in a long iteration of the loop.
+void DownstreamClient::onTimeout(RequestId id) {
   const auto connection = calls_.at(id).connection;
   connection->readNow();
-  end(id, Outcome::timedOut, {});
+  finish(id, Outcome::timedOut, {});
 }
 
-void DownstreamClient::end(RequestId id, Outcome outcome, std::string&& reply) {
+void DownstreamClient::finish(RequestId id, Outcome outcome, std::string&& reply) {
   const auto it = calls_.find(id);
   if (it == calls_.end()) return;
-  const Duration took = net::Reactor::Clock::now() - it->second.made;
+  const Duration duration = net::Reactor::Clock::now() - it->second.startedAt;
   cancel(id);
-  hearer_.onDownstreamCallEnded(id, outcome, took, std::move(reply));
+  listener_.onDownstreamCallEnded(id, outcome, duration, std::move(reply));
 }
 
 }  // namespace rainhook::peers
--- a/src/peers/downstream_client.h
+++ b/src/peers/downstream_client.h
@@ -1,13 +1,13 @@
-// The next tier: calls over HTTP, each on a connection of its own that is closed with it. A kept connection
-// may bring late bytes of the reply before, or have been forgotten by the peer while idle, which can't be
-// told from a call that ran; a new one can't. The protocol's names end in servers.cpp.
+/// @file
+/// Calls of the downstream service over HTTP.
 #pragma once
 
-#include <cstdint>
+#include <cstddef>
 #include <map>
 #include <memory>
 #include <optional>
 #include <string>
+#include <string_view>
 
 #include "decision/decision.h"
 #include "logging/log.h"
@@ -16,43 +16,56 @@
 
 namespace rainhook::peers {
 
+/// Makes each call on a connection of its own, which is closed with it. A kept connection may bring late
+/// bytes of the previous reply, or may have been forgotten by the peer while idle, which can't be told from a
+/// call that was executed; a new one can't. Used on the reactor's thread only; the reactor, the pool, the log
+/// and the listener must outlive it.
 class DownstreamClient {
  public:
+  /// Is told how calls end.
   struct Listener {
     virtual ~Listener() = default;
-    virtual void onDownstreamCallEnded(RequestId id, Outcome outcome, Duration took, std::string&& reply) = 0;
+    /// @param reply what the service answered; empty where it did not.
+    virtual void onDownstreamCallEnded(RequestId id, Outcome outcome, Duration duration,
+                                       std::string&& reply) = 0;
   };
 
-  // Without an address, as in the last tier, every call is unreachable.
-  DownstreamClient(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log, Listener& hearer,
-                   std::optional<net::Connection::Address> address, std::size_t mostOpen);
+  /// @param address none where there is no downstream service: every call is unreachable then.
+  /// @param maxOpenCalls calls beyond this are unreachable, too.
+  DownstreamClient(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log, Listener& listener,
+                   std::optional<net::Connection::Address> address, std::size_t maxOpenCalls);
 
-  // How it ends comes to the hearer, not from within this call; a call for a req gives up the one before it.
-  void call(RequestId id, const std::string& name, Duration limit, std::string_view body);
+  /// Begins a call; its end comes to the listener, never from within this function. Cancels the request's
+  /// previous call.
+  void call(RequestId id, const std::string& requestName, Duration timeout, std::string_view body);
+  /// The call, if there is one, ends without the listener being told.
   void cancel(RequestId id);
-  // Calls from now on go there; those under way end where they are.
-  void moveTo(std::optional<net::Connection::Address> address) { address_ = std::move(address); }
+  /// Calls from now on go there; open ones end where they are.
+  void setAddress(std::optional<net::Connection::Address> address) { address_ = std::move(address); }
   std::size_t openCalls() const { return calls_.size(); }
 
  private:
   struct Call {
+    /// Null where the call could not be made.
     std::shared_ptr<net::Connection> connection;
-    net::Reactor::Clock::time_point made;
-    net::Reactor::Timer limit;
+    net::Reactor::Clock::time_point startedAt;
+    net::Reactor::Timer timeoutTimer;
   };
 
-  std::size_t came(RequestId id, std::string_view bytes);
-  void broke(RequestId id, net::CloseReason how, const std::string& why);
-  void limitReached(RequestId id);
-  void end(RequestId id, Outcome outcome, std::string&& reply);
+  void connect(Call& call, RequestId id, const net::Connection::Address& address);
+  std::size_t onData(RequestId id, std::string_view bytes);
+  void onConnectionClosed(RequestId id, net::CloseReason reason, const std::string& detail);
+  void onTimeout(RequestId id);
+  void finish(RequestId id, Outcome outcome, std::string&& reply);
 
   net::Reactor& reactor_;
   net::BufferPool& pool_;
   logging::Log& log_;
-  Listener& hearer_;
+  Listener& listener_;
   std::optional<net::Connection::Address> address_;
   const std::size_t maxOpenCalls_;
-  std::map<RequestId, Call> calls_;  // a call leaves when it ends or is given up
+  /// A call leaves when it ends or is cancelled.
+  std::map<RequestId, Call> calls_;
 };
 
 }  // namespace rainhook::peers
--- a/src/peers/registry_client.h
+++ b/src/peers/registry_client.h
@@ -1,11 +1,11 @@
-// The list of servers: says there again and again that this one takes work, or that it does not. Each report
-// has a connection of its own, so one that is never answered, or late, holds up none of the next. The
-// protocol's names end in list.cpp.
+/// @file
+/// Reports to the endpoint registry whether this server is in service.
 #pragma once
 
 #include <cstdint>
 #include <map>
 #include <memory>
+#include <optional>
 #include <pcg_random.hpp>
 #include <string>
 
@@ -15,46 +15,51 @@
 
 namespace rainhook::peers {
 
+/// Reports periodically, and at once on a change. Each report has a connection of its own, so one that is
+/// answered late, or never, delays none of the next. Used on the reactor's thread only; the reactor, the pool
+/// and the log must outlive it.
 class RegistryClient {
  public:
-  // `chance` spreads its reports, so that servers that started together, or lost the list together, do not
-  // report in step.
+  /// @param serverName by which the registry knows this server.
+  /// @param randomSeed for the jitter between reports, so that servers that started together, or lost the
+  /// registry together, do not report in step.
   RegistryClient(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log,
-                 const net::Connection::Address& address, std::string name, std::uint64_t chance);
+                 const net::Connection::Address& address, std::string serverName, std::uint64_t randomSeed);
 
-  void setInService(bool does);  // reported at once, and from then on
+  /// Reported at once where it is news, and periodically from then on.
+  void setInService(bool isInService);
   void setAddress(const net::Connection::Address& address);
-  // Whether what was said last has counted.
-  bool isAcknowledged() const { return heard_; }
+  /// Whether the registry has accepted a report since the last change.
+  [[nodiscard]] bool isAcknowledged() const { return isAcknowledged_; }
 
  private:
-  void startOver();
-  void report();
-  net::Reactor::Wait spread(net::Reactor::Wait wait);
-  void settle(std::uint64_t number, bool counted, const std::string& why);
-
-  static constexpr net::Reactor::Wait every = std::chrono::milliseconds(800),
-                                      again = std::chrono::milliseconds(250),
-                                      patience = std::chrono::milliseconds(2500);
-  // Open at once: a list that takes connections and answers none is not to use up the descriptors that are
-  // set aside. At the ordinary pace there are never more.
-  static constexpr std::size_t mostOpen = 5;
   struct Report {
     std::shared_ptr<net::Connection> connection;
-    net::Reactor::Timer patience;
+    net::Reactor::Timer timeoutTimer;
   };
 
+  void restart();
+  void sendReport();
+  net::Callbacks callbacksFor(std::uint64_t number);
+  net::Reactor::Wait jittered(net::Reactor::Wait wait);
+  /// @param failure why the report was not accepted; none where it was.
+  void finishReport(std::uint64_t number, const std::optional<std::string>& failure);
+
   net::Reactor& reactor_;
   net::BufferPool& pool_;
   logging::Log& log_;
   net::Connection::Address address_;
-  const std::string name_;
-  bool does_ = true, reached_ = true, heard_ = false;
-  std::map<std::uint64_t, Report> reports_;  // a report leaves when it is answered, breaks or is given up
-  std::uint64_t numbered_ = 0;
-  pcg32 chance_;
+  const std::string serverName_;
+  bool isInService_ = true;
+  /// Whether the last report that ended was accepted.
+  bool isReachable_ = true;
+  bool isAcknowledged_ = false;
+  /// By number. A report leaves when it is answered, fails or times out.
+  std::map<std::uint64_t, Report> openReports_;
+  std::uint64_t lastReportNumber_ = 0;
+  pcg32 randomSource_;
   net::Reactor::Clock::time_point changedAt_{};
-  net::Reactor::Timer next_;
+  net::Reactor::Timer nextReportTimer_;
 };
 
 }  // namespace rainhook::peers
