--- a/src/membership_transport/membership_transport.cpp
+++ b/src/membership_transport/membership_transport.cpp
@@ -251,8 +251,8 @@
   return talk;
 }
 
-net::Callbacks MembershipTransport::talking(std::uint64_t number) {
-  net::Callbacks out;
+net::ConnectionCallbacks MembershipTransport::talking(std::uint64_t number) {
+  net::ConnectionCallbacks out;
   out.onData = [this, number](std::string_view bytes) { return came(number, bytes); };
   out.onClosed = [this, number](net::CloseReason, const std::string&) { end(number); };
   return out;
--- a/src/membership_transport/membership_transport.h
+++ b/src/membership_transport/membership_transport.h
@@ -58,7 +58,7 @@
   void turn();
   void figures();
   void set();
-  net::Callbacks talking(std::uint64_t number);
+  net::ConnectionCallbacks talking(std::uint64_t number);
   Talk& enter(std::uint64_t number);
   std::size_t came(std::uint64_t number, std::string_view bytes);
   void end(std::uint64_t number);
--- a/src/net/buffer_pool.h
+++ b/src/net/buffer_pool.h
@@ -1,4 +1,5 @@
-// Buffers of one size, used again: a pool lends them, and a lease gives its buffer back where it ends.
+/// @file
+/// Buffers of one size that are used again, and output that waits in them.
 #pragma once
 
 #include <array>
@@ -10,47 +11,57 @@
 
 namespace rainhook::net {
 
+/// Lends buffers. It must outlive its leases. For one thread only.
 class BufferPool {
  public:
   static constexpr std::size_t bufferSize = 16 * 1024;
   using Buffer = std::array<char, bufferSize>;
 
+  /// Returns a buffer to its pool.
   struct Releaser {
     BufferPool* pool;
     void operator()(Buffer* buffer) const { pool->release(buffer); }
   };
+  /// Owns a buffer until it is destroyed or reset.
   using Lease = std::unique_ptr<Buffer, Releaser>;
 
-  Lease acquire();
-  std::size_t acquiredCount() const { return lent_; }
+  /// The buffer's content is undefined.
+  [[nodiscard]] Lease acquire();
+  /// How many buffers are lent now.
+  [[nodiscard]] std::size_t acquiredCount() const { return acquiredCount_; }
 
  private:
-  static constexpr std::size_t keptAtMost = 256;  // what stands free beyond this goes back to the system
+  /// Free buffers beyond this many go back to the system.
+  static constexpr std::size_t maxFreeBuffers = 256;
   void release(Buffer* buffer);
 
-  std::vector<std::unique_ptr<Buffer>> free_;
-  std::size_t lent_ = 0;
+  std::vector<std::unique_ptr<Buffer>> freeBuffers_;
+  std::size_t acquiredCount_ = 0;
 };
 
-// Bytes that wait to be sent, in buffers of the pool; emptied by consume().
+/// A queue of bytes that wait to be sent, in buffers of a pool.
 class SendBuffer {
  public:
   explicit SendBuffer(BufferPool& pool) : pool_(pool) {}
 
   void append(std::string_view bytes);
-  bool empty() const { return size_ == 0; }
-  std::size_t size() const { return size_; }
-  std::string_view front() const;
+  [[nodiscard]] bool empty() const { return size_ == 0; }
+  [[nodiscard]] std::size_t size() const { return size_; }
+  /// The first bytes, as many as lie in one buffer; valid until the next call of a non-const function.
+  [[nodiscard]] std::string_view front() const;
+  /// Removes bytes from the front. @param count at most the size of front().
   void consume(std::size_t count);
-  void clear() { pieces_.clear(), size_ = 0; }
+  void clear();
 
  private:
-  struct Piece {
+  struct Chunk {
     BufferPool::Lease buffer;
-    std::size_t from = 0, to = 0;
+    std::size_t begin = 0;
+    std::size_t end = 0;
   };
+
   BufferPool& pool_;
-  std::deque<Piece> pieces_;
+  std::deque<Chunk> chunks_;
   std::size_t size_ = 0;
 };
 
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -4,92 +4,120 @@
 
 #include <cerrno>
 #include <cstring>
+#include <system_error>
+#include <utility>
 
 namespace rainhook::net {
+namespace {
+
+/// Bounds what one connection takes of an iteration.
+constexpr int maxReadsPerEvent = 4;
+
+/// The error that the system holds for a socket; reading it clears it.
+std::string describeSocketError(Poco::Net::StreamSocket& socket) {
+  return std::system_category().message(socket.impl()->socketError());
+}
+
+}  // namespace
 
 Connection::Connection(Reactor& reactor, BufferPool& pool, const Poco::Net::StreamSocket& socket,
-                       Callbacks callbacks)
+                       ConnectionCallbacks callbacks)
     : reactor_(reactor),
       pool_(pool),
       socket_(socket),
       callbacks_(std::move(callbacks)),
-      in_(nullptr, BufferPool::Releaser{&pool}),
-      out_(pool) {}
+      input_(nullptr, BufferPool::Releaser{&pool}),
+      output_(pool) {}
 
 std::shared_ptr<Connection> Connection::fromAccepted(Reactor& reactor, BufferPool& pool,
                                                      const Poco::Net::StreamSocket& socket,
-                                                     Callbacks callbacks) {
-  std::shared_ptr<Connection> made(new Connection(reactor, pool, socket, std::move(callbacks)));
-  made->start(State::open);
-  return made;
+                                                     ConnectionCallbacks callbacks) {
+  std::shared_ptr<Connection> connection(new Connection(reactor, pool, socket, std::move(callbacks)));
+  connection->registerWithReactor(State::open);
+  return connection;
 }
 
 std::shared_ptr<Connection> Connection::connectTo(const Address& address, Reactor& reactor, BufferPool& pool,
-                                                  Callbacks callbacks) {
-  std::shared_ptr<Connection> made(
+                                                  ConnectionCallbacks callbacks) {
+  std::shared_ptr<Connection> connection(
       new Connection(reactor, pool, Poco::Net::StreamSocket(), std::move(callbacks)));
   try {
-    made->socket_.connectNB(address);
-    made->start(State::connecting);
+    connection->socket_.connectNB(address);
+    connection->registerWithReactor(State::connecting);
   } catch (const Poco::Exception& error) {
-    made->late_ = reactor.after(Reactor::Wait::zero(), [self = made.get(), why = error.displayText()] {
-      self->end(CloseReason::unreachable, why);
-    });
+    connection->connectFailureTimer_ =
+        reactor.after(Reactor::Wait::zero(), [self = connection.get(), detail = error.displayText()] {
+          self->closeWith(CloseReason::unreachable, detail);
+        });
   }
-  return made;
+  return connection;
 }
 
-void Connection::start(State state) {
+void Connection::registerWithReactor(State state) {
   state_ = state;
   socket_.setBlocking(false);
   socket_.setNoDelay(true);
-  watched_ = true;  // said first: where the system refuses, POCO has entered the handler all the same
-  reactor_.addEventHandler(socket_, onError_);
+  hasErrorInterest_ = true;  // set first: where the system refuses, POCO has entered the handler all the same
+  reactor_.addEventHandler(socket_, errorObserver_);
   if (state == State::open)
-    wantReading(true);
+    setReadInterest(true);
   else
-    wantWriting(true);
+    setWriteInterest(true);
 }
 
-void Connection::wantReading(bool wanted) {
-  if (std::exchange(reading_, wanted) == wanted) return;
-  wanted ? reactor_.addEventHandler(socket_, onRead_) : reactor_.removeEventHandler(socket_, onRead_);
-  if (!wanted) renewInterest();
+void Connection::setReadInterest(bool isWanted) {
+  if (std::exchange(hasReadInterest_, isWanted) == isWanted) return;
+  if (isWanted) return reactor_.addEventHandler(socket_, readObserver_);
+  reactor_.removeEventHandler(socket_, readObserver_);
+  refreshInterest();
 }
-void Connection::wantWriting(bool wanted) {
-  if (std::exchange(writing_, wanted) == wanted) return;
-  wanted ? reactor_.addEventHandler(socket_, onWrite_) : reactor_.removeEventHandler(socket_, onWrite_);
-  if (!wanted) renewInterest();
+
+void Connection::setWriteInterest(bool isWanted) {
+  if (std::exchange(hasWriteInterest_, isWanted) == isWanted) return;
+  if (isWanted) return reactor_.addEventHandler(socket_, writeObserver_);
+  reactor_.removeEventHandler(socket_, writeObserver_);
+  refreshInterest();
 }
-// POCO's reactor asks the system anew when a handler is added, but not when one of several is removed:
-// without this an interest that ended would ring on in every turn.
-void Connection::renewInterest() {
-  reactor_.removeEventHandler(socket_, onError_);
-  reactor_.addEventHandler(socket_, onError_);
+
+// POCO's reactor updates the system's poll set when a handler is added, but not when one of several is
+// removed: without this, an interest that ended would wake the loop in every iteration.
+void Connection::refreshInterest() {
+  reactor_.removeEventHandler(socket_, errorObserver_);
+  reactor_.addEventHandler(socket_, errorObserver_);
+}
+
+// POCO throws where the system never took an interest that POCO itself has entered; it is removed all the
+// same.
+void Connection::dropInterest(bool& isRegistered, const Poco::AbstractObserver& observer) {
+  try {
+    if (std::exchange(isRegistered, false)) reactor_.removeEventHandler(socket_, observer);
+  } catch (const Poco::Exception&) {
+  }
 }
 
 void Connection::pauseReading() {
-  paused_ = true;
-  if (state_ == State::open) wantReading(false);
+  isReadingPaused_ = true;
+  if (state_ == State::open) setReadInterest(false);
 }
 
 void Connection::resumeReading() {
-  if (!std::exchange(paused_, false) || state_ != State::open || ended_) return;
+  if (!std::exchange(isReadingPaused_, false) || state_ != State::open || hasPeerEnded_) return;
   const auto self = shared_from_this();
-  wantReading(true);
-  take([this] { feed(); });  // what came before the pause rings no bell
+  setReadInterest(true);
+  runInputStep([this] { deliverInput(); });  // no event comes for what was received before the pause
 }
 
 void Connection::readNow() {
   const auto self = shared_from_this();
-  if (state_ == State::open && reading_) take([this] { read(); });
+  if (state_ == State::open && hasReadInterest_) runInputStep([this] { receive(); });
 }
 
 void Connection::discardInput() {
-  discarding_ = true;
-  from_ = to_ = 0;
-  paused_ = false;
-  if (state_ == State::open && !ended_) wantReading(true);
+  isDiscardingInput_ = true;
+  inputBegin_ = 0;
+  inputEnd_ = 0;
+  isReadingPaused_ = false;
+  if (state_ == State::open && !hasPeerEnded_) setReadInterest(true);
 }
 
 void Connection::shutdownSend() {
@@ -98,141 +126,146 @@
   try {
     socket_.shutdownSend();
   } catch (const Poco::Exception& error) {
-    end(CloseReason::connectionLost, error.displayText());
+    closeWith(CloseReason::connectionLost, error.displayText());
   }
 }
 
-void Connection::readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
+void Connection::onReadable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
   const auto self = shared_from_this();
-  if (state_ == State::open) take([this] { read(); });
+  if (state_ == State::open) runInputStep([this] { receive(); });
 }
 
-void Connection::take(const std::function<void()>& reading) {
+// Whatever a peer's bytes lead to ends its connection alone.
+void Connection::runInputStep(const std::function<void()>& step) {
   try {
-    reading();
+    step();
   } catch (const Poco::Exception& error) {
-    return end(CloseReason::connectionLost, error.displayText());
-  } catch (const std::exception& nonsense) {  // whatever a peer's bytes may lead to ends its connection alone
-    return end(CloseReason::protocolError, nonsense.what());
+    return closeWith(CloseReason::connectionLost, error.displayText());
+  } catch (const std::exception& error) {
+    return closeWith(CloseReason::protocolError, error.what());
   }
-  if (in_ && from_ == to_) in_.reset();
+  if (input_ && inputBegin_ == inputEnd_) input_.reset();
 }
 
-void Connection::read() {
-  for (int i = 0; i < readsATurn && state_ == State::open && reading_; ++i) {
-    if (!in_) in_ = pool_.acquire(), from_ = to_ = 0;
-    if (to_ == BufferPool::bufferSize && from_ > 0) {
-      std::memmove(in_->data(), in_->data() + from_, to_ - from_);
-      to_ -= from_, from_ = 0;
-    }
-    const auto space = BufferPool::bufferSize - to_;
-    if (space == 0) return end(CloseReason::protocolError, "a message longer than a buffer");
-    const int got = socket_.receiveBytes(in_->data() + to_, static_cast<int>(space));
-    if (got < 0) return;
-    if (got == 0) {
-      ended_ = true;
-      wantReading(false);
-      if (callbacks_.onHalfClosed) return callbacks_.onHalfClosed();
-      return end(CloseReason::closedByPeer, "closed by the peer");
-    }
-    if (discarding_) {
-      if (static_cast<std::size_t>(got) < space) return;
-      continue;
+/// @return how many bytes may be received behind `inputEnd_`.
+std::size_t Connection::makeReceiveSpace() {
+  if (!input_) {
+    input_ = pool_.acquire();
+    inputBegin_ = 0;
+    inputEnd_ = 0;
+  }
+  if (inputEnd_ == BufferPool::bufferSize && inputBegin_ > 0) {
+    std::memmove(input_->data(), input_->data() + inputBegin_, inputEnd_ - inputBegin_);
+    inputEnd_ -= inputBegin_;
+    inputBegin_ = 0;
+  }
+  return BufferPool::bufferSize - inputEnd_;
+}
+
+void Connection::receive() {
+  for (int i = 0; i < maxReadsPerEvent && state_ == State::open && hasReadInterest_; ++i) {
+    const std::size_t space = makeReceiveSpace();
+    if (space == 0)
+      return closeWith(CloseReason::protocolError, "a message is longer than the receive buffer");
+    const int received = socket_.receiveBytes(input_->data() + inputEnd_, static_cast<int>(space));
+    if (received < 0) return;
+    if (received == 0) return onEndOfInput();
+    const auto count = static_cast<std::size_t>(received);
+    if (!isDiscardingInput_) {
+      inputEnd_ += count;
+      deliverInput();
     }
-    to_ += static_cast<std::size_t>(got);
-    feed();
-    if (static_cast<std::size_t>(got) < space) return;
+    if (count < space) return;
   }
 }
 
-void Connection::feed() {
-  while (state_ == State::open && !paused_ && !discarding_ && from_ < to_) {
-    const std::size_t used = callbacks_.onData({in_->data() + from_, to_ - from_});
-    if (used == 0 || discarding_) return;
-    from_ += used;
+void Connection::onEndOfInput() {
+  hasPeerEnded_ = true;
+  setReadInterest(false);
+  if (callbacks_.onHalfClosed) return callbacks_.onHalfClosed();
+  closeWith(CloseReason::closedByPeer, "closed by the peer");
+}
+
+void Connection::deliverInput() {
+  while (state_ == State::open && !isReadingPaused_ && !isDiscardingInput_ && inputBegin_ < inputEnd_) {
+    const std::size_t consumed = callbacks_.onData({input_->data() + inputBegin_, inputEnd_ - inputBegin_});
+    if (consumed == 0 || isDiscardingInput_) return;
+    inputBegin_ += consumed;
   }
 }
 
 void Connection::write(std::string_view bytes) {
   if (state_ == State::closed) return;
-  out_.append(bytes);
-  if (state_ == State::open && !writing_ && !flushing_) flushLater();
+  output_.append(bytes);
+  if (state_ == State::open && !hasWriteInterest_ && !isFlushScheduled_) scheduleFlush();
 }
 
-void Connection::flushLater() {
-  flushing_ = true;
+void Connection::scheduleFlush() {
+  isFlushScheduled_ = true;
   reactor_.flushAtIterationEnd([weak = weak_from_this()] {
     const auto self = weak.lock();
     if (!self) return;
-    self->flushing_ = false;
-    if (self->state_ == State::open && !self->writing_) self->send();
+    self->isFlushScheduled_ = false;
+    if (self->state_ == State::open && !self->hasWriteInterest_) self->flush();
   });
 }
 
-void Connection::send() {
+void Connection::flush() {
   try {
-    while (!out_.empty()) {
-      const auto front = out_.front();
+    while (!output_.empty()) {
+      const auto front = output_.front();
       const int sent = socket_.sendBytes(front.data(), static_cast<int>(front.size()));
       if (sent < 0) break;
-      sentAny_ = sentAny_ || sent > 0;
-      out_.consume(static_cast<std::size_t>(sent));
+      hasSentData_ = hasSentData_ || sent > 0;
+      output_.consume(static_cast<std::size_t>(sent));
       if (static_cast<std::size_t>(sent) < front.size()) break;
     }
-    wantWriting(!out_.empty());
+    setWriteInterest(!output_.empty());
   } catch (const Poco::Exception& error) {
-    // POCO 1.11 throws where a socket takes no more for now; that breaks nothing.
-    if (error.code() == EAGAIN || error.code() == EWOULDBLOCK) return wantWriting(true);
-    end(CloseReason::connectionLost, error.displayText());
+    // POCO 1.11 throws where a socket takes no more for now; that is no loss of the connection.
+    if (error.code() == EAGAIN || error.code() == EWOULDBLOCK) return setWriteInterest(true);
+    closeWith(CloseReason::connectionLost, error.displayText());
   }
 }
 
-void Connection::writable(const Poco::AutoPtr<Poco::Net::WritableNotification>&) {
+void Connection::onWritable(const Poco::AutoPtr<Poco::Net::WritableNotification>&) {
   const auto self = shared_from_this();
   if (state_ == State::connecting) {
     if (const int error = socket_.impl()->socketError(); error != 0)
-      return end(CloseReason::unreachable, std::strerror(error));
+      return closeWith(CloseReason::unreachable, std::system_category().message(error));
     state_ = State::open;
-    wantReading(!paused_);
+    setReadInterest(!isReadingPaused_);
   }
-  if (state_ == State::open) send();
-  if (state_ == State::open && out_.empty() && callbacks_.onSent) callbacks_.onSent();
+  if (state_ == State::open) flush();
+  if (state_ == State::open && output_.empty() && callbacks_.onSent) callbacks_.onSent();
 }
 
-void Connection::failed(const Poco::AutoPtr<Poco::Net::ErrorNotification>&) {
+void Connection::onError(const Poco::AutoPtr<Poco::Net::ErrorNotification>&) {
   const auto self = shared_from_this();
   if (state_ == State::closed) return;
-  // What came before the break is still read.
-  if (state_ == State::open && reading_) return take([this] { read(); });
-  const int error = socket_.impl()->socketError();
-  end(state_ == State::connecting ? CloseReason::unreachable : CloseReason::connectionLost,
-      std::strerror(error));
+  // What came before the loss is still read.
+  if (state_ == State::open && hasReadInterest_) return runInputStep([this] { receive(); });
+  const auto reason = state_ == State::connecting ? CloseReason::unreachable : CloseReason::connectionLost;
+  closeWith(reason, describeSocketError(socket_));
 }
 
-void Connection::end(CloseReason how, const std::string& why) {
+void Connection::closeWith(CloseReason reason, const std::string& detail) {
   if (state_ == State::closed) return;
   const auto self = weak_from_this().lock();
   close();
-  if (callbacks_.onClosed) callbacks_.onClosed(how, why);
+  if (callbacks_.onClosed) callbacks_.onClosed(reason, detail);
 }
 
 void Connection::close() {
-  late_.cancel();
+  connectFailureTimer_.cancel();
   if (state_ != State::closed) {
-    // POCO throws where the system never took the interest that it has entered; it is out of its books then.
-    const auto takeBack = [this](bool& entered, const Poco::AbstractObserver& observer) {
-      try {
-        if (std::exchange(entered, false)) reactor_.removeEventHandler(socket_, observer);
-      } catch (const Poco::Exception&) {
-      }
-    };
-    takeBack(reading_, onRead_);
-    takeBack(writing_, onWrite_);
-    takeBack(watched_, onError_);
+    dropInterest(hasReadInterest_, readObserver_);
+    dropInterest(hasWriteInterest_, writeObserver_);
+    dropInterest(hasErrorInterest_, errorObserver_);
     socket_.close();
   }
   state_ = State::closed;
-  out_.clear();  // what came in may still be looked at by the callback that closes
+  output_.clear();  // input may still be looked at by the callback that closes
   if (const auto self = weak_from_this().lock()) reactor_.retire(self);
 }
 
--- a/src/net/reactor.cpp
+++ b/src/net/reactor.cpp
@@ -4,20 +4,22 @@
 #include <Poco/Net/SocketNotification.h>
 #include <Poco/Net/StreamSocket.h>
 #include <Poco/Net/StreamSocketImpl.h>
-#include <signal.h>
 #include <sys/signalfd.h>
 #include <unistd.h>
 
 #include <algorithm>
+#include <csignal>
+#include <utility>
 
 namespace rainhook::net {
 
 using namespace std::chrono_literals;
 
-class Reactor::Signals {
+/// Makes signals readable like a socket.
+class Reactor::SignalSocket {
  public:
-  Signals(Reactor& reactor, std::initializer_list<int> signals, std::function<void(int)> hear)
-      : reactor_(reactor), hear_(std::move(hear)) {
+  SignalSocket(Reactor& reactor, std::initializer_list<int> signals, std::function<void(int)> handler)
+      : reactor_(reactor), handler_(std::move(handler)) {
     sigset_t set;
     sigemptyset(&set);
     for (const int signal : signals) sigaddset(&set, signal);
@@ -26,64 +28,81 @@
         new Poco::Net::StreamSocketImpl(::signalfd(-1, &set, SFD_NONBLOCK | SFD_CLOEXEC)));
     reactor_.addEventHandler(socket_, observer_);
   }
-  ~Signals() { reactor_.removeEventHandler(socket_, observer_); }
+  SignalSocket(const SignalSocket&) = delete;
+  SignalSocket& operator=(const SignalSocket&) = delete;
+  ~SignalSocket() { reactor_.removeEventHandler(socket_, observer_); }
 
  private:
-  void readable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
+  void onReadable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
     signalfd_siginfo info{};
     while (::read(socket_.impl()->sockfd(), &info, sizeof info) == static_cast<ssize_t>(sizeof info))
-      hear_(static_cast<int>(info.ssi_signo));
+      handler_(static_cast<int>(info.ssi_signo));
   }
+
   Reactor& reactor_;
-  std::function<void(int)> hear_;
+  std::function<void(int)> handler_;
   Poco::Net::StreamSocket socket_;
-  Poco::NObserver<Signals, Poco::Net::ReadableNotification> observer_{*this, &Signals::readable};
+  Poco::NObserver<SignalSocket, Poco::Net::ReadableNotification> observer_{*this, &SignalSocket::onReadable};
 };
 
-void Reactor::onSignals(std::initializer_list<int> signals, std::function<void(int)> hear) {
-  signals_ = std::make_shared<Signals>(*this, signals, std::move(hear));
+Reactor::Timer& Reactor::Timer::operator=(Timer&& other) noexcept {
+  cancel();
+  reactor_ = std::exchange(other.reactor_, nullptr);
+  key_ = other.key_;
+  return *this;
+}
+
+void Reactor::Timer::cancel() {
+  if (auto* reactor = std::exchange(reactor_, nullptr)) reactor->timers_.erase(key_);
 }
 
-Reactor::Timer Reactor::after(Wait wait, std::function<void()> ring) {
-  const Timer::Key key{Clock::now() + std::max(wait, Wait::zero()), ++numbered_};
-  timers_.emplace(key, std::move(ring));
+void Reactor::onSignals(std::initializer_list<int> signals, std::function<void(int)> handler) {
+  signalSocket_ = std::make_shared<SignalSocket>(*this, signals, std::move(handler));
+}
+
+Reactor::Timer Reactor::after(Wait wait, std::function<void()> callback) {
+  const Timer::Key key{Clock::now() + std::max(wait, Wait::zero()), ++lastTimerNumber_};
+  timers_.emplace(key, std::move(callback));
   return {this, key};
 }
 
-// POCO tells of the beginning of a turn with events and of the end of one in which nothing was readable.
-// After a turn with events the next round does not wait, so that the turn's end comes before any more is
-// read.
+// POCO calls onBusy() at the beginning of an iteration with events, and onTimeout() or onIdle() at the end of
+// one in which nothing was readable. After an iteration with events the next poll does not wait, so that the
+// iteration's end comes before any more is read.
 void Reactor::onBusy() {
   endIteration();
   setTimeout(0);
 }
+
 void Reactor::onTimeout() {
+  constexpr Wait maxWait = 1s;
   endIteration();
-  Wait wait = timers_.empty() ? Wait(1s) : timers_.begin()->first.first - Clock::now();
-  if (!flushes_.empty()) wait = 0s;  // given to send while others sent
-  const auto millis = std::chrono::ceil<std::chrono::milliseconds>(std::clamp<Wait>(wait, 0s, 1s));
-  setTimeout(Poco::Timespan(static_cast<Poco::Timespan::TimeDiff>(millis.count()) * 1000));
+  Wait wait = timers_.empty() ? maxWait : timers_.begin()->first.first - Clock::now();
+  if (!pendingFlushes_.empty()) wait = 0s;  // written while others were flushed
+  const auto millis = std::chrono::ceil<std::chrono::milliseconds>(std::clamp<Wait>(wait, 0s, maxWait));
+  constexpr Poco::Timespan::TimeDiff microsPerMilli = 1000;
+  setTimeout(Poco::Timespan(static_cast<Poco::Timespan::TimeDiff>(millis.count()) * microsPerMilli));
 }
 
 void Reactor::endIteration() {
-  ring();
-  if (hear_) hear_();
-  for (const auto& flush : std::exchange(flushes_, {})) flush();
+  fireDueTimers();
+  if (iterationEndHandler_) iterationEndHandler_();
+  for (const auto& flush : std::exchange(pendingFlushes_, {})) flush();
   retired_.clear();
 }
 
-// Rings what is due now; what a ring sets for at once waits for the next turn.
-void Reactor::ring() {
+// A timer that was set by one of these callbacks waits for the next iteration, even where it is due at once.
+void Reactor::fireDueTimers() {
   const auto now = Clock::now();
-  const auto newest = numbered_;
+  const auto lastNumberBefore = lastTimerNumber_;
   for (auto it = timers_.begin(); it != timers_.end() && it->first.first <= now;) {
-    if (it->first.second > newest) {
+    if (it->first.second > lastNumberBefore) {
       ++it;
       continue;
     }
-    const auto ring = std::move(it->second);
+    const auto callback = std::move(it->second);
     timers_.erase(it);
-    ring();
+    callback();
     it = timers_.begin();
   }
 }
--- a/src/net/reactor.h
+++ b/src/net/reactor.h
@@ -1,5 +1,5 @@
-// The one thread: POCO's reactor with timers, signals and a turn's end. A turn is one round of the reactor;
-// at its end due timers ring, then whoever asked hears of it, then connections send what they were given.
+/// @file
+/// The event loop: POCO's socket reactor with timers, signals, and an end to each iteration.
 #pragma once
 
 #include <Poco/Net/SocketReactor.h>
@@ -7,6 +7,7 @@
 #include <chrono>
 #include <cstdint>
 #include <functional>
+#include <initializer_list>
 #include <map>
 #include <memory>
 #include <utility>
@@ -14,60 +15,64 @@
 
 namespace rainhook::net {
 
+/// Runs everything on one thread. An iteration handles the sockets that are ready; at its end, due timers
+/// fire, then the iteration-end handler is called, then connections send what was written to them.
 class Reactor final : public Poco::Net::SocketReactor {
  public:
   using Clock = std::chrono::steady_clock;
   using Wait = std::chrono::nanoseconds;
 
-  // A timer that has not rung; letting go of it takes it back.
+  /// A timer that has not fired yet. Destroying or overwriting it cancels it. Must not outlive its reactor.
   class Timer {
    public:
     Timer() = default;
     Timer(Timer&& other) noexcept { *this = std::move(other); }
-    Timer& operator=(Timer&& other) noexcept {
-      cancel();
-      reactor_ = std::exchange(other.reactor_, nullptr);
-      key_ = other.key_;
-      return *this;
-    }
+    Timer& operator=(Timer&& other) noexcept;
+    Timer(const Timer&) = delete;
+    Timer& operator=(const Timer&) = delete;
     ~Timer() { cancel(); }
-    void cancel() {
-      if (auto* reactor = std::exchange(reactor_, nullptr)) reactor->timers_.erase(key_);
-    }
+    /// Has no effect once the timer has fired.
+    void cancel();
 
    private:
     friend class Reactor;
+    /// The due time, and a number that tells timers of one due time apart.
     using Key = std::pair<Clock::time_point, std::uint64_t>;
     Timer(Reactor* reactor, Key key) : reactor_(reactor), key_(key) {}
     Reactor* reactor_ = nullptr;
     Key key_{};
   };
 
-  [[nodiscard]] Timer after(Wait wait, std::function<void()> ring);
-  void atTurnEnd(std::function<void()> hear) { hear_ = std::move(hear); }
-  // Calls once at the end of this turn, after the hearer: for connections with something to send.
-  void flushAtIterationEnd(std::function<void()> flush) { flushes_.push_back(std::move(flush)); }
-  // Keeps a handler alive until nothing of this turn can call it any more.
-  void retire(std::shared_ptr<void> handler) { retired_.push_back(std::move(handler)); }
-  // Lets go of what was retired, once no turn is under way.
+  /// Calls `callback` once, at the end of the first iteration after `wait`, at the earliest in the next
+  /// iteration where it is set from a timer's callback.
+  [[nodiscard]] Timer after(Wait wait, std::function<void()> callback);
+  /// `handler` is called at the end of every iteration; replaces the one before, an empty one removes it.
+  void setIterationEndHandler(std::function<void()> handler) { iterationEndHandler_ = std::move(handler); }
+  /// Calls `flush` once at the end of this iteration, after the handler: for connections with output.
+  void flushAtIterationEnd(std::function<void()> flush) { pendingFlushes_.push_back(std::move(flush)); }
+  /// Keeps an event handler alive until nothing of this iteration can call it any more.
+  void retire(std::shared_ptr<void> eventHandler) { retired_.push_back(std::move(eventHandler)); }
+  /// Destroys what was retired. Only to be called while run() does not execute.
   void releaseRetired() { retired_.clear(); }
-  // The file descriptor of the given signals, which are blocked from now on, becomes a socket of the reactor.
-  void onSignals(std::initializer_list<int> signals, std::function<void(int)> hear);
+  /// Blocks the given signals for the process; from now on `handler` is called on the reactor's thread for
+  /// each.
+  void onSignals(std::initializer_list<int> signals, std::function<void(int)> handler);
 
  private:
-  class Signals;
+  class SignalSocket;
   void onBusy() override;
   void onTimeout() override;
   void onIdle() override { onTimeout(); }
   void endIteration();
-  void ring();
+  void fireDueTimers();
 
-  std::map<Timer::Key, std::function<void()>> timers_;  // a timer leaves when it rings or is taken back
-  std::uint64_t numbered_ = 0;
-  std::function<void()> hear_;
-  std::vector<std::function<void()>> flushes_;
+  /// A timer leaves when it fires or is cancelled.
+  std::map<Timer::Key, std::function<void()>> timers_;
+  std::uint64_t lastTimerNumber_ = 0;
+  std::function<void()> iterationEndHandler_;
+  std::vector<std::function<void()>> pendingFlushes_;
   std::vector<std::shared_ptr<void>> retired_;
-  std::shared_ptr<Signals> signals_;
+  std::shared_ptr<SignalSocket> signalSocket_;
 };
 
 }  // namespace rainhook::net
--- a/src/peers/downstream_client.cpp
+++ b/src/peers/downstream_client.cpp
@@ -72,7 +72,7 @@
 }
 
 void DownstreamClient::connect(Call& call, RequestId id, const net::Connection::Address& address) {
-  net::Callbacks callbacks;
+  net::ConnectionCallbacks callbacks;
   callbacks.onData = [this, id](std::string_view bytes) { return onData(id, bytes); };
   callbacks.onClosed = [this, id](net::CloseReason reason, const std::string& detail) {
     onConnectionClosed(id, reason, detail);
--- a/src/peers/execution_engine_client.cpp
+++ b/src/peers/execution_engine_client.cpp
@@ -27,7 +27,7 @@
     : reactor_(reactor), pool_(pool), log_(log), listener_(listener), address_(address) {}
 
 void ExecutionEngineClient::connect() {
-  net::Callbacks callbacks;
+  net::ConnectionCallbacks callbacks;
   callbacks.onData = [this](std::string_view bytes) { return onData(bytes); };
   callbacks.onClosed = [this](net::CloseReason, const std::string& detail) { onConnectionLost(detail); };
   isHandshakeDone_ = false;
--- a/src/peers/registry_client.cpp
+++ b/src/peers/registry_client.cpp
@@ -73,8 +73,8 @@
   report.timeoutTimer = reactor_.after(reportTimeout, [this, number] { finishReport(number, "no answer"); });
 }
 
-net::Callbacks RegistryClient::callbacksFor(std::uint64_t number) {
-  net::Callbacks callbacks;
+net::ConnectionCallbacks RegistryClient::callbacksFor(std::uint64_t number) {
+  net::ConnectionCallbacks callbacks;
   callbacks.onData = [this, number](std::string_view bytes) -> std::size_t {
     const auto response = codec::http::readResponse(bytes);
     if (!response) return 0;
--- a/src/peers/registry_client.h
+++ b/src/peers/registry_client.h
@@ -40,7 +40,7 @@
 
   void restart();
   void sendReport();
-  net::Callbacks callbacksFor(std::uint64_t number);
+  net::ConnectionCallbacks callbacksFor(std::uint64_t number);
   net::Reactor::Wait jittered(net::Reactor::Wait wait);
   /// @param failure why the report was not accepted; none where it was.
   void finishReport(std::uint64_t number, const std::optional<std::string>& failure);
--- a/src/peers/request_listener.cpp
+++ b/src/peers/request_listener.cpp
@@ -78,8 +78,8 @@
   connections_.add(id, net::Connection::fromAccepted(reactor_, pool_, socket, callbacksFor(id)));
 }
 
-net::Callbacks RequestListener::callbacksFor(ConnectionId id) {
-  net::Callbacks callbacks;
+net::ConnectionCallbacks RequestListener::callbacksFor(ConnectionId id) {
+  net::ConnectionCallbacks callbacks;
   callbacks.onData = [this, id](std::string_view bytes) { return onData(id, bytes); };
   callbacks.onClosed = [this, id](net::CloseReason reason, const std::string& detail) {
     onConnectionClosed(id, reason, detail);
--- a/src/peers/request_listener.h
+++ b/src/peers/request_listener.h
@@ -80,7 +80,7 @@
   void acceptPending();
   void setAccepting(bool shouldAccept);
   void openConnection(Poco::Net::StreamSocket socket);
-  net::Callbacks callbacksFor(ConnectionId id);
+  net::ConnectionCallbacks callbacksFor(ConnectionId id);
   void onConnectionClosed(ConnectionId id, net::CloseReason reason, const std::string& detail);
   void onConnectionRemoved(const ClientConnection& client) override;
   void sweep();
--- a/src/server/request_server.cpp
+++ b/src/server/request_server.cpp
@@ -58,13 +58,13 @@
 }
 
 RequestServer::~RequestServer() {
-  reactor_.atTurnEnd({});
+  reactor_.setIterationEndHandler({});
   reactor_.releaseRetired();  // its connections hold buffers of our pool
 }
 
 void RequestServer::open() {
   clients_.listen(net::Connection::Address(place_.listen));
-  reactor_.atTurnEnd([this] { endTurn(); });
+  reactor_.setIterationEndHandler([this] { endTurn(); });
   engine_.connect();
   if (list_) list_->setInService(true);
   report();
