--- a/src/codec/http.cpp
+++ b/src/codec/http.cpp
@@ -14,135 +14,183 @@
 constexpr std::string_view lineEnd = "\r\n";
 /// The longest body, and the longest chunk, that is read.
 constexpr std::size_t maxBodyBytes = 16 * 1024;
+constexpr int decimal = 10;
+constexpr int hexadecimal = 16;
 
-std::string lower(std::string_view text) {
+constexpr int firstFinalStatus = 200;
+constexpr int statusNoContent = 204;
+constexpr int statusNotModified = 304;
+
+/// A status line up to its status: "HTTP/1.1 200".
+constexpr std::string_view versionPrefix = "HTTP/1.";
+constexpr std::size_t minorVersionOffset = 7;
+constexpr std::size_t spaceOffset = 8;
+constexpr std::size_t statusOffset = 9;
+constexpr std::size_t statusLength = 3;
+
+std::string toLower(std::string_view text) {
   std::string out(text);
-  std::transform(out.begin(), out.end(), out.begin(), [](unsigned char c) { return std::tolower(c); });
+  std::transform(out.begin(), out.end(), out.begin(), [](unsigned char byte) { return std::tolower(byte); });
   return out;
 }
-std::string_view trimmed(std::string_view text) {
+
+std::string_view trim(std::string_view text) {
   while (!text.empty() && (text.front() == ' ' || text.front() == '\t')) text.remove_prefix(1);
   while (!text.empty() && (text.back() == ' ' || text.back() == '\t')) text.remove_suffix(1);
   return text;
 }
-std::size_t number(std::string_view text, int base, const char* what) {
+
+/// @param what is named by the error.
+std::size_t parseNumber(std::string_view text, int base, std::string_view what) {
   std::size_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base);
   if (text.empty() || error != std::errc{} || end != text.data() + text.size())
-    throw codec::ProtocolError(std::string(what) + " is no number");
+    throw ProtocolError(std::string(what) + " is no number");
   return value;
 }
 
-// Takes lines and counted bytes off the front; nothing where there are not enough.
-class Cutter {
+/// Reads lines and counted bytes from front to back; nothing where there are not enough.
+class ByteReader {
  public:
-  explicit Cutter(std::string_view bytes) : all_(bytes) {}
-  std::size_t used() const { return at_; }
-  std::optional<std::string_view> line() {
-    const auto end = all_.find(lineEnd, at_);
+  explicit ByteReader(std::string_view bytes) : bytes_(bytes) {}
+
+  [[nodiscard]] std::size_t position() const { return position_; }
+
+  /// @return the line without its end.
+  std::optional<std::string_view> readLine() {
+    const auto end = bytes_.find(lineEnd, position_);
     if (end == std::string_view::npos) return std::nullopt;
-    const auto line = all_.substr(at_, end - at_);
-    at_ = end + lineEnd.size();
+    const auto line = bytes_.substr(position_, end - position_);
+    position_ = end + lineEnd.size();
     return line;
   }
-  std::optional<std::string_view> bytes(std::size_t count) {
-    if (all_.size() - at_ < count) return std::nullopt;
-    const auto taken = all_.substr(at_, count);
-    at_ += count;
+
+  std::optional<std::string_view> readBytes(std::size_t count) {
+    if (bytes_.size() - position_ < count) return std::nullopt;
+    const auto taken = bytes_.substr(position_, count);
+    position_ += count;
     return taken;
   }
 
  private:
-  std::string_view all_;
-  std::size_t at_ = 0;
+  std::string_view bytes_;
+  std::size_t position_ = 0;
 };
 
-// The body in chunks; false while it is not whole.
-bool readChunks(Cutter& in, std::string& body) {
+/// @return false while the trailers are not whole.
+bool skipTrailers(ByteReader& in) {
   for (;;) {
-    const auto head = in.line();
+    const auto line = in.readLine();
+    if (!line) return false;
+    if (line->empty()) return true;
+  }
+}
+
+/// @return false while the body is not whole.
+bool readChunkedBody(ByteReader& in, std::string& body) {
+  for (;;) {
+    const auto head = in.readLine();
     if (!head) return false;
-    const auto size = number(trimmed(head->substr(0, head->find(';'))), 16, "a chunk's size");
-    if (size > maxBodyBytes) throw codec::ProtocolError("a chunk is too long");
-    if (size == 0) break;
-    const auto chunk = in.bytes(size);
+    const auto size = parseNumber(trim(head->substr(0, head->find(';'))), hexadecimal, "a chunk's size");
+    if (size > maxBodyBytes) throw ProtocolError("a chunk is too long");
+    if (size == 0) return skipTrailers(in);
+    const auto chunk = in.readBytes(size);
     if (!chunk) return false;
     body.append(*chunk);
-    const auto end = in.line();
+    const auto end = in.readLine();
     if (!end) return false;
-    if (!end->empty()) throw codec::ProtocolError("a chunk runs on");
-  }
-  for (;;) {  // trailers
-    const auto line = in.line();
-    if (!line) return false;
-    if (line->empty()) return true;
+    if (!end->empty()) throw ProtocolError("a chunk is longer than its size");
   }
 }
 
-bool readHead(Cutter& in, Response& out) {
-  const auto first = in.line();
-  if (!first) return false;
-  if (first->size() < 12 || !first->starts_with("HTTP/1.") || (*first)[8] != ' ')
-    throw codec::ProtocolError("no HTTP/1.x response");
-  out.status = static_cast<int>(number(first->substr(9, 3), 10, "the status"));
-  out.keeps = (*first)[7] != '0';
+/// @return false while the body is not whole.
+bool readCountedBody(ByteReader& in, std::string_view contentLength, std::string& body) {
+  const auto length = parseNumber(contentLength, decimal, "the content's length");
+  if (length > maxBodyBytes) throw ProtocolError("the content is too long");
+  const auto bytes = in.readBytes(length);
+  if (!bytes) return false;
+  body = *bytes;
+  return true;
+}
+
+void readStatusLine(std::string_view line, Response& response) {
+  if (line.size() < statusOffset + statusLength || !line.starts_with(versionPrefix) ||
+      line[spaceOffset] != ' ')
+    throw ProtocolError("no HTTP/1.x response");
+  response.status =
+      static_cast<int>(parseNumber(line.substr(statusOffset, statusLength), decimal, "the status"));
+  response.isKeepAlive = line[minorVersionOffset] != '0';
+}
+
+void readHeader(std::string_view line, Response& response) {
+  const auto colon = line.find(':');
+  if (colon == std::string_view::npos) throw ProtocolError("a header without a colon");
+  const std::string value(trim(line.substr(colon + 1)));
+  const auto [header, isNew] = response.headers.try_emplace(toLower(line.substr(0, colon)), value);
+  if (!isNew && header->first == "content-length" && header->second != value)
+    throw ProtocolError("two different content lengths");
+}
+
+/// @return false while the status line and the headers are not whole.
+bool readHead(ByteReader& in, Response& response) {
+  const auto statusLine = in.readLine();
+  if (!statusLine) return false;
+  readStatusLine(*statusLine, response);
   for (;;) {
-    const auto line = in.line();
+    const auto line = in.readLine();
     if (!line) return false;
     if (line->empty()) break;
-    const auto colon = line->find(':');
-    if (colon == std::string_view::npos) throw codec::ProtocolError("a header without a colon");
-    const std::string value(trimmed(line->substr(colon + 1)));
-    const auto [header, isNew] = out.headers.try_emplace(lower(line->substr(0, colon)), value);
-    if (!isNew && header->first == "content-length" && header->second != value)
-      throw codec::ProtocolError("two different lengths of the content");
+    readHeader(*line, response);
   }
-  if (out.headers.contains("content-length") && out.headers.contains("transfer-encoding"))
-    throw codec::ProtocolError("a length of the content beside chunks");
-  if (const auto connection = lower(out.header("connection")); connection.find("close") != std::string::npos)
-    out.keeps = false;
+  if (response.headers.contains("content-length") && response.headers.contains("transfer-encoding"))
+    throw ProtocolError("a content length beside a transfer encoding");
+  if (toLower(response.header("connection")).find("close") != std::string::npos) response.isKeepAlive = false;
   return true;
 }
 
+/// @return false while the body is not whole.
+bool readBody(ByteReader& in, Response& response) {
+  if (response.status == statusNoContent || response.status == statusNotModified) return true;
+  if (toLower(response.header("transfer-encoding")).find("chunked") != std::string::npos)
+    return readChunkedBody(in, response.body);
+  const auto contentLength = response.header("content-length");
+  if (contentLength.empty()) throw ProtocolError("the content's length is not stated");
+  return readCountedBody(in, contentLength, response.body);
+}
+
+/// RFC 3986, 2.3.
+bool isUnreserved(unsigned char byte) {
+  constexpr unsigned char firstNonAscii = 128;
+  constexpr std::string_view unreservedMarks = "-._~";
+  if (byte >= firstNonAscii) return false;
+  return std::isalnum(byte) != 0 || unreservedMarks.find(static_cast<char>(byte)) != std::string_view::npos;
+}
+
 }  // namespace
 
 std::optional<Response> readResponse(std::string_view bytes) {
-  Cutter in(bytes);
-  Response out;
+  ByteReader in(bytes);
+  Response response;
   do {
-    out = {};
-    if (!readHead(in, out)) return std::nullopt;
-  } while (out.status < 200);
-  if (out.status == 204 || out.status == 304) {
-    // no body
-  } else if (lower(out.header("transfer-encoding")).find("chunked") != std::string::npos) {
-    if (!readChunks(in, out.body)) return std::nullopt;
-  } else if (const auto length = out.header("content-length"); !length.empty()) {
-    const auto count = number(length, 10, "the content's length");
-    if (count > maxBodyBytes) throw codec::ProtocolError("the content is too long");
-    const auto body = in.bytes(count);
-    if (!body) return std::nullopt;
-    out.body = *body;
-  } else {
-    throw codec::ProtocolError("the content's length is not stated");
-  }
-  out.size = in.used();
-  return out;
+    response = {};
+    if (!readHead(in, response)) return std::nullopt;
+  } while (response.status < firstFinalStatus);
+  if (!readBody(in, response)) return std::nullopt;
+  response.size = in.position();
+  return response;
 }
 
-std::string segment(std::string_view text) {
+std::string encodePathSegment(std::string_view text) {
   std::string out;
-  for (const char c : text) {
-    const auto byte = static_cast<unsigned char>(c);
-    const bool plain =
-        byte < 128 && (std::isalnum(byte) || std::string_view("-._~").find(c) != std::string_view::npos);
-    out += plain ? std::string(1, c) : fmt::format("%{:02X}", byte);
+  for (const char character : text) {
+    const auto byte = static_cast<unsigned char>(character);
+    out += isUnreserved(byte) ? std::string(1, character) : fmt::format("%{:02X}", byte);
   }
   return out;
 }
 
-std::string request(std::string_view method, std::string_view path, std::string_view host,
-                    const Headers& headers, std::string_view body) {
+std::string encodeRequest(std::string_view method, std::string_view path, std::string_view host,
+                          const Headers& headers, std::string_view body) {
   std::string out = fmt::format("{} {} HTTP/1.1\r\nHost: {}\r\n", method, path, host);
   for (const auto& [name, value] : headers) out += fmt::format("{}: {}\r\n", name, value);
   out += fmt::format("Content-Length: {}\r\n\r\n", body.size());
--- a/src/codec/http.h
+++ b/src/codec/http.h
@@ -1,6 +1,8 @@
-// HTTP/1.1 as a client speaks it: one response from the bytes so far, and the text of a request.
+/// @file
+/// HTTP/1.1 (RFC 9112) as a client speaks it: bytes to responses, requests to bytes. Pure.
 #pragma once
 
+#include <cstddef>
 #include <map>
 #include <optional>
 #include <string>
@@ -10,27 +12,37 @@
 
 namespace rainhook::codec::http {
 
+/// A whole response.
 struct Response {
   int status = 0;
-  std::map<std::string, std::string> headers;  // names in lower case
+  /// By name in lower case.
+  std::map<std::string, std::string> headers;
   std::string body;
-  bool keeps = true;     // the connection may serve another request
-  std::size_t size = 0;  // bytes of the whole response
-  std::string_view header(const std::string& name) const {
+  /// Whether the connection may serve another request.
+  bool isKeepAlive = true;
+  /// Bytes of the response in the input, interim responses before it included.
+  std::size_t size = 0;
+
+  /// @param name in lower case. @return empty where there is no such header.
+  [[nodiscard]] std::string_view header(const std::string& name) const {
     const auto it = headers.find(name);
     return it == headers.end() ? std::string_view{} : it->second;
   }
 };
 
-// Nothing while the response is not whole; interim (1xx) responses are passed over. A body must state its
-// length or come in chunks, since one that ends with its connection can't be told from one cut short. Throws
-// ProtocolError.
-std::optional<Response> readResponse(std::string_view bytes);
+/// Reads the first response; interim (1xx) responses are skipped. A body must state its length or come in
+/// chunks, since one that ends with its connection can't be told from one that was cut short.
+/// @return nothing while the response is not whole.
+/// @throws ProtocolError where the bytes are no such response, or a body or chunk is longer than 16 KiB.
+[[nodiscard]] std::optional<Response> readResponse(std::string_view bytes);
 
+/// Names with their values, in the order in which they are written.
 using Headers = std::vector<std::pair<std::string_view, std::string>>;
-// One segment of a path, percent-encoded (RFC 3986, 2.3).
-std::string segment(std::string_view text);
-std::string request(std::string_view method, std::string_view path, std::string_view host,
-                    const Headers& headers, std::string_view body);
+
+/// One segment of a path, percent-encoded (RFC 3986, 2.3).
+std::string encodePathSegment(std::string_view text);
+/// @param path already encoded.
+std::string encodeRequest(std::string_view method, std::string_view path, std::string_view host,
+                          const Headers& headers, std::string_view body);
 
 }  // namespace rainhook::codec::http
--- a/src/codec/json_lines.h
+++ b/src/codec/json_lines.h
@@ -1,6 +1,8 @@
-// JSON lines: one object a line, and bytes carried in base64.
+/// @file
+/// JSON lines: one object a line, with bytes carried in base64. Pure.
 #pragma once
 
+#include <cstddef>
 #include <nlohmann/json.hpp>
 #include <optional>
 #include <string>
@@ -8,16 +10,21 @@
 
 namespace rainhook::codec::jsonLines {
 
+/// The first line of some bytes.
 struct Line {
   nlohmann::json object;
-  std::size_t size = 0;  // with its end
+  /// Bytes of the line, its end included.
+  std::size_t size = 0;
 };
 
-// Nothing while the line is not whole. Throws ProtocolError where it holds no object.
-std::optional<Line> readLine(std::string_view bytes);
+/// @return nothing while the line is not whole.
+/// @throws ProtocolError where it holds no JSON object.
+[[nodiscard]] std::optional<Line> readLine(std::string_view bytes);
+/// The object as one line with its end, all ASCII; invalid UTF-8 is replaced.
 std::string writeLine(const nlohmann::json& object);
 
 std::string toBase64(std::string_view bytes);
+/// @throws ProtocolError where the text is no base64.
 std::string fromBase64(const std::string& text);
 
 }  // namespace rainhook::codec::jsonLines
--- a/src/codec/thrift.h
+++ b/src/codec/thrift.h
@@ -1,6 +1,8 @@
-// Framed Thrift in its strict binary protocol: bytes in, message or error out. Knows no service.
+/// @file
+/// Framed Thrift in its strict binary protocol: bytes to values and back. Pure; knows no service.
 #pragma once
 
+#include <cstddef>
 #include <cstdint>
 #include <functional>
 #include <map>
@@ -10,7 +12,10 @@
 
 namespace rainhook::codec::thrift {
 
+/// The kinds of messages, with their numbers in the protocol.
 enum class Kind : std::uint8_t { call = 1, reply = 2, exception = 3, oneway = 4 };
+
+/// The types of values, with their numbers in the protocol; `stop` ends a struct.
 enum class Type : std::uint8_t {
   stop = 0,
   boolean = 2,
@@ -25,44 +30,64 @@
   set = 14,
   list = 15
 };
+
+/// A map from strings to strings.
 using Fields = std::map<std::string, std::string>;
 
+/// Reads values one after another from bytes that must outlive it. Every function throws ProtocolError where
+/// the bytes end before the value does, or can't be such a value.
 class Reader {
  public:
   explicit Reader(std::string_view bytes) : rest_(bytes) {}
 
   std::uint8_t byte();
   std::int32_t i32();
+  /// Points into the bytes that are read.
   std::string_view text();
   Fields fields();
+  /// Reads a struct up to its end. `readField` gets the number and the type of each field: it reads the value
+  /// and returns true, or reads nothing and returns false; the value is skipped then.
+  void readStruct(const std::function<bool(std::int16_t, Type, Reader&)>& readField);
+  /// @param depth how deeply the value is nested; beyond 16 it is refused.
   void skip(Type type, int depth = 0);
-  // Hands each field to `take`; one that it does not take is skipped.
-  void structure(const std::function<bool(std::int16_t, Type, Reader&)>& take);
-  bool atEnd() const { return rest_.empty(); }
+  [[nodiscard]] bool atEnd() const { return rest_.empty(); }
+  /// The bytes that were not read yet.
+  [[nodiscard]] std::string_view rest() const { return rest_; }
 
  private:
   std::string_view bytes(std::size_t count);
   template <typename T>
   T number();
+
   std::string_view rest_;
 };
 
+/// A message's head, and where its content lies.
 struct Message {
   Kind kind{};
   std::string name;
   std::int32_t sequence = 0;
-  std::string_view body;  // the struct that follows, within the bytes read
+  /// The struct that follows the head; points into the bytes that were read.
+  std::string_view body;
 };
 
-// The first whole frame's content and its size with the length before it; nothing while it is not whole.
+/// A frame without the length before it.
 struct Frame {
+  /// Points into the bytes that were read.
   std::string_view content;
+  /// Bytes of the content and the length before it.
   std::size_t size = 0;
 };
-std::optional<Frame> readFrame(std::string_view bytes, std::size_t longest);
-Message readMessage(std::string_view content);
 
-// Writes one framed message; the struct's fields are given one after another, then whole() ends it.
+/// @return the first frame; nothing while it is not whole.
+/// @throws ProtocolError where its length is negative or above `maxContentBytes`.
+[[nodiscard]] std::optional<Frame> readFrame(std::string_view bytes, std::size_t maxContentBytes);
+
+/// @throws ProtocolError where the content of a frame does not begin with a message's head.
+[[nodiscard]] Message readMessage(std::string_view content);
+
+/// Writes one framed message: the fields of its struct one after another, each by field() and its value, then
+/// stop() and finish().
 class Writer {
  public:
   Writer(Kind kind, std::string_view name, std::int32_t sequence);
@@ -72,12 +97,15 @@
   Writer& boolean(bool value);
   Writer& i32(std::int32_t value);
   Writer& fields(const Fields& fields);
+  /// Ends a struct.
   Writer& stop();
-  std::string whole();
+  /// Writes the frame's length and gives the bytes away; the writer is not to be used any more.
+  std::string finish();
 
  private:
   template <typename T>
   void number(T value);
+
   std::string out_;
 };
 
--- a/src/peers/downstream_client.cpp
+++ b/src/peers/downstream_client.cpp
@@ -36,9 +36,9 @@
                        Duration timeout, std::string_view body) {
   const auto timeoutMs =
       std::max<std::int64_t>(1, std::chrono::floor<std::chrono::milliseconds>(timeout).count());
-  return codec::http::request("POST", callPath, address.toString(),
-                              {{requestNameHeader, requestName}, {deadlineHeader, std::to_string(timeoutMs)}},
-                              body);
+  return codec::http::encodeRequest(
+      "POST", callPath, address.toString(),
+      {{requestNameHeader, requestName}, {deadlineHeader, std::to_string(timeoutMs)}}, body);
 }
 
 }  // namespace
--- a/src/peers/registry_client.cpp
+++ b/src/peers/registry_client.cpp
@@ -67,9 +67,9 @@
   const auto number = ++lastReportNumber_;
   Report& report = openReports_[number];
   report.connection = net::Connection::connectTo(address_, reactor_, pool_, callbacksFor(number));
-  report.connection->write(
-      codec::http::request("PUT", std::string(reportPathPrefix) + codec::http::segment(serverName_),
-                           address_.toString(), {}, isInService_ ? inServiceBody : outOfServiceBody));
+  report.connection->write(codec::http::encodeRequest(
+      "PUT", std::string(reportPathPrefix) + codec::http::encodePathSegment(serverName_), address_.toString(),
+      {}, isInService_ ? inServiceBody : outOfServiceBody));
   report.timeoutTimer = reactor_.after(reportTimeout, [this, number] { finishReport(number, "no answer"); });
 }
 
--- a/src/peers/request_decoder.cpp
+++ b/src/peers/request_decoder.cpp
@@ -48,7 +48,7 @@
 
 CancelMessage decodeCancel(std::string_view body) {
   CancelMessage out;
-  Reader(body).structure([&](std::int16_t id, Type type, Reader& in) {
+  Reader(body).readStruct([&](std::int16_t id, Type type, Reader& in) {
     if (id != protocol::cancelSequenceNumber || type != Type::i32) return false;
     out.sequenceNumber = in.i32();
     return true;
@@ -65,7 +65,7 @@
   if (message.kind == Kind::call && message.name == protocol::healthMethod) {
     // The client may ask for real work in the check, for which the engine's protocol has no command: both
     // kinds get the same response, so the body is only checked for its form.
-    Reader(message.body).structure([](auto, auto, auto&) { return false; });
+    Reader(message.body).readStruct([](auto, auto, auto&) { return false; });
     return HealthCheckMessage{message.sequence};
   }
   if (message.kind == Kind::oneway && message.name == protocol::cancelMethod)
@@ -146,7 +146,7 @@
     std::string_view body, std::chrono::system_clock::time_point now) const {
   IncomingRequest request;
   codec::thrift::Fields given;
-  Reader(body).structure([&](std::int16_t id, Type type, Reader& in) {
+  Reader(body).readStruct([&](std::int16_t id, Type type, Reader& in) {
     if (id == protocol::callFields && type == Type::map) {
       given = in.fields();
       return true;
--- a/src/peers/response_encoder.cpp
+++ b/src/peers/response_encoder.cpp
@@ -33,7 +33,7 @@
       .boolean(status.isHealthy)
       .stop()
       .stop()
-      .whole();
+      .finish();
 }
 
 /// One of the exceptions that the service declares.
@@ -45,7 +45,7 @@
       .fields(fields)
       .stop()
       .stop()
-      .whole();
+      .finish();
 }
 
 /// Thrift's own exception, which every service may answer with.
@@ -57,7 +57,7 @@
       .field(protocol::applicationExceptionType, Type::i32)
       .i32(type)
       .stop()
-      .whole();
+      .finish();
 }
 
 }  // namespace
@@ -127,6 +127,6 @@
                                     protocol::unknownMethodType);
 }
 
-std::string encodeCloseRequest() { return Writer(Kind::oneway, protocol::closingMethod, 0).stop().whole(); }
+std::string encodeCloseRequest() { return Writer(Kind::oneway, protocol::closingMethod, 0).stop().finish(); }
 
 }  // namespace rainhook::peers
--- a/src/test_doubles/open_loop_client.cpp
+++ b/src/test_doubles/open_loop_client.cpp
@@ -82,7 +82,7 @@
                            .field(2, Type::text)
                            .text("body")
                            .stop()
-                           .whole()))
+                           .finish()))
           broke();
       }
     }
@@ -104,7 +104,7 @@
       Sent& sent = history_[it->second];
       ++sent.answers;
       sent.took = std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - sent.at);
-      codec::thrift::Reader(message.body).structure([&](std::int16_t kind, Type, codec::thrift::Reader&) {
+      codec::thrift::Reader(message.body).readStruct([&](std::int16_t kind, Type, codec::thrift::Reader&) {
         sent.done = message.kind == codec::thrift::Kind::reply && kind == 0;
         return false;
       });
--- a/tests/crossing_test.cpp
+++ b/tests/crossing_test.cpp
@@ -64,8 +64,8 @@
       EXPECT_NE(std::string(fault.what()).find(path), std::string::npos) << fault.what();
     }
   }
-  EXPECT_EQ(codec::http::segment("n3"), "n3");
-  EXPECT_EQ(codec::http::segment("a b/\xc3\xa9?"), "a%20b%2F%C3%A9%3F");
+  EXPECT_EQ(codec::http::encodePathSegment("n3"), "n3");
+  EXPECT_EQ(codec::http::encodePathSegment("a b/\xc3\xa9?"), "a%20b%2F%C3%A9%3F");
 }
 
 // Limits and spans of other deployments are larger than any that was met so far.
@@ -125,7 +125,7 @@
   w.place.memoryMb = 1;  // 128 kB of it for what waits to be sent; with 32 kB a connection is not read on
   w.start();
   using codec::thrift::Kind, codec::thrift::Writer;
-  const auto ask = Writer(Kind::call, "health", 1).stop().whole();  // shorter than its answer
+  const auto ask = Writer(Kind::call, "health", 1).stop().finish();  // shorter than its answer
   std::string asks;
   for (int i = 0; i < 200; ++i) asks += ask;
   struct Deaf {
--- a/tests/fake_peers.h
+++ b/tests/fake_peers.h
@@ -115,7 +115,7 @@
         .field(2, Type::text)
         .text(body)
         .stop()
-        .whole();
+        .finish();
   }
   void ask(std::int32_t number, const codec::thrift::Fields& fields, std::string_view body = "body") {
     say(message(number, fields, body));
@@ -125,7 +125,7 @@
         .field(1, codec::thrift::Type::i32)
         .i32(number)
         .stop()
-        .whole();
+        .finish();
   }
   void cancel(std::int32_t number) { say(cancelling(number)); }
   void health() {
@@ -133,7 +133,7 @@
             .field(1, codec::thrift::Type::boolean)
             .boolean(false)
             .stop()
-            .whole());
+            .finish());
   }
   Answer answer() {
     const auto heard = hear([](std::string_view bytes) -> std::optional<Answer> {
@@ -146,9 +146,9 @@
       if (message.kind == codec::thrift::Kind::exception) out.what = Answer::What::exception;
       if (message.kind != codec::thrift::Kind::reply) return out;
       constexpr Answer::What kinds[] = {Answer::What::done, Answer::What::shed, Answer::What::errored};
-      codec::thrift::Reader(message.body).structure([&](std::int16_t kind, auto, codec::thrift::Reader& in) {
+      codec::thrift::Reader(message.body).readStruct([&](std::int16_t kind, auto, codec::thrift::Reader& in) {
         out.what = kinds[kind];
-        in.structure([&](std::int16_t, codec::thrift::Type type, codec::thrift::Reader& value) {
+        in.readStruct([&](std::int16_t, codec::thrift::Type type, codec::thrift::Reader& value) {
           if (type == codec::thrift::Type::text) return out.body = value.text(), true;
           if (type == codec::thrift::Type::map) return out.fields = value.fields(), true;
           const bool good = value.byte() != 0;
--- a/tests/request_decoder_test.cpp
+++ b/tests/request_decoder_test.cpp
@@ -34,7 +34,7 @@
                        .field(2, Type::text)
                        .text(body)
                        .stop()
-                       .whole());
+                       .finish());
 }
 
 class RequestDecoderTest : public testing::Test {
@@ -126,16 +126,16 @@
 }
 
 TEST(ClientMessageDecoder, TellsTheMessagesApart) {
-  const auto health = contentOf(Writer(Kind::call, "health", 3).stop().whole());
+  const auto health = contentOf(Writer(Kind::call, "health", 3).stop().finish());
   EXPECT_EQ(std::get<HealthCheckMessage>(decodeClientMessage(health)).sequenceNumber, 3);
-  const auto cancel = contentOf(Writer(Kind::oneway, "cancel", 9).field(1, Type::i32).i32(4).stop().whole());
+  const auto cancel = contentOf(Writer(Kind::oneway, "cancel", 9).field(1, Type::i32).i32(4).stop().finish());
   EXPECT_EQ(std::get<CancelMessage>(decodeClientMessage(cancel)).sequenceNumber, 4);
-  const auto unknown = contentOf(Writer(Kind::call, "dance", 6).stop().whole());
+  const auto unknown = contentOf(Writer(Kind::call, "dance", 6).stop().finish());
   EXPECT_EQ(std::get<UnknownMethodMessage>(decodeClientMessage(unknown)).method, "dance");
 }
 
 TEST(ClientMessageDecoder, RejectsMessagesThatOnlyServersSend) {
-  const auto reply = contentOf(Writer(Kind::reply, "call", 3).stop().whole());
+  const auto reply = contentOf(Writer(Kind::reply, "call", 3).stop().finish());
   EXPECT_THROW((void)decodeClientMessage(reply), codec::ProtocolError);
 }
 
--- a/tests/server_test.cpp
+++ b/tests/server_test.cpp
@@ -533,7 +533,7 @@
                                                                        {"prio", "1.0"},
                                                                        {"obj", "zz"}})
     EXPECT_TRUE(refused(field, value)) << field;
-  client.say(codec::thrift::Writer(codec::thrift::Kind::call, "dance", 50).stop().whole());
+  client.say(codec::thrift::Writer(codec::thrift::Kind::call, "dance", 50).stop().finish());
   EXPECT_EQ(client.answer().what, What::exception);
   client.ask(60, Balancer::fields(two), std::string(2049, 'x'));
   EXPECT_EQ(client.answer().what, What::exception);
