--- a/src/commands/members_command.cpp
+++ b/src/commands/members_command.cpp
@@ -165,7 +165,7 @@
   const auto place = placeIn(given);
   const auto own = options::readOptionsFile(given["options"].as<std::string>());
   signal(SIGPIPE, SIG_IGN);
-  logging::Log log(own.log && own.log->json ? logging::Log::Form::json : logging::Log::Form::text,
+  logging::Log log(own.log && own.log->json ? logging::Log::Format::json : logging::Log::Format::text,
                    place.name.text);
   net::Reactor reactor;
   net::BufferPool pool;
--- a/src/commands/serve_command.cpp
+++ b/src/commands/serve_command.cpp
@@ -55,7 +55,7 @@
   });
   const auto own = options::readOptionsFile(given["options"].as<std::string>());
   const auto configured = readConfigurationFile(file);
-  logging::Log log(own.log && own.log->json ? logging::Log::Form::json : logging::Log::Form::text,
+  logging::Log log(own.log && own.log->json ? logging::Log::Format::json : logging::Log::Format::text,
                    configured.endpoints.name);
   for (const auto& line : options::switchedOn(own)) log.message(logging::LogCategory::start, "{}", line);
   server.emplace(reactor, log, configured);
--- a/src/logging/log.cpp
+++ b/src/logging/log.cpp
@@ -11,19 +11,36 @@
 namespace rainhook::logging {
 namespace {
 
-constexpr const char* matters[] = {"start", "drain", "engine", "servers", "list", "clients", "membership"};
-// Of membership a fleet's worth at once, since its lines are changes of state, bounded where they are
-// decided.
-constexpr int linesASecond[] = {5, 5, 5, 5, 5, 5, 200};
+/// A category's name in the JSON format, and how many lines it may write in a second.
+struct CategoryProperties {
+  std::string_view name;
+  int maxLinesPerSecond = 5;
+};
+
+/// By LogCategory. Membership may write a whole fleet's changes at once: they are bounded where they are
+/// decided.
+constexpr std::array<CategoryProperties, static_cast<std::size_t>(LogCategory::count)> categories{{
+    {"start"},
+    {"drain"},
+    {"engine"},
+    {"downstream"},
+    {"registry"},
+    {"listener"},
+    {"membership", 200},
+}};
 
-// Standard error, as long as whoever reads it takes more.
-class Waitless final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
+const CategoryProperties& propertiesOf(LogCategory category) {
+  return categories[static_cast<std::size_t>(category)];
+}
+
+/// Writes to standard error as long as it takes more without waiting.
+class NonBlockingStderrSink final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  private:
   void sink_it_(const spdlog::details::log_msg& message) override {
     spdlog::memory_buf_t text;
     formatter_->format(message, text);
-    pollfd out{STDERR_FILENO, POLLOUT, 0};
-    if (::poll(&out, 1, 0) != 1 || (out.revents & POLLOUT) == 0) return;
+    pollfd standardError{STDERR_FILENO, POLLOUT, 0};
+    if (::poll(&standardError, 1, 0) != 1 || (standardError.revents & POLLOUT) == 0) return;
     [[maybe_unused]] const auto written = ::write(STDERR_FILENO, text.data(), text.size());
   }
   void flush_() override {}
@@ -31,50 +48,62 @@
 
 }  // namespace
 
-Log::Log(Form form, std::string who)
-    : form_(form),
-      who_(std::move(who)),
-      logger_(std::make_unique<spdlog::logger>("rainhook", std::make_shared<Waitless>())) {
+Log::Log(Format format, std::string instance)
+    : format_(format),
+      instance_(std::move(instance)),
+      logger_(std::make_unique<spdlog::logger>("rainhook", std::make_shared<NonBlockingStderrSink>())) {
   logger_->set_formatter(std::make_unique<spdlog::pattern_formatter>(
-      form == Form::text ? "%H:%M:%S.%e %v" : "%v", spdlog::pattern_time_type::utc));
+      format == Format::text ? "%H:%M:%S.%e %v" : "%v", spdlog::pattern_time_type::utc));
 }
 
 Log::~Log() = default;
 
-bool Log::mayWrite(LogCategory matter) {
-  const auto of = static_cast<std::size_t>(matter);
-  Allowance& allowance = allowances_[of];
+bool Log::admit(LogCategory category) {
+  RateWindow& window = windows_[static_cast<std::size_t>(category)];
   const auto now = Clock::now();
-  if (now - allowance.since >= std::chrono::seconds(1)) {
-    if (allowance.left > 0)
-      write(matter, "left out", fmt::format("{} more lines of this kind were left out", allowance.left), {});
-    allowance = {now, 0, 0};
+  if (now - window.since >= std::chrono::seconds(1)) {
+    if (window.suppressed > 0)
+      write(category, "suppressed",
+            fmt::format("{} more messages of this category were suppressed", window.suppressed), {});
+    window = {now, 0, 0};
   }
-  if (++allowance.lines <= linesASecond[of]) return true;
-  ++allowance.left;
+  if (++window.written <= propertiesOf(category).maxLinesPerSecond) return true;
+  ++window.suppressed;
   return false;
 }
 
-void Log::write(LogCategory matter, std::string_view event, const std::string& text,
+void Log::write(LogCategory category, std::string_view event, const std::string& text,
                 std::initializer_list<Field> fields) {
-  if (form_ == Form::json) {
-    const auto wall = std::chrono::system_clock::now().time_since_epoch();
-    nlohmann::ordered_json line{
-        {"time_ms", std::chrono::duration_cast<std::chrono::milliseconds>(wall).count()},
-        {"steady_ns", std::chrono::nanoseconds(Clock::now().time_since_epoch()).count()},
-        {"who", who_},
-        {"matter", matters[static_cast<std::size_t>(matter)]},
-        {"event", event}};
-    if (!text.empty()) line["text"] = text;
-    for (const auto& field : fields)
-      std::visit([&](const auto& value) { line[std::string(field.name)] = value; }, field.value);
-    return logger_->info("{}", line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
+  if (format_ == Format::json)
+    writeJson(category, event, text, fields);
+  else
+    writeText(event, text, fields);
+}
+
+void Log::writeJson(LogCategory category, std::string_view event, const std::string& text,
+                    std::initializer_list<Field> fields) {
+  const auto sinceEpoch = std::chrono::system_clock::now().time_since_epoch();
+  nlohmann::ordered_json line{
+      {"time_ms", std::chrono::duration_cast<std::chrono::milliseconds>(sinceEpoch).count()},
+      {"steady_ns", std::chrono::nanoseconds(Clock::now().time_since_epoch()).count()},
+      {"instance", instance_},
+      {"category", propertiesOf(category).name},
+      {"event", event}};
+  if (!text.empty()) line["text"] = text;
+  for (const auto& field : fields)
+    std::visit([&](const auto& value) { line[std::string(field.name)] = value; }, field.value);
+  logger_->info("{}", line.dump(-1, ' ', false, nlohmann::json::error_handler_t::replace));
+}
+
+void Log::writeText(std::string_view event, const std::string& text, std::initializer_list<Field> fields) {
+  if (!text.empty()) {
+    logger_->info("{}", text);
+    return;
   }
-  if (!text.empty()) return logger_->info("{}", text);
-  std::string out(event);
+  std::string line(event);
   for (const auto& field : fields)
-    std::visit([&](const auto& value) { out += fmt::format(" {}={}", field.name, value); }, field.value);
-  logger_->info("{}", out);
+    std::visit([&](const auto& value) { line += fmt::format(" {}={}", field.name, value); }, field.value);
+  logger_->info("{}", line);
 }
 
 }  // namespace rainhook::logging
--- a/src/peers/client_connections.cpp
+++ b/src/peers/client_connections.cpp
@@ -148,7 +148,7 @@
         });
     const std::size_t backlogBytes = slowest->second.connection->pendingBytes();
     pendingBytes -= backlogBytes;
-    log_.message(logging::LogCategory::clients,
+    log_.message(logging::LogCategory::listener,
                  "connection closed: the client does not read, {} bytes of output pending", backlogBytes);
     remove(slowest->first);
   }
--- a/src/peers/downstream_client.cpp
+++ b/src/peers/downstream_client.cpp
@@ -60,7 +60,7 @@
   call.startedAt = net::Reactor::Clock::now();
   const bool isFull = openCalls() > maxOpenCalls_;
   if (isFull)
-    log_.message(logging::LogCategory::servers, "all {} downstream connections in use: call not made",
+    log_.message(logging::LogCategory::downstream, "all {} downstream connections in use: call not made",
                  maxOpenCalls_);
   if (!address_ || isFull) {
     call.timeoutTimer = reactor_.after(0s, [this, id] { finish(id, Outcome::unreachable, {}); });
@@ -99,7 +99,7 @@
   if (it == calls_.end()) return;
   // A call of which nothing was sent has surely not been executed; any other loss proves nothing.
   const bool wasNeverSent = reason == net::CloseReason::unreachable || !it->second.connection->hasSentData();
-  log_.message(logging::LogCategory::servers, "downstream call {}: {}",
+  log_.message(logging::LogCategory::downstream, "downstream call {}: {}",
                wasNeverSent ? "found the service unreachable" : "lost its connection", detail);
   finish(id, wasNeverSent ? Outcome::unreachable : Outcome::connectionLost, {});
 }
--- a/src/peers/registry_client.cpp
+++ b/src/peers/registry_client.cpp
@@ -102,8 +102,9 @@
   it->second.connection->close();
   openReports_.erase(it);
   if (failure && isReachable_)
-    log_.message(logging::LogCategory::list, "registry did not accept a report: {}", *failure);
-  if (!failure && !isReachable_) log_.message(logging::LogCategory::list, "registry accepts reports again");
+    log_.message(logging::LogCategory::registry, "registry did not accept a report: {}", *failure);
+  if (!failure && !isReachable_)
+    log_.message(logging::LogCategory::registry, "registry accepts reports again");
   isReachable_ = !failure;
   isAcknowledged_ = isAcknowledged_ || !failure;
   // A failed report is repeated soon; one that was never answered may have been accepted, and the next is on
--- a/src/peers/request_listener.cpp
+++ b/src/peers/request_listener.cpp
@@ -58,14 +58,14 @@
     for (int i = 0; i < maxAcceptsPerIteration; ++i) {
       if (!serverSocket_.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ)) return;
       if (connections_.isFull() && !connections_.evictIdle()) {
-        log_.message(logging::LogCategory::clients, "{} connections open, none idle: accepting is paused",
+        log_.message(logging::LogCategory::listener, "{} connections open, none idle: accepting is paused",
                      connections_.size());
         return setAccepting(false);
       }
       openConnection(serverSocket_.acceptConnection());
     }
   } catch (const Poco::Exception& error) {
-    log_.message(logging::LogCategory::clients, "cannot accept a connection: {}", error.displayText());
+    log_.message(logging::LogCategory::listener, "cannot accept a connection: {}", error.displayText());
     if (!connections_.evictIdle()) setAccepting(false);
   }
 }
@@ -92,7 +92,7 @@
 void RequestListener::onConnectionClosed(ConnectionId id, net::CloseReason reason,
                                          const std::string& detail) {
   if (reason == net::CloseReason::protocolError && connections_.find(id))
-    log_.message(logging::LogCategory::clients, "connection closed: {}", detail);
+    log_.message(logging::LogCategory::listener, "connection closed: {}", detail);
   connections_.remove(id);
 }
 
@@ -125,7 +125,7 @@
     return handleFrame(id, bytes);
   } catch (const codec::ProtocolError& error) {
     // Requests that came whole before it are still answered; the rest of what the client sends is discarded.
-    log_.message(logging::LogCategory::clients, "connection closed: {}", error.what());
+    log_.message(logging::LogCategory::listener, "connection closed: {}", error.what());
     ClientConnection& client = connections_.at(id);
     client.hasViolatedProtocol = true;
     client.partialMessageSince.reset();
@@ -197,7 +197,7 @@
 
 void RequestListener::rejectInvalid(ConnectionId id, std::int32_t sequenceNumber,
                                     const InvalidRequest& fault) {
-  log_.message(logging::LogCategory::clients, "invalid request rejected: {}", describe(fault));
+  log_.message(logging::LogCategory::listener, "invalid request rejected: {}", describe(fault));
   connections_.at(id).connection->write(encodeInvalidRequest(sequenceNumber, fault));
 }
 
--- a/src/server/request_server.cpp
+++ b/src/server/request_server.cpp
@@ -142,11 +142,11 @@
 // News of the peers.
 peers::AdmitResult RequestServer::onRequest(peers::IncomingRequest&& req) {
   if (table_.size() >= megabytes(place_.memoryMb) / 4 / inHandBytes) {
-    log_.message(logging::LogCategory::clients, "{} reqs in hand: no more are taken", table_.size());
+    log_.message(logging::LogCategory::listener, "{} reqs in hand: no more are taken", table_.size());
     return peers::FailureReason::tooManyInFlight;
   }
   if (table_.named(req.name)) {
-    log_.message(logging::LogCategory::clients, "a req whose name is in hand already: {}", req.name);
+    log_.message(logging::LogCategory::listener, "a req whose name is in hand already: {}", req.name);
     return peers::FailureReason::duplicateName;
   }
   const RequestId id{++reqs_};
@@ -156,7 +156,7 @@
         marks_.firstOf(*key, DeduplicationCache::contentOf(req), id, req.readAt - req.readDelay, req.readAt,
                        facts_.resultSharing.sharingDuration);
     if (known.conflicts) {
-      log_.message(logging::LogCategory::clients, "a repeat whose first had another content: {}", req.name);
+      log_.message(logging::LogCategory::listener, "a repeat whose first had another content: {}", req.name);
       return peers::FailureReason::conflictingPayload;
     }
     repeats = known.first;
