--- a/src/codec/http.h
+++ b/src/codec/http.h
@@ -14,16 +14,18 @@
 
 /// A whole response.
 struct Response {
+  /// From 200 on.
   int status = 0;
   /// By name in lower case.
   std::map<std::string, std::string> headers;
+  /// Without chunk sizes or trailers.
   std::string body;
   /// Whether the connection may serve another request.
   bool isKeepAlive = true;
   /// Bytes of the response in the input, interim responses before it included.
   std::size_t size = 0;
 
-  /// @param name in lower case. @return empty where there is no such header.
+  /// The value of a header, its name in lower case; empty where there is no such header.
   [[nodiscard]] std::string_view header(const std::string& name) const {
     const auto it = headers.find(name);
     return it == headers.end() ? std::string_view{} : it->second;
@@ -41,7 +43,7 @@
 
 /// One segment of a path, percent-encoded (RFC 3986, 2.3).
 std::string encodePathSegment(std::string_view text);
-/// @param path already encoded.
+/// A request with a `Host` and a `Content-Length` beside the given headers. The path must be encoded already.
 std::string encodeRequest(std::string_view method, std::string_view path, std::string_view host,
                           const Headers& headers, std::string_view body);
 
--- a/src/codec/thrift.h
+++ b/src/codec/thrift.h
@@ -38,18 +38,23 @@
 /// the bytes end before the value does, or can't be such a value.
 class Reader {
  public:
+  /// Reads `bytes` from their beginning.
   explicit Reader(std::string_view bytes) : rest_(bytes) {}
 
+  /// Reads one byte.
   std::uint8_t byte();
+  /// Reads a signed number of 32 bits.
   std::int32_t i32();
-  /// Points into the bytes that are read.
+  /// Reads a string. Points into the bytes that are read.
   std::string_view text();
+  /// Reads a map from strings to strings; of a key that comes twice, the last value counts.
   Fields fields();
   /// Reads a struct up to its end. `readField` gets the number and the type of each field: it reads the value
   /// and returns true, or reads nothing and returns false; the value is skipped then.
   void readStruct(const std::function<bool(std::int16_t, Type, Reader&)>& readField);
-  /// @param depth how deeply the value is nested; beyond 16 it is refused.
+  /// Skips a value of the given type. `depth` is how deeply it is nested; beyond 16 it is refused.
   void skip(Type type, int depth = 0);
+  /// Whether all bytes were read.
   [[nodiscard]] bool atEnd() const { return rest_.empty(); }
   /// The bytes that were not read yet.
   [[nodiscard]] std::string_view rest() const { return rest_; }
@@ -64,8 +69,11 @@
 
 /// A message's head, and where its content lies.
 struct Message {
+  /// What the message is.
   Kind kind{};
+  /// The method.
   std::string name;
+  /// By which a reply names its call.
   std::int32_t sequence = 0;
   /// The struct that follows the head; points into the bytes that were read.
   std::string_view body;
@@ -83,6 +91,7 @@
 /// @throws ProtocolError where its length is negative or above `maxContentBytes`.
 [[nodiscard]] std::optional<Frame> readFrame(std::string_view bytes, std::size_t maxContentBytes);
 
+/// Reads the content of a frame.
 /// @throws ProtocolError where the content of a frame does not begin with a message's head.
 [[nodiscard]] Message readMessage(std::string_view content);
 
@@ -90,12 +99,18 @@
 /// stop() and finish().
 class Writer {
  public:
+  /// Writes the message's head.
   Writer(Kind kind, std::string_view name, std::int32_t sequence);
 
+  /// Begins a field of the struct; its value follows.
   Writer& field(std::int16_t id, Type type);
+  /// Writes a string.
   Writer& text(std::string_view value);
+  /// Writes a truth value.
   Writer& boolean(bool value);
+  /// Writes a signed number of 32 bits.
   Writer& i32(std::int32_t value);
+  /// Writes a map from strings to strings.
   Writer& fields(const Fields& fields);
   /// Ends a struct.
   Writer& stop();
--- a/src/logging/log.h
+++ b/src/logging/log.h
@@ -37,15 +37,18 @@
 /// first. For one thread only.
 class Log {
  public:
+  /// How lines are written: for people, or one JSON object a line.
   enum class Format { text, json };
 
   /// A named value of an event.
   struct Field {
+    /// Its key in the JSON format.
     std::string_view name;
+    /// Written as a JSON value of the same type.
     std::variant<std::string, std::int64_t, double, bool> value;
   };
 
-  /// @param instance stands in every line of the JSON format.
+  /// `instance` stands in every line of the JSON format.
   explicit Log(Format format = Format::text, std::string instance = {});
   ~Log();
   Log(const Log&) = delete;
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -49,6 +49,7 @@
 /// pool must outlive it.
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
+  /// A host's address and a port.
   using Address = Poco::Net::SocketAddress;
 
   /// @throws Poco::Exception where the system refuses to set the socket up; it is closed then.
--- a/src/net/reactor.h
+++ b/src/net/reactor.h
@@ -19,14 +19,19 @@
 /// fire, then the iteration-end handler is called, then connections send what was written to them.
 class Reactor final : public Poco::Net::SocketReactor {
  public:
+  /// The time of all timers.
   using Clock = std::chrono::steady_clock;
+  /// How long a timer waits.
   using Wait = std::chrono::nanoseconds;
 
   /// A timer that has not fired yet. Destroying or overwriting it cancels it. Must not outlive its reactor.
   class Timer {
    public:
+    /// A timer that never fires.
     Timer() = default;
+    /// Takes the other timer over.
     Timer(Timer&& other) noexcept { *this = std::move(other); }
+    /// Cancels this timer and takes the other one over.
     Timer& operator=(Timer&& other) noexcept;
     Timer(const Timer&) = delete;
     Timer& operator=(const Timer&) = delete;
--- a/src/peers/client_connections.h
+++ b/src/peers/client_connections.h
@@ -20,12 +20,16 @@
 
 /// One accepted connection and the requests that are open on it.
 struct ClientConnection {
+  /// A steady time.
   using TimePoint = net::Reactor::Clock::time_point;
 
+  /// Never null.
   std::shared_ptr<net::Connection> connection;
   /// By sequence number. A request leaves when it is answered, cancelled, or the connection ends.
   std::map<std::int32_t, RequestId> openRequests;
+  /// When it was opened, a message came, or a response was given.
   TimePoint lastUsedAt;
+  /// When the client was asked to close it.
   std::optional<TimePoint> closeRequestedAt;
   /// Since when the beginning of a message has been there without its end.
   std::optional<TimePoint> partialMessageSince;
@@ -35,6 +39,7 @@
   std::optional<TimePoint> shutdownAt;
   /// The client has shut down its side, and may still read responses.
   bool isHalfClosed = false;
+  /// Whether a whole message has come from the client.
   bool hasSentMessage = false;
   /// Its open requests are answered; nothing more is read.
   bool hasViolatedProtocol = false;
@@ -58,24 +63,30 @@
     virtual void onConnectionRemoved(const ClientConnection& client) = 0;
   };
 
+  /// What all connections together may use.
   struct Limits {
+    /// Open at once.
     std::size_t connections = 0;
     /// Bytes that wait to be sent, over all connections.
     std::size_t pendingOutputBytes = 0;
   };
 
-  /// @param longestClientTimeout no message may take much longer than this to arrive, since nobody waits for
-  /// it any more; none where no handler is known.
+  /// No message may take much longer to arrive than `longestClientTimeout`, since nobody waits for it any
+  /// more; none where no handler is known. The log and the listener must outlive the connections.
   ClientConnections(logging::Log& log, Listener& listener, Limits limits,
                     std::optional<Duration> longestClientTimeout);
 
+  /// Adds a connection that was just accepted; its id must be new.
   void add(ConnectionId id, std::shared_ptr<net::Connection> connection);
   /// @return null where the connection has ended.
   [[nodiscard]] ClientConnection* find(ConnectionId id);
   /// @throws std::out_of_range where the connection has ended.
   [[nodiscard]] ClientConnection& at(ConnectionId id) { return connections_.at(id); }
+  /// How many are open.
   [[nodiscard]] std::size_t size() const { return connections_.size(); }
+  /// Whether no more may be added.
   [[nodiscard]] bool isFull() const { return connections_.size() >= limits_.connections; }
+  /// Whether evictIdle() may find one.
   [[nodiscard]] bool hasIdle() const;
 
   /// A message came, or a response was given.
@@ -99,6 +110,7 @@
   /// To be called every `sweepInterval`: closes what is overdue, asks idle clients to close, bounds the
   /// output and resumes paused connections.
   void sweep();
+  /// The time between two calls of sweep().
   static constexpr Duration sweepInterval = std::chrono::milliseconds(100);
 
   /// How many connections were looked at so far by evictIdle().
--- a/src/peers/downstream_client.h
+++ b/src/peers/downstream_client.h
@@ -25,13 +25,13 @@
   /// Is told how calls end.
   struct Listener {
     virtual ~Listener() = default;
-    /// @param reply what the service answered; empty where it did not.
+    /// The call has ended, `duration` after it began; `reply` is empty where the service did not answer.
     virtual void onDownstreamCallEnded(RequestId id, Outcome outcome, Duration duration,
                                        std::string&& reply) = 0;
   };
 
-  /// @param address none where there is no downstream service: every call is unreachable then.
-  /// @param maxOpenCalls calls beyond this are unreachable, too.
+  /// Without an address, where there is no downstream service, every call is unreachable; so are calls beyond
+  /// `maxOpenCalls`.
   DownstreamClient(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log, Listener& listener,
                    std::optional<net::Connection::Address> address, std::size_t maxOpenCalls);
 
@@ -42,6 +42,7 @@
   void cancel(RequestId id);
   /// Calls from now on go there; open ones end where they are.
   void setAddress(std::optional<net::Connection::Address> address) { address_ = std::move(address); }
+  /// How many calls have not ended.
   std::size_t openCalls() const { return calls_.size(); }
 
  private:
--- a/src/peers/execution_engine_client.h
+++ b/src/peers/execution_engine_client.h
@@ -26,24 +26,25 @@
   /// Is told what the engine says.
   struct Listener {
     virtual ~Listener() = default;
-    /// After each handshake.
-    /// @param isColdStart whether the engine's caches were cold when it started.
-    /// @param sinceStart how long ago it started.
+    /// After each handshake: the engine started `sinceStart` ago, with cold caches or not.
     virtual void onEngineConnected(bool isColdStart, Duration sinceStart) = 0;
     /// After each onEngineConnected(): every notification that had been missed has been taken.
     virtual void onNotificationsCaughtUp() = 0;
+    /// An execution has ended; `duration` is the engine's own measure.
     virtual void onExecutionEnded(const std::string& name, Outcome outcome, Duration duration,
                                   std::string&& result) = 0;
-    /// @param notification the number to give to continueWithoutReply().
+    /// An execution waits for the reply to a downstream call; `notification` is the number to give to
+    /// continueWithoutReply().
     virtual void onDownstreamCallRequested(const std::string& name, std::uint64_t notification,
                                            std::string&& body) = 0;
-    /// @param requestId as given to requestGauges().
+    /// The answer to requestGauges() of the same id; the values are in the order that the settings state.
     virtual void onGauges(std::uint64_t requestId, const std::vector<double>& values) = 0;
     /// A command for this request was not carried out: the engine knows no such request, or does not allow
     /// it.
     virtual void onCommandRejected(const std::string& name, EngineCommandKind command) = 0;
   };
 
+  /// Does not connect yet.
   ExecutionEngineClient(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log, Listener& listener,
                         const net::Connection::Address& address);
 
@@ -56,10 +57,15 @@
   /// They return false where there is no connection to send them on; whoever gave them gives them again after
   /// onNotificationsCaughtUp() where they still hold.
   /// @{
+
+  /// The engine executes the request with the body as input.
   [[nodiscard]] bool startExecution(const std::string& name, const std::string& handler,
                                     std::string_view body);
+  /// Continues an execution that waits for this reply.
   [[nodiscard]] bool deliverReply(const std::string& name, std::string_view reply);
+  /// Continues an execution without the reply that it asked for by this notification.
   [[nodiscard]] bool continueWithoutReply(const std::string& name, std::uint64_t notification);
+
   /// @}
 
   /// The answer comes by Listener::onGauges(), or never.
--- a/src/peers/incoming_request.h
+++ b/src/peers/incoming_request.h
@@ -17,6 +17,7 @@
 /// Where the response to a request goes. It stays valid after the connection has closed; a response sent by
 /// it is then dropped.
 struct ResponseHandle {
+  /// The connection on which the request came.
   ConnectionId connection{};
   /// The number of the call on its connection, chosen by the client.
   std::int32_t sequenceNumber = 0;
@@ -24,12 +25,17 @@
 
 /// A request that has passed validation.
 struct IncomingRequest {
+  /// Where its response goes.
   ResponseHandle response;
   /// By which the execution engine and the downstream service know the request: 16 hexadecimal digits.
   std::string name;
+  /// What it asks for.
   HandlerId handler{};
+  /// On whose account; the first tenant where the settings name none.
   TenantId tenant{};
+  /// Who sent it.
   ClientId client{};
+  /// What it reads; the default where it names nothing.
   ResourceKey resourceKey{};
   /// Empty where the client gave none.
   std::string idempotencyKey;
@@ -45,6 +51,7 @@
   Duration readDelay{};
   /// What is left of the client's deadline; none where the settings say that clients do not send it.
   std::optional<Duration> timeRemaining;
+  /// Input of the execution, 2 KiB at most.
   std::string body;
 };
 
--- a/src/peers/registry_client.h
+++ b/src/peers/registry_client.h
@@ -20,14 +20,14 @@
 /// and the log must outlive it.
 class RegistryClient {
  public:
-  /// @param serverName by which the registry knows this server.
-  /// @param randomSeed for the jitter between reports, so that servers that started together, or lost the
-  /// registry together, do not report in step.
+  /// The registry knows this server by `serverName`. `randomSeed` is for the jitter between reports, so that
+  /// servers that started together, or lost the registry together, do not report in step.
   RegistryClient(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log,
                  const net::Connection::Address& address, std::string serverName, std::uint64_t randomSeed);
 
   /// Reported at once where it is news, and periodically from then on.
   void setInService(bool isInService);
+  /// Reported there at once, and from then on.
   void setAddress(const net::Connection::Address& address);
   /// Whether the registry has accepted a report since the last change.
   [[nodiscard]] bool isAcknowledged() const { return isAcknowledged_; }
--- a/src/peers/request_decoder.h
+++ b/src/peers/request_decoder.h
@@ -31,7 +31,14 @@
 
 /// Why a request is not taken.
 struct InvalidRequest {
-  enum class Reason { fieldMissing, fieldInvalid, bodyTooLarge, tooManyOpenRequests };
+  /// What is wrong.
+  enum class Reason {
+    fieldMissing,         ///< A required field is not there.
+    fieldInvalid,         ///< A field holds what it must not.
+    bodyTooLarge,         ///< The body is longer than 2 KiB.
+    tooManyOpenRequests,  ///< As many requests as the protocol allows are open on the connection.
+  };
+  /// What is wrong.
   Reason reason{};
   /// The field's name in the protocol, where the reason is about a field.
   std::string_view field;
@@ -39,21 +46,26 @@
 
 /// A call to be admitted; its body is decoded by RequestDecoder.
 struct CallMessage {
+  /// Chosen by the client.
   std::int32_t sequenceNumber = 0;
   /// Points into the bytes that were decoded.
   std::string_view body;
 };
 /// The client asks whether the server is healthy.
 struct HealthCheckMessage {
+  /// Chosen by the client.
   std::int32_t sequenceNumber = 0;
 };
 /// The client no longer waits for the call of this number.
 struct CancelMessage {
+  /// That of the call.
   std::int32_t sequenceNumber = 0;
 };
 /// A call of a method that the service does not have.
 struct UnknownMethodMessage {
+  /// As the client named it.
   std::string method;
+  /// Chosen by the client.
   std::int32_t sequenceNumber = 0;
 };
 /// All that a client may send.
@@ -66,9 +78,10 @@
 /// Decodes and validates the body of a call.
 class RequestDecoder {
  public:
+  /// The rules hold for all calls.
   explicit RequestDecoder(RequestRules rules) : rules_(std::move(rules)) {}
 
-  /// @param now the wall-clock time at which the request was read.
+  /// Decodes a call's body that was read at the wall-clock time `now`.
   /// @return the request, but for its response handle, or the first thing that is wrong with it.
   /// @throws codec::ProtocolError where the body can't be read at all.
   [[nodiscard]] std::variant<IncomingRequest, InvalidRequest> decode(
--- a/src/peers/request_listener.h
+++ b/src/peers/request_listener.h
@@ -38,27 +38,38 @@
     /// The client has cancelled the request or its connection has ended; a response would go nowhere.
     virtual void onClientDisconnected(RequestId id) = 0;
   };
+  /// What all connections together may use.
   using Limits = ClientConnections::Limits;
 
+  /// Does not listen yet.
   RequestListener(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log, Listener& listener,
                   RequestRules rules, Limits limits);
 
   /// Binds the address and accepts from now on.
   /// @throws Poco::Exception where the address can't be bound.
   void listen(const Poco::Net::SocketAddress& address);
+  /// Where it listens; the port is the real one where 0 was asked for.
   Poco::Net::SocketAddress address() const { return serverSocket_.address(); }
 
   /// @name Responses
   /// The first for a request is sent, further ones are dropped, as are those for a connection that has ended.
   /// @{
+
+  /// The request has completed.
   void sendResult(ResponseHandle handle, std::string_view result);
+  /// The request was shed: the client is to send nothing for `retryAfter`, and to make no further attempt for
+  /// this request where `discourageRetry` is set.
   void sendShed(ResponseHandle handle, Duration retryAfter, bool discourageRetry);
+  /// The request has failed.
   void sendFailure(ResponseHandle handle, FailureReason reason);
+
   /// @}
 
   /// What responses and health checks tell from now on.
   void setHealth(bool isHealthy) { status_.isHealthy = isHealthy; }
+  /// As set last; true from the start.
   bool isHealthy() const { return status_.isHealthy; }
+  /// Sent with every response from now on.
   void setLoadSignal(double value) { status_.loadSignal = value; }
   /// Clients are asked to close connections that were idle for this long.
   void setIdleTimeout(Duration timeout) { connections_.setIdleTimeout(timeout); }
@@ -71,6 +82,7 @@
   [[nodiscard]] bool stopListening();
   /// Closes connections on which nothing is open, without waiting for the clients to do it.
   void closeIdleConnections() { connections_.closeIdle(); }
+  /// How many clients are connected.
   std::size_t openConnections() const { return connections_.size(); }
   /// How many connections were looked at so far to make room for others.
   std::uint64_t entriesScanned() const { return connections_.entriesScanned(); }
--- a/src/peers/response_encoder.h
+++ b/src/peers/response_encoder.h
@@ -14,6 +14,7 @@
 
 /// What each response tells beside its own content.
 struct ServerStatus {
+  /// Whether the client should go on sending requests.
   bool isHealthy = true;
   /// None as long as the decision module has published none.
   std::optional<double> loadSignal;
@@ -34,14 +35,19 @@
 /// The text in the protocol and in the log.
 std::string describe(const InvalidRequest& fault);
 
+/// The answer to a health check.
 std::string encodeHealth(std::int32_t sequenceNumber, const ServerStatus& status);
+/// A request has completed.
 std::string encodeResult(std::int32_t sequenceNumber, std::string_view result, const ServerStatus& status);
-/// @param retryAfter for how long the client is to send nothing more; none where it rounds to 0 ms.
-/// @param discourageRetry whether the client is to make no further attempt for this request.
+/// A request was shed. The client is to send nothing more for `retryAfter`, which is left out where it rounds
+/// to 0 ms, and is to make no further attempt for this request where `discourageRetry` is set.
 std::string encodeShed(std::int32_t sequenceNumber, Duration retryAfter, bool discourageRetry,
                        const ServerStatus& status);
+/// A request has failed.
 std::string encodeFailure(std::int32_t sequenceNumber, FailureReason reason, const ServerStatus& status);
+/// A call was no valid request.
 std::string encodeInvalidRequest(std::int32_t sequenceNumber, const InvalidRequest& fault);
+/// A call was of a method that the service does not have.
 std::string encodeUnknownMethod(const UnknownMethodMessage& message);
 /// Asks the client to close its connection once it has its responses.
 std::string encodeCloseRequest();
