--- a/src/commands/serve_command.cpp
+++ b/src/commands/serve_command.cpp
@@ -26,8 +26,8 @@
   return (high << 32) | device();
 }
 
-logging::Log::Form logForm(options::LogFormat format) {
-  return format == options::LogFormat::json ? logging::Log::Form::json : logging::Log::Form::text;
+logging::Log::Format logForm(options::LogFormat format) {
+  return format == options::LogFormat::json ? logging::Log::Format::json : logging::Log::Format::text;
 }
 
 // False, after a message on standard error, where the address cannot be had.
--- a/src/commands/witness_command.cpp
+++ b/src/commands/witness_command.cpp
@@ -84,7 +84,7 @@
   const auto own = options::readOptionsFile(given["options"].as<std::string>());
   signal(SIGPIPE, SIG_IGN);
   const bool isJson = own.logFormat() == options::LogFormat::json;
-  logging::Log log(isJson ? logging::Log::Form::json : logging::Log::Form::text, settings.name.text);
+  logging::Log log(isJson ? logging::Log::Format::json : logging::Log::Format::text, settings.name.text);
   return runWitness(settings, log);
 }
 
--- a/src/membership_transport/membership_transport.cpp
+++ b/src/membership_transport/membership_transport.cpp
@@ -6,6 +6,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
+#include "codec/protocol_error.h"
 #include "membership/explain.h"
 #include "membership/message_codec.h"
 #include "membership_transport/address.h"
@@ -134,7 +135,7 @@
   received.append(bytes);
   if (received.size() < frameHeaderBytes) return bytes.size();
   const std::size_t length = frameLength(received);
-  if (length > maxFrameBytes) throw net::ProtocolError("a message longer than a full state");
+  if (length > maxFrameBytes) throw codec::ProtocolError("a message longer than a full state");
   if (received.size() < frameHeaderBytes + length) return bytes.size();
   const std::string signedMessage = received.substr(frameHeaderBytes, length);
   received.clear();
@@ -212,8 +213,8 @@
   if (connection) connection->close();
 }
 
-net::Callbacks MembershipTransport::callbacksOf(ExchangeId id) {
-  net::Callbacks out;
+net::ConnectionCallbacks MembershipTransport::callbacksOf(ExchangeId id) {
+  net::ConnectionCallbacks out;
   out.onData = [this, id](std::string_view bytes) { return onExchangeData(id, bytes); };
   out.onClosed = [this, id](net::CloseReason, const std::string&) { endExchange(id); };
   return out;
--- a/src/membership_transport/membership_transport.h
+++ b/src/membership_transport/membership_transport.h
@@ -84,7 +84,7 @@
   // Exchanges
   void beginExchange(ExchangeId id, std::shared_ptr<net::Connection> connection);
   void endExchange(ExchangeId id);
-  net::Callbacks callbacksOf(ExchangeId id);
+  net::ConnectionCallbacks callbacksOf(ExchangeId id);
 
   // Effects
   void carryOut(const membership::Effects& effects, ExchangeId exchange);
--- a/src/server/configuration_reload.cpp
+++ b/src/server/configuration_reload.cpp
@@ -22,7 +22,7 @@
   endpoints.shutdownTimeout = offered.endpoints.shutdownTimeout;
   logReload(offered);
   engine_.setAddress(net::Connection::Address(endpoints.engine));
-  downstream_.moveTo(optionalAddress(endpoints.downstream));
+  downstream_.setAddress(optionalAddress(endpoints.downstream));
   registration_.moveTo(optionalAddress(endpoints.registry));
 }
 
--- a/src/server/membership_service.cpp
+++ b/src/server/membership_service.cpp
@@ -102,7 +102,8 @@
   out.concurrencyLimit = status.concurrencyLimit;
   out.running = static_cast<double>(status.executing);
   out.receivedPerSecond = static_cast<double>(status.requestsRead - lastStatus_.requestsRead) / seconds;
-  out.completedPerSecond = static_cast<double>(status.requestsCompleted - lastStatus_.requestsCompleted) / seconds;
+  out.completedPerSecond =
+      static_cast<double>(status.requestsCompleted - lastStatus_.requestsCompleted) / seconds;
   out.queueingRatio = queueingRatio_;
   out.advertisedFleetSize = static_cast<double>(quota_.fleetSize());
   lastStatus_ = status;
--- a/src/server/request_server.cpp
+++ b/src/server/request_server.cpp
@@ -11,19 +11,8 @@
 using namespace std::chrono_literals;
 using OriginalState = DeduplicationCache::OriginalState;
 
-// Why a request is failed, as its client reads it: part of the protocol.
-constexpr std::string_view reasonConflictingPayload = "its key came with another content";
-constexpr std::string_view reasonTooManyInFlight = "too many reqs in hand";
-constexpr std::string_view reasonNameInFlight = "its id is in hand already";
-constexpr std::string_view reasonGivenUp = "given up";
-constexpr std::string_view reasonExecutionFailed = "failed";
-constexpr std::string_view reasonOriginalFailed = "the first try failed";
-
-// The engine's name for the command that starts an execution, in its rejections.
-constexpr std::string_view startExecutionCommand = "launch";
-
-peers::RequestListener::RequestRules requestRules(const DeploymentSettings& deployment) {
-  peers::RequestListener::RequestRules rules{
+peers::RequestRules requestRules(const DeploymentSettings& deployment) {
+  peers::RequestRules rules{
       deployment.handlerNames, deployment.tenantNames, {}, deployment.clientsSendTimeRemaining};
   for (const HandlerPolicy& handler : deployment.handlerPolicies)
     rules.clientTimeouts.push_back(handler.clientTimeout);
@@ -32,9 +21,9 @@
 
 // A duplicate is read at the latest once nobody waits for it any more; older ones are rejected unread.
 Duration maxReadDelay(const DeploymentSettings& deployment) {
-  Duration longest = peers::RequestListener::longPast;
+  Duration longest = peers::expiredRequestGrace;
   for (const HandlerPolicy& handler : deployment.handlerPolicies)
-    longest = std::max(longest, handler.clientTimeout + peers::RequestListener::longPast);
+    longest = std::max(longest, handler.clientTimeout + peers::expiredRequestGrace);
   return longest;
 }
 
@@ -67,13 +56,13 @@
       shutdown_(reactor, log, requestListener_, registration_, requests_) {}
 
 RequestServer::~RequestServer() {
-  reactor_.atTurnEnd({});
+  reactor_.setIterationEndHandler({});
   reactor_.releaseRetired();  // its connections hold buffers of our pool
 }
 
 void RequestServer::open() {
   requestListener_.listen(net::Connection::Address(endpoints_.listen));
-  reactor_.atTurnEnd([this] { onIterationEnd(); });
+  reactor_.setIterationEndHandler([this] { onIterationEnd(); });
   engineClient_.connect();
   registration_.setInService(true);
   statistics_.start();
@@ -158,23 +147,23 @@
 
 // Reports of the peers.
 
-std::variant<RequestId, std::string_view> RequestServer::onRequest(peers::IncomingRequest&& incoming) {
+peers::AdmitResult RequestServer::onRequest(peers::IncomingRequest&& incoming) {
   if (requests_.size() >= budget_.maxRequestsInFlight) {
-    log_.message(logging::LogCategory::clients, "{} requests in flight: no more are accepted",
+    log_.message(logging::LogCategory::listener, "{} requests in flight: no more are accepted",
                  requests_.size());
-    return reasonTooManyInFlight;
+    return peers::FailureReason::tooManyInFlight;
   }
   if (requests_.findByName(incoming.name)) {
-    log_.message(logging::LogCategory::clients, "a request whose name is already in flight: {}",
+    log_.message(logging::LogCategory::listener, "a request whose name is already in flight: {}",
                  incoming.name);
-    return reasonNameInFlight;
+    return peers::FailureReason::duplicateName;
   }
   const RequestId id{++lastRequestId_};
   const DeduplicationCache::Lookup known = findOriginal(id, incoming);
   if (known.hasConflictingPayload) {
-    log_.message(logging::LogCategory::clients, "a duplicate whose original had another payload: {}",
+    log_.message(logging::LogCategory::listener, "a duplicate whose original had another payload: {}",
                  incoming.name);
-    return reasonConflictingPayload;
+    return peers::FailureReason::conflictingPayload;
   }
   openPolicy(true, 0s);
   statistics_.onRequestRead(incoming.readDelay);
@@ -274,12 +263,12 @@
 
 // Nothing of this request is executed there any more. One whose start was rejected never began: no duplicate
 // must wait for what it never did.
-void RequestServer::onCommandRejected(const std::string& name, const std::string& command) {
+void RequestServer::onCommandRejected(const std::string& name, peers::EngineCommandKind command) {
   const auto id = requests_.findByName(name);
   if (!id) return;
   InFlightRequest& request = *requests_.find(*id);
   if (!request.isWithEngine()) return;
-  if (command == startExecutionCommand) releaseDuplicates(*id);
+  if (command == peers::EngineCommandKind::startExecution) releaseDuplicates(*id);
   failExecution(*id, request);
 }
 
@@ -306,7 +295,7 @@
   InFlightRequest* request = requests_.find(action.id);
   if (request == nullptr || !request->isResponsePending) return;
   statistics_.onRequestFailed();
-  requestListener_.sendFailure(request->request.response, reasonGivenUp);
+  requestListener_.sendFailure(request->request.response, peers::FailureReason::abandoned);
   endResponse(action.id, *request);
 }
 
@@ -411,7 +400,7 @@
     requestListener_.sendResult(request.request.response, result);
   } else {
     statistics_.onRequestFailed();
-    requestListener_.sendFailure(request.request.response, reasonExecutionFailed);
+    requestListener_.sendFailure(request.request.response, peers::FailureReason::executionFailed);
   }
 }
 
@@ -465,7 +454,7 @@
     return;
   }
   statistics_.onRequestFailed();
-  requestListener_.sendFailure(incoming.response, reasonConflictingPayload);
+  requestListener_.sendFailure(incoming.response, peers::FailureReason::conflictingPayload);
   requests_.remove(id);
 }
 
@@ -482,7 +471,7 @@
     requestListener_.sendResult(request.request.response, result);
     statistics_.onRequestCompleted();
   } else if (request.isResponsePending) {
-    requestListener_.sendFailure(request.request.response, reasonOriginalFailed);
+    requestListener_.sendFailure(request.request.response, peers::FailureReason::originalFailed);
     statistics_.onRequestFailed();
   }
   notify(ExecutionEnded{id, isCompleted ? Outcome::completed : Outcome::failed,
--- a/src/server/request_server.h
+++ b/src/server/request_server.h
@@ -83,7 +83,7 @@
 
  private:
   // Reports of the peers.
-  std::variant<RequestId, std::string_view> onRequest(peers::IncomingRequest&& incoming) override;
+  peers::AdmitResult onRequest(peers::IncomingRequest&& incoming) override;
   void onClientDisconnected(RequestId id) override;
   void onEngineConnected(bool cold, Duration since) override;
   void onNotificationsCaughtUp() override;
@@ -92,7 +92,7 @@
   void onDownstreamCallRequested(const std::string& name, std::uint64_t notification,
                                  std::string&& body) override;
   void onGauges(std::uint64_t gaugeRequest, const std::vector<double>& values) override;
-  void onCommandRejected(const std::string& name, const std::string& command) override;
+  void onCommandRejected(const std::string& name, peers::EngineCommandKind command) override;
   void onDownstreamCallEnded(RequestId id, Outcome outcome, Duration took, std::string&& reply) override;
 
   // Actions of the policy.
--- a/tests/server_client_test.cpp
+++ b/tests/server_client_test.cpp
@@ -50,7 +50,7 @@
                                                                        {"prio", "1.0"},
                                                                        {"obj", "zz"}})
     EXPECT_TRUE(isRejected(field, value)) << field;
-  client.send(codec::thrift::Writer(codec::thrift::Kind::call, "dance", 50).stop().whole());
+  client.send(codec::thrift::Writer(codec::thrift::Kind::call, "dance", 50).stop().finish());
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::exception);
   client.sendRequest(60, FakeBalancer::requestFields(requestB), std::string(2049, 'x'));
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::exception);
@@ -286,7 +286,7 @@
   server.endpoints.memoryMb = 1;
   server.start();
   using codec::thrift::Kind, codec::thrift::Writer;
-  const auto healthCheck = Writer(Kind::call, "health", 1).stop().whole();  // shorter than its response
+  const auto healthCheck = Writer(Kind::call, "health", 1).stop().finish();  // shorter than its response
   std::string healthChecks;
   for (int i = 0; i < 200; ++i) healthChecks += healthCheck;
   struct NonReadingClient {
--- a/tests/server_settings_test.cpp
+++ b/tests/server_settings_test.cpp
@@ -56,8 +56,8 @@
       EXPECT_NE(std::string(error.what()).find(path), std::string::npos) << error.what();
     }
   }
-  EXPECT_EQ(codec::http::segment("n3"), "n3");
-  EXPECT_EQ(codec::http::segment("a b/\xc3\xa9?"), "a%20b%2F%C3%A9%3F");
+  EXPECT_EQ(codec::http::encodePathSegment("n3"), "n3");
+  EXPECT_EQ(codec::http::encodePathSegment("a b/\xc3\xa9?"), "a%20b%2F%C3%A9%3F");
 }
 
 // Limits and durations of other deployments are larger than those of the examples.
--- a/tests/support/fake_balancer.cpp
+++ b/tests/support/fake_balancer.cpp
@@ -16,7 +16,7 @@
 
 // The result of a call: its fields, or whether the server is healthy.
 void readResult(std::string_view method, Reader& in, Response& response) {
-  in.structure([&](std::int16_t, Type type, Reader& value) {
+  in.readStruct([&](std::int16_t, Type type, Reader& value) {
     if (type == Type::text) {
       response.body = value.text();
     } else if (type == Type::map) {
@@ -41,7 +41,7 @@
   if (message.kind != Kind::reply) return response;
   // By the number of the field in the reply: the result or one of the declared exceptions.
   constexpr std::array kinds{ResponseKind::completed, ResponseKind::shed, ResponseKind::failed};
-  Reader(message.body).structure([&](std::int16_t fieldNumber, auto, Reader& in) {
+  Reader(message.body).readStruct([&](std::int16_t fieldNumber, auto, Reader& in) {
     response.kind = kinds.at(static_cast<std::size_t>(fieldNumber));
     readResult(message.name, in, response);
     return true;
@@ -79,7 +79,7 @@
       .field(2, Type::text)
       .text(body)
       .stop()
-      .whole();
+      .finish();
 }
 
 std::string FakeBalancer::encodeCancellation(std::int32_t sequenceNumber) {
@@ -88,11 +88,11 @@
       .field(1, Type::i32)
       .i32(sequenceNumber)
       .stop()
-      .whole();
+      .finish();
 }
 
 void FakeBalancer::sendHealthCheck() {
-  send(Writer(Kind::call, "health", 1).field(1, Type::boolean).boolean(false).stop().whole());
+  send(Writer(Kind::call, "health", 1).field(1, Type::boolean).boolean(false).stop().finish());
 }
 
 Response FakeBalancer::receiveResponse() { return receive(parseResponse).value_or(Response{}); }
