--- a/src/options/failover_options.h
+++ b/src/options/failover_options.h
@@ -17,10 +17,10 @@
 
 /// What `rainhook failover plan` computes a plan from.
 struct PlanningScenario {
-  failover::FailoverSettings settings;
-  failover::FleetObservation observation;
-  failover::OperatorOverrides overrides;
-  std::uint64_t steps = 1;  ///< steps with this same observation, a step interval apart
+  failover::FailoverSettings settings;     ///< the zones, the costs between them and the planner's limits
+  failover::FleetObservation observation;  ///< what each zone does; zones that are not named are unknown
+  failover::OperatorOverrides overrides;   ///< what operators have ordered
+  std::uint64_t steps = 1;                 ///< steps with this same observation, a step interval apart
 };
 
 /// Reads a file such as examples/zones.yaml. Throws OptionsError.
--- a/src/options/yaml_section.cpp
+++ b/src/options/yaml_section.cpp
@@ -8,7 +8,6 @@
 #include <fstream>
 #include <iterator>
 #include <optional>
-#include <ranges>
 #include <string_view>
 #include <system_error>
 #include <utility>
@@ -70,11 +69,13 @@
 
 // With the largest unit that divides it.
 std::string formatBytes(std::uint64_t bytes) {
-  for (const SizeUnit& unit : sizeUnits | std::views::reverse) {
-    const std::uint64_t whole = bytes >> unit.shift;
-    if (whole != 0 && whole << unit.shift == bytes) return fmt::format("{} {}", whole, unit.name);
+  const SizeUnit* largest = nullptr;
+  for (const SizeUnit& unit : sizeUnits) {
+    const bool isWhole = (bytes >> unit.shift) != 0 && (bytes >> unit.shift) << unit.shift == bytes;
+    if (isWhole) largest = &unit;
   }
-  return fmt::format("{} bytes", bytes);
+  if (largest == nullptr) return fmt::format("{} bytes", bytes);
+  return fmt::format("{} {}", bytes >> largest->shift, largest->name);
 }
 
 milliseconds::rep millisecondsOf(nanoseconds duration) {
