--- a/src/options/membership_options.cpp
+++ b/src/options/membership_options.cpp
@@ -14,7 +14,7 @@
 #include <vector>
 
 #include "membership/message_codec.h"
-#include "membership_transport/membership_transport.h"
+#include "membership_transport/address.h"
 
 namespace rainhook::options {
 namespace {
@@ -43,15 +43,16 @@
 
 std::string readIdentifier(YamlSection& section, const std::string& key) {
   std::string text = section.text(key);
-  if (text.size() > membership::longestWord || !std::all_of(text.begin(), text.end(), isIdentifierCharacter))
+  if (text.size() > membership::maxIdentifierBytes ||
+      !std::all_of(text.begin(), text.end(), isIdentifierCharacter))
     section.reject(key, fmt::format("'{}' is no name of letters, digits and . _ - ({} at most)", text,
-                                    membership::longestWord));
+                                    membership::maxIdentifierBytes));
   return text;
 }
 
 membership::Address checkedAddress(const YamlSection& section, const std::string& key,
                                    const std::string& text) {
-  if (!membershipTransport::literal(text))
+  if (!membershipTransport::parseAddress(text))
     section.reject(key, fmt::format("'{}' is no address of the form 127.0.0.1:7101", text));
   return membership::Address{text};
 }
@@ -98,14 +99,14 @@
   return keys;
 }
 
-void readAddresses(YamlSection& section, membership::MembersPlace& settings) {
+void readAddresses(YamlSection& section, membership::MembershipSettings& settings) {
   settings.listen = checkedAddress(section, "listen", section.text("listen"));
   settings.advertise = checkedAddress(section, "advertise", section.text("advertise", settings.listen.text));
   if (settings.advertise.text.starts_with(anyAddress))
     section.reject("advertise", "is missing: others can't reach 0.0.0.0");
 }
 
-void readSeeds(YamlSection& section, membership::MembersPlace& settings) {
+void readSeeds(YamlSection& section, membership::MembershipSettings& settings) {
   for (const std::string& text : section.textList("seeds")) {
     const membership::Address seed = checkedAddress(section, "seeds", text);
     if (seed == settings.listen || seed == settings.advertise)
@@ -114,30 +115,31 @@
   }
 }
 
-void readReach(YamlSection& section, membership::MembersPlace& settings) {
+void readReach(YamlSection& section, membership::MembershipSettings& settings) {
   for (const auto& [name, text] : section.textMap("reach", maxReachEntries)) {
     if (name == settings.name.text)
       section.reject("reach", fmt::format("names '{}', this instance itself", name));
-    settings.reach.emplace(membership::MemberName{name}, checkedAddress(section, "reach", text));
+    settings.addressOverrides.emplace(membership::MemberName{name}, checkedAddress(section, "reach", text));
   }
 }
 
 }  // namespace
 
-membership::MembersPlace readMembershipOptions(YamlSection section, const std::string& settingsFile) {
-  membership::MembersPlace settings;
+membership::MembershipSettings readMembershipOptions(YamlSection section, const std::string& settingsFile) {
+  membership::MembershipSettings settings;
   settings.name = {readIdentifier(section, "name")};
   settings.zone = {readIdentifier(section, "zone")};
   settings.region = {readIdentifier(section, "region")};
-  settings.regionAt = section.locationOf("region");
+  settings.regionSource = section.locationOf("region");
   readAddresses(section, settings);
   readSeeds(section, settings);
   settings.keys = readKeys(section, settingsFile);
   readReach(section, settings);
-  settings.probeEvery =
-      section.duration("probe-every", settings.probeEvery, minProbeInterval, maxProbeInterval);
-  settings.state = section.text("state", "");
-  if (!settings.state.empty()) settings.state = besideSettings(settingsFile, settings.state);
+  settings.probeInterval =
+      section.duration("probe-every", settings.probeInterval, minProbeInterval, maxProbeInterval);
+  settings.stateFolder = section.text("state", "");
+  if (!settings.stateFolder.empty())
+    settings.stateFolder = besideSettings(settingsFile, settings.stateFolder);
   section.rejectUnknownKeys();
   return settings;
 }
--- a/src/options/membership_options.h
+++ b/src/options/membership_options.h
@@ -4,7 +4,7 @@
 
 #include <string>
 
-#include "membership/place.h"
+#include "membership/membership_settings.h"
 #include "options/yaml_section.h"
 
 namespace rainhook::options {
@@ -13,7 +13,7 @@
 /// @param section the section `membership`
 /// @param settingsFile the file of the section; relative paths of keys and state start at its folder
 /// @throws OptionsError, also where a key file cannot be read, may be read by everyone or holds no key.
-[[nodiscard]] membership::MembersPlace readMembershipOptions(YamlSection section,
-                                                             const std::string& settingsFile);
+[[nodiscard]] membership::MembershipSettings readMembershipOptions(YamlSection section,
+                                                                   const std::string& settingsFile);
 
 }  // namespace rainhook::options
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -9,7 +9,7 @@
 #include <atomic>
 #include <fstream>
 
-#include "fleet/together.h"
+#include "fleet/converged_fleet.h"
 
 namespace rainhook::fleet {
 namespace {
@@ -39,7 +39,7 @@
   Written& acquainted() {
     for (std::size_t by = 0; by < course.histories.size(); ++by)
       for (std::size_t of = 0; of < course.histories.size(); ++of)
-        if (by != of) saw(by, 1, "state", of, "alive");
+        if (by != of) saw(by, 1, "state-changed", of, "alive");
     return *this;
   }
   std::size_t breaches() const { return breachesOf(course).size(); }
@@ -48,20 +48,20 @@
 TEST(FleetCheck, ComplainsOfAnIncarnationThatGoesBackAndOfALeftCalledDead) {
   Written fine(2);
   fine.acquainted().did(2, "stop", 1);
-  fine.saw(0, 3, "state", 1, "dead", 2);
+  fine.saw(0, 3, "state-changed", 1, "dead", 2);
   EXPECT_EQ(fine.breaches(), 0u);
-  fine.saw(0, 4, "state", 1, "suspect", 1);
+  fine.saw(0, 4, "state-changed", 1, "suspect", 1);
   EXPECT_EQ(fine.breaches(), 1u);
   Written left(2);
   left.acquainted().did(2, "leave", 1);
-  left.saw(0, 3, "state", 1, "left", 2), left.saw(0, 4, "state", 1, "dead", 2);
+  left.saw(0, 3, "state-changed", 1, "left", 2), left.saw(0, 4, "state-changed", 1, "dead", 2);
   EXPECT_EQ(left.breaches(), 1u);
 }
 
 TEST(FleetCheck, ComplainsOfAKeptStateThatStartsAtWhatWasSaid) {
   for (const auto& [from, breaches] : {std::pair(5, 0u), std::pair(4, 1u)}) {
     Written w(2);
-    w.acquainted().saw(0, 2, "state", 1, "alive", 4);
+    w.acquainted().saw(0, 2, "state-changed", 1, "alive", 4);
     w.saw(1, 3, "kept", 1).why = "from " + std::to_string(from) + ", 0 known from earlier";
     EXPECT_EQ(w.breaches(), breaches);
     w.course.histories[1].insert(w.course.histories[1].begin(), Seen{})->event = "not-kept";
@@ -71,7 +71,7 @@
 
 TEST(FleetCheck, ComplainsOfALivingOneThatIsDeadThroughACalm) {
   Written w(2);
-  w.acquainted().saw(0, 100, "state", 1, "dead");
+  w.acquainted().saw(0, 100, "state-changed", 1, "dead");
   EXPECT_EQ(w.breaches(), 1u);
   w.did(99, "fault"), w.did(180, "heal");  // twenty seconds are too few to be held to
   EXPECT_EQ(w.breaches(), 0u);
@@ -87,7 +87,7 @@
   EXPECT_EQ(w.breaches(), 0u) << "the witnesses stand in one zone";
   w.course.zones = 3;
   EXPECT_EQ(w.breaches(), 2u);
-  w.saw(0, 110, "state", 1, "dead"), w.saw(2, 121, "state", 1, "dead");
+  w.saw(0, 110, "state-changed", 1, "dead"), w.saw(2, 121, "state-changed", 1, "dead");
   EXPECT_EQ(w.breaches(), 0u);
   w.course.histories[2].back().at = Written::at(123);
   EXPECT_EQ(w.breaches(), 1u);
@@ -95,47 +95,51 @@
 
 TEST(FleetCheck, ComplainsOfFiguresAndSharesOverTheirBounds) {
   Written w(2);
-  auto& figures = w.acquainted().saw(0, 5, "figures", 0).figures;
-  figures = {{"over_ms", 2000}, {"members", 1}, {"rumours", 14}, {"talks", 24}, {"datagrams", 1280}};
+  auto& figures = w.acquainted().saw(0, 5, "statistics", 0).figures;
+  figures = {{"interval_ms", 2000},
+             {"members", 1},
+             {"queued_updates", 14},
+             {"exchanges", 24},
+             {"datagrams_sent", 1280}};
   EXPECT_EQ(w.breaches(), 0u);
-  figures["rumours"] = 15, figures["talks"] = 25, figures["datagrams"] = 1281;
+  figures["queued_updates"] = 15, figures["exchanges"] = 25, figures["datagrams_sent"] = 1281;
   EXPECT_EQ(w.breaches(), 3u);
   Written shares(2);
   shares.acquainted().course.shares = 1.5;
-  shares.saw(0, 2, "share", 0).share = 1, shares.saw(1, 3, "share", 1).share = 0.5;
+  shares.saw(0, 2, "dependency-quota", 0).share = 1, shares.saw(1, 3, "dependency-quota", 1).share = 0.5;
   EXPECT_EQ(shares.breaches(), 0u);
-  shares.saw(1, 4, "share", 1).share = 0.6;
+  shares.saw(1, 4, "dependency-quota", 1).share = 0.6;
   EXPECT_EQ(shares.breaches(), 1u);
 }
 
 TEST(Fleet, AKilledOneIsDeadInAllViewsWithinTwentyPeriodsAndNobodyElse) {
-  Together w(5, 3, 1);
+  ConvergedFleet w(5, 3, 1);
   w.kill(1);
   EXPECT_TRUE(w.until([&] { return w.agreed(); }, w.every() * 20 + 5s));
   EXPECT_EQ(w.verdicts(w.from), w.verdictsOn(1, w.from));
 }
 
 TEST(Fleet, AWholeZoneIsOneEvent) {
-  Together w(6, 3, 2);
+  ConvergedFleet w(6, 3, 2);
   w.kill(1), w.kill(4);
-  w.comesTogether();
+  w.expectConvergence();
   EXPECT_EQ(w.verdicts(w.from), w.verdictsOn(1, w.from) + w.verdictsOn(4, w.from));
-  for (const std::size_t by : {0u, 2u, 3u, 5u}) EXPECT_LE(w.said(by, "zone-silent", w.from), 1u);
+  for (const std::size_t by : {0u, 2u, 3u, 5u}) EXPECT_LE(w.said(by, "zone-unreachable", w.from), 1u);
   std::size_t said = 0;
-  for (const std::size_t by : {0u, 2u, 3u, 5u}) said += w.said(by, "zone-silent", w.from);
+  for (const std::size_t by : {0u, 2u, 3u, 5u}) said += w.said(by, "zone-unreachable", w.from);
   EXPECT_GE(said, 1u);
 }
 
 TEST(Fleet, TheLastOneBuriesNobodyAndSaysThatItDoubts) {
-  Together w(5, 3, 3);
+  ConvergedFleet w(5, 3, 3);
   for (std::size_t i = 1; i < 5; ++i) w.kill(i);
-  EXPECT_TRUE(w.until([&] { return w.said(0, "doubtful", w.from) > 0; }));
-  w.periods(30);
+  EXPECT_TRUE(w.until([&] { return w.said(0, "view-uncertain", w.from) > 0; }));
+  w.waitIntervals(30);
   EXPECT_EQ(w.verdicts(w.from), 0u);
 }
 
 TEST(Fleet, ARestartAtOnceIsNoDeath) {
-  Together w(5, 3, 4);
+  ConvergedFleet w(5, 3, 4);
   w.kill(2), w.start(2);
   // It has gone past what was said of its earlier life.
   EXPECT_TRUE(w.until([&] {
@@ -147,15 +151,15 @@
 }
 
 TEST(Fleet, ANameComesBackAtAnotherAddress) {
-  Together w(5, 3, 5);
+  ConvergedFleet w(5, 3, 5);
   w.kill(3), w.move(3), w.start(3);
-  EXPECT_TRUE(w.until([&] { return w.agreed() && w.said(0, "moved", w.from) > 0; }));
-  w.periods(10);
+  EXPECT_TRUE(w.until([&] { return w.agreed() && w.said(0, "address-changed", w.from) > 0; }));
+  w.waitIntervals(10);
   EXPECT_TRUE(w.until([&] { return w.agreed(); }, 5s));
 }
 
 TEST(Fleet, ASecondInstanceUnderAHeldNameIsRefused) {
-  Together w(4, 3, 6);
+  ConvergedFleet w(4, 3, 6);
   // The same name and key from another folder of settings, at another address.
   const auto file = w.folder() + "/second.yaml";
   std::ifstream in(w.options(1));
@@ -169,13 +173,13 @@
   EXPECT_EQ(status, 1);
   EXPECT_NE(said.find("the name m1 is held by the living instance at " + w.address(1)), std::string::npos)
       << said;
-  w.periods(10);
+  w.waitIntervals(10);
   EXPECT_TRUE(w.agreed());
   EXPECT_EQ(w.verdicts(w.from), 0u);
 }
 
 TEST(Fleet, AZoneInTwoRegionsIsRefusedWithFileLineAndKey) {
-  Together w(3, 3, 19);
+  ConvergedFleet w(3, 3, 19);
   std::ifstream in(w.options(1));
   std::string text{std::istreambuf_iterator<char>(in), {}};
   const auto host = w.address(1).substr(0, w.address(1).rfind('.'));
@@ -203,21 +207,21 @@
 // Whoever was stopped judges nobody when it wakes; the others may have buried it meanwhile, but see that it
 // lives.
 TEST_P(FleetStops, TheStoppedBuryNobody) {
-  Together w(6, 3, 7);
+  ConvergedFleet w(6, 3, 7);
   const auto& stops = GetParam();
   for (const auto i : stops.who) w.stop(i);
   w.pass(stops.span);
   const auto woken = Fleet::clock();
   for (const auto i : stops.who) w.wake(i);
-  w.comesTogether();
-  w.periods(10);
+  w.expectConvergence();
+  w.waitIntervals(10);
   EXPECT_TRUE(w.until([&] { return w.agreed(); }, 10s));
   for (const auto i : stops.who) {
     for (const auto& seen : w.history(i).all)
-      EXPECT_FALSE(seen.at >= woken && seen.event == "state" && seen.state == "dead" &&
+      EXPECT_FALSE(seen.at >= woken && seen.event == "state-changed" && seen.state == "dead" &&
                    seen.why == "nobody reaches it")
           << Fleet::name(i) << " of " << seen.about;
-    EXPECT_TRUE(stops.span < 1s || w.said(i, "paused", woken) > 0);
+    EXPECT_TRUE(stops.span < 1s || w.said(i, "pause-detected", woken) > 0);
   }
 }
 INSTANTIATE_TEST_SUITE_P(
@@ -238,12 +242,12 @@
 
 // While some way leads to a member, nobody buries it; after the cut all views agree.
 TEST_P(FleetCuts, WhoIsHeardIsNotBuried) {
-  Together w(5, 3, 8);
+  ConvergedFleet w(5, 3, 8);
   w.cut(GetParam().is);
-  w.periods(30);
+  w.waitIntervals(30);
   EXPECT_EQ(w.verdicts(w.from), 0u);
   w.heal();
-  w.comesTogether();
+  w.expectConvergence();
 }
 INSTANTIATE_TEST_SUITE_P(
     Of, FleetCuts,
@@ -253,30 +257,30 @@
     [](const auto& info) { return info.param.name; });
 
 TEST(Fleet, OneWhomNobodyHearsIsBuriedAndIsBackOnceItIsHeard) {
-  Together w(5, 3, 9);
+  ConvergedFleet w(5, 3, 9);
   w.cut([](auto a, auto) { return a == 3; });
   EXPECT_TRUE(w.until([&] {
     return w.state(0, 3) == "dead" && w.state(1, 3) == "dead" && w.state(2, 3) == "dead" &&
            w.state(4, 3) == "dead";
   }));
   w.heal();
-  w.comesTogether();
+  w.expectConvergence();
   EXPECT_EQ(w.verdicts(w.from), w.verdictsOn(3, w.from));
 }
 
 TEST(Fleet, ThirtyInAHundredLostBuriesNobody) {
-  Together w(5, 3, 10);
+  ConvergedFleet w(5, 3, 10);
   Fault fault;
-  fault.loss = 0.3, fault.doubled = 0.1, fault.reordered = 0.2;
+  fault.lossRatio = 0.3, fault.duplicateRatio = 0.1, fault.reorderRatio = 0.2;
   w.faultAll(fault);
-  w.periods(30);
+  w.waitIntervals(30);
   EXPECT_EQ(w.verdicts(w.from), 0u);
   w.heal();
-  w.comesTogether();
+  w.expectConvergence();
 }
 
 TEST(Fleet, TwoSecondsOfDelayOneWayBuryNobody) {
-  Together w(5, 3, 11, 1s);  // ten periods of the others' would be as good as a death
+  ConvergedFleet w(5, 3, 11, 1s);  // ten periods of the others' would be as good as a death
   Fault fault;
   fault.delay = 2s;
   for (std::size_t to = 0; to < 5; ++to)
@@ -284,7 +288,7 @@
   w.pass(15s);
   EXPECT_EQ(w.verdicts(w.from), 0u);
   w.heal();
-  w.comesTogether();
+  w.expectConvergence();
 }
 
 class FleetSplits : public testing::TestWithParam<std::size_t> {};
@@ -293,17 +297,17 @@
 // taken by the links and nothing passes.
 TEST_P(FleetSplits, ThePartsFindTogether) {
   const std::size_t parts = GetParam();
-  Together w(6, 3, 12);
+  ConvergedFleet w(6, 3, 12);
   w.kill(5);
-  w.comesTogether();
+  w.expectConvergence();
   w.cut([&](auto a, auto b) { return a % parts != b % parts; });
-  w.periods(30);
+  w.waitIntervals(30);
   w.kill(4), w.start(4);
   w.start(5);
-  w.periods(10);
+  w.waitIntervals(10);
   w.heal();
   const auto healed = std::chrono::steady_clock::now();
-  w.comesTogether();
+  w.expectConvergence();
   RecordProperty(
       "healed_ms",
       static_cast<int>(
@@ -313,7 +317,7 @@
                          [](const auto& info) { return info.param == 2 ? "Halves" : "Thirds"; });
 
 TEST(Fleet, WhoLeavesHasLeftAlsoInASplit) {
-  Together w(6, 3, 13);
+  ConvergedFleet w(6, 3, 13);
   w.terminate(4);
   EXPECT_TRUE(w.until([&] {
     for (const std::size_t by : {0u, 1u, 2u, 3u, 5u})
@@ -322,17 +326,17 @@
   }));
   w.cut([&](auto a, auto b) { return a % 2 != b % 2; });
   w.terminate(3);  // only its half hears of it
-  w.periods(30);
+  w.waitIntervals(30);
   w.heal();
-  w.comesTogether();
+  w.expectConvergence();
   EXPECT_EQ(w.verdictsOn(4, w.from), 0u);
 }
 
 // Datagrams under another key, replayed ones, spoilt ones and nonsense, as fast as they go.
 TEST(Fleet, AFloodOfWhatDoesNotVerifyChangesNothing) {
-  Together w(4, 2, 14);
+  ConvergedFleet w(4, 2, 14);
   Fault fault;
-  fault.spoilt = 0.2, fault.doubled = 0.5;
+  fault.corruptRatio = 0.2, fault.duplicateRatio = 0.5;
   w.faultAll(fault);
   const int out = ::socket(AF_INET, SOCK_DGRAM | SOCK_CLOEXEC, 0);
   sockaddr_in at{};
@@ -346,14 +350,14 @@
       ::sendto(out, nonsense.data(), nonsense.size(), 0, reinterpret_cast<const sockaddr*>(&at), sizeof at);
   ::close(out);
   w.heal();
-  w.comesTogether();
+  w.expectConvergence();
   EXPECT_EQ(w.verdicts(w.from), 0u);
   w.write(0, "", "other");  // from now on its settings name another key
   EXPECT_EQ(w.command({"members", "--options", w.options(0), "--at", w.address(1)}).first, 1);
 }
 
 TEST(Fleet, ASlowMachineBuriesNobody) {
-  Together w(5, 3, 15);
+  ConvergedFleet w(5, 3, 15);
   std::atomic<bool> over{false};
   std::vector<std::thread> busy;
   for (unsigned i = 0; i < 3 * std::thread::hardware_concurrency(); ++i)
@@ -361,15 +365,15 @@
       while (!over) {
       }
     });
-  w.periods(30);
+  w.waitIntervals(30);
   over = true;
   for (auto& thread : busy) thread.join();
   EXPECT_EQ(w.verdicts(w.from), 0u);
-  w.comesTogether();
+  w.expectConvergence();
 }
 
 TEST(Fleet, TwentyFourJoinAtOnce) {
-  Together w(24, 3, 16);
+  ConvergedFleet w(24, 3, 16);
   EXPECT_EQ(w.verdicts(0), 0u);
 }
 
@@ -389,7 +393,7 @@
 }
 
 TEST(Fleet, TheCommandTellsWhoIsThereAndWhy) {
-  Together w(3, 3, 18);
+  ConvergedFleet w(3, 3, 18);
   // What a member says of itself comes with its first word, which may be later than others' word of it.
   EXPECT_TRUE(w.until([&] {
     const auto [status, said] = w.command({"members", "--json", "--options", w.options(0)});
@@ -407,7 +411,7 @@
            {"members", "--options", w.options(1), "explain", "--at", w.address(0), "m2"}}) {
     const auto [fine, lines] = w.command(words);
     EXPECT_EQ(fine, 0);
-    EXPECT_NE(lines.find("probes of ours in a row"), std::string::npos) << lines;
+    EXPECT_NE(lines.find("probes in a row without a direct answer"), std::string::npos) << lines;
   }
   EXPECT_EQ(w.command({"members", "explain", "m9", "--options", w.options(0)}).first, 2);
   EXPECT_EQ(w.command({"members", "--options", w.options(0), "--at", "127.0.0.1:1"}).first, 1);
