--- a/src/options/options.cpp
+++ b/src/options/options.cpp
@@ -24,7 +24,7 @@
   return fmt::format(
       "store: in {}, at most {} kB on disk and {} kB of index (for rainhook store; serve does not open it "
       "yet)",
-      store.folder, store.bounds.diskBytes / bytesPerKb, store.bounds.indexBytes / bytesPerKb);
+      store.folder, store.bounds.maxDiskBytes / bytesPerKb, store.bounds.maxIndexBytes / bytesPerKb);
 }
 
 std::string describe(const membership::MembershipSettings& membership) {
--- a/src/store/disk.h
+++ b/src/store/disk.h
@@ -1,5 +1,6 @@
-// The folder that a store lives in, as the store sees it: one flat folder of files. POSIX in service
-// (posix_disk.h); in tests one that forgets what was not synced. Faults are values: errno as it was.
+/// @file
+/// The folder that a store lives in: one flat directory of files. PosixDisk in service; the tests have one
+/// that simulates crashes and failures. Nothing here throws: every operation returns its error.
 #pragma once
 
 #include <cstddef>
@@ -8,65 +9,85 @@
 #include <span>
 #include <string>
 #include <string_view>
+#include <system_error>
 #include <vector>
 
 namespace rainhook::store {
 
-struct Fault {
-  int code = 0;  // errno; 0 is none
+/// An error of the operating system in the generic category; compares with std::errc.
+using DiskError = std::error_code;
 
-  explicit operator bool() const { return code != 0; }
-  std::string text() const;
-  bool operator==(const Fault&) const = default;
-};
+/// The error of an errno value; 0 is success.
+inline DiskError diskError(int errorNumber) { return {errorNumber, std::generic_category()}; }
 
-struct Transfer {
-  std::size_t bytes = 0;  // may be fewer than asked for; 0 without a fault is the end of the file
-  Fault fault;
+/// How a read or a write ended.
+struct IoResult {
+  std::size_t bytes = 0;  ///< May be fewer than asked for; 0 without an error is the end of the file.
+  DiskError error;        ///< Why nothing more was moved.
 };
 
+/// An open file; closed with its destruction.
 class File {
  public:
   virtual ~File() = default;
-  virtual Transfer read(std::uint64_t offset, std::span<char> into) = 0;
-  virtual Transfer write(std::uint64_t offset, std::string_view bytes) = 0;
-  virtual Fault sync() = 0;     // what was written before is on the disk when this says so
-  virtual void willSync() = 0;  // what was written may go to the disk now, so that the sync finds less to do
-  virtual Fault cut(std::uint64_t size) = 0;
+  /// Reads from the offset; may read less than asked for.
+  virtual IoResult read(std::uint64_t offset, std::span<char> into) = 0;
+  /// Writes at the offset; may write less than given.
+  virtual IoResult write(std::uint64_t offset, std::string_view bytes) = 0;
+  /// What was written before is durable once this succeeds.
+  virtual DiskError sync() = 0;
+  /// A hint to begin writing back what was written, so that a later sync finds less to do.
+  virtual void startWriteback() = 0;
+  /// Shortens the file to this size.
+  virtual DiskError truncate(std::uint64_t size) = 0;
+  /// The present size, 0 where it can't be told.
   virtual std::uint64_t size() = 0;
 };
 
+/// The operations on the folder.
 class Disk {
  public:
-  struct Listed {
-    std::string name;
-    std::uint64_t bytes = 0;
-    bool folder = false;
+  /// A name in the folder.
+  struct DirectoryEntry {
+    std::string name;          ///< Without a path.
+    std::uint64_t bytes = 0;   ///< The file's size.
+    bool isDirectory = false;  ///< Or anything else that is no regular file.
   };
-  struct Opened {
-    std::shared_ptr<File> file;  // null with a fault
-    Fault fault;
+  /// How an opening ended.
+  struct OpenResult {
+    std::shared_ptr<File> file;  ///< Null with an error.
+    DiskError error;             ///< Why there is no file.
   };
-  struct Locked {
-    Fault fault;
-    std::string holder;  // the pid that holds it, where that is known
+  /// How a locking ended.
+  struct LockResult {
+    DiskError error;     ///< operation_would_block where another process holds the lock.
+    std::string holder;  ///< The process id that holds the lock, where that is known.
   };
 
   virtual ~Disk() = default;
-  virtual Fault list(std::vector<Listed>& into) = 0;
-  virtual Opened open(const std::string& name) = 0;    // to read
-  virtual Opened create(const std::string& name) = 0;  // to read and write; empties one that is there
-  virtual void willRead(const std::string& name) = 0;  // soon and whole; only makes it quicker
-  virtual Fault rename(const std::string& from, const std::string& to) = 0;
-  virtual Fault remove(const std::string& name) = 0;
-  virtual Fault syncFolder() = 0;                    // names made, changed and removed before are on the disk
-  virtual Locked lock(const std::string& name) = 0;  // until unlocked, or the Disk goes, or its process
+  /// Appends all names in the folder.
+  virtual DiskError list(std::vector<DirectoryEntry>& into) = 0;
+  /// Opens an existing file for reading.
+  virtual OpenResult open(const std::string& name) = 0;
+  /// Opens a file for reading and writing; truncates one that exists.
+  virtual OpenResult create(const std::string& name) = 0;
+  /// A hint that the whole file will be read soon.
+  virtual void prefetch(const std::string& name) = 0;
+  /// Replaces `to` where it exists.
+  virtual DiskError rename(const std::string& from, const std::string& to) = 0;
+  /// Removes a file; whoever has it open can read on.
+  virtual DiskError remove(const std::string& name) = 0;
+  /// Names created, changed and removed before are durable once this succeeds.
+  virtual DiskError syncDirectory() = 0;
+  /// Locks the folder until `unlock`, the end of this object or of its process.
+  virtual LockResult lock(const std::string& name) = 0;
+  /// Releases the lock, if it is held.
   virtual void unlock() = 0;
 };
 
-// Goes on after short transfers; a transfer that moves nothing is EIO.
-Fault writeAll(File& file, std::uint64_t offset, std::string_view bytes);
-// Up to the end of the file; `bytes` tells how far it came.
-Transfer readAll(File& file, std::uint64_t offset, std::span<char> into);
+/// Continues after short writes; a write that moves nothing is an I/O error.
+DiskError writeAll(File& file, std::uint64_t offset, std::string_view bytes);
+/// Reads until `into` is full or the file ends; `bytes` tells how many were read, also with an error.
+IoResult readAll(File& file, std::uint64_t offset, std::span<char> into);
 
 }  // namespace rainhook::store
--- a/tests/options_test.cpp
+++ b/tests/options_test.cpp
@@ -41,9 +41,9 @@
   const Options options = readOptions("store:\n  folder: here\n  disk_bytes: 64 MB\n  open_files: 7\n", "f");
   ASSERT_TRUE(options.store);
   EXPECT_EQ(options.store->folder, "here");
-  EXPECT_EQ(options.store->bounds.diskBytes, 64u << 20);
-  EXPECT_EQ(options.store->bounds.openFiles, 7u);
-  EXPECT_EQ(options.store->bounds.queueBytes, store::StoreBounds{}.queueBytes);
+  EXPECT_EQ(options.store->bounds.maxDiskBytes, 64u << 20);
+  EXPECT_EQ(options.store->bounds.maxOpenFiles, 7u);
+  EXPECT_EQ(options.store->bounds.maxQueueBytes, store::StoreSettings{}.maxQueueBytes);
   EXPECT_THAT(describeEnabledFeatures(options), SizeIs(1));
 }
 
