--- a/src/commands/members_command.cpp
+++ b/src/commands/members_command.cpp
@@ -11,7 +11,7 @@
 #include <string>
 #include <thread>
 
-#include "commands/commands.h"
+#include "commands/command_line.h"
 #include "commands/members_options.h"
 #include "commands/membership_client.h"
 #include "options/options.h"
@@ -24,7 +24,7 @@
 po::options_description membershipOptions(const char* title) {
   po::options_description out(title);
   out.add_options()(
-      "options", po::value<std::string>()->default_value(fromEnvironment("RAINHOOK_OPTIONS")),
+      "options", po::value<std::string>()->default_value(environmentVariable("RAINHOOK_OPTIONS")),
       "our own settings, with a section membership; where absent the file that RAINHOOK_OPTIONS names")(
       "help", "this page");
   return out;
@@ -32,7 +32,7 @@
 
 membership::MembershipSettings membershipSettingsOf(const po::variables_map& given) {
   const auto own = options::readOptionsFile(given["options"].as<std::string>());
-  if (!own.membership) throw Misuse("the settings have no section membership");
+  if (!own.membership) throw UsageError("the settings have no section membership");
   return *own.membership;
 }
 
@@ -66,14 +66,14 @@
   const auto answer = client.queryMembers();
   if (asJson) {
     std::cout << answer.at("members").dump(2) << '\n';
-    return fine;
+    return exitSuccess;
   }
   fmt::print(memberRowFormat, "name", "address", "zone", "region", "state", "inc", "reachable", "phase");
   fmt::print("\n");
   for (const auto& member : answer.at("members")) fmt::print("{}\n", memberRow(member));
   if (answer.at("doubtful").get<bool>())
     fmt::print("{} says that its view is uncertain\n", textOf(answer, "asked"));
-  return fine;
+  return exitSuccess;
 }
 
 using RowsByName = std::map<std::string, std::string>;
@@ -120,19 +120,19 @@
   const auto zones = client.queryZones();
   if (asJson) {
     std::cout << zones.dump(2) << '\n';
-    return fine;
+    return exitSuccess;
   }
   fmt::print(zoneRowFormat, "zone", "region", "members", "serving", "cold", "unfit", "limit", "running",
              "read/s", "done/s", "held", "oldest ms", "");
   for (const auto& zone : zones) printZone(zone);
-  return fine;
+  return exitSuccess;
 }
 
 int printExplanation(MembershipClient& client, const std::string& memberName) {
   const auto lines = client.queryExplanation(memberName);
-  if (lines.empty()) throw Misuse("members: nobody is known under the name " + memberName);
+  if (lines.empty()) throw UsageError("members: nobody is known under the name " + memberName);
   for (const auto& line : lines) fmt::print("{}\n", line.get<std::string>());
-  return fine;
+  return exitSuccess;
 }
 
 po::options_description membersOptions() {
@@ -147,9 +147,9 @@
 
 void checkCommand(const std::string& command, const std::string& name) {
   if (!command.empty() && command != "watch" && command != "explain" && command != "zones")
-    throw Misuse("unknown command 'members " + command + "'");
-  if (command == "explain" && name.empty()) throw Misuse("members explain: the name is missing");
-  if (command != "explain" && !name.empty()) throw Misuse("members: no name is wanted");
+    throw UsageError("unknown command 'members " + command + "'");
+  if (command == "explain" && name.empty()) throw UsageError("members explain: the name is missing");
+  if (command != "explain" && !name.empty()) throw UsageError("members: no name is wanted");
 }
 
 int run(MembershipClient& client, const std::string& command, const std::string& name, bool asJson) {
@@ -161,18 +161,18 @@
 
 }  // namespace
 
-int members(const Words& words) {
+int members(const Arguments& arguments) {
   const auto options = membersOptions();
-  const auto given = read(words, options, {"command", "name"});
+  const auto given = parseArguments(arguments, options, {"command", "name"});
   const auto command = given["command"].as<std::string>();
   const auto name = given["name"].as<std::string>();
-  if (given.count("help") || command == "help") {
+  if (given.count("help") > 0 || command == "help") {
     std::cout << usage << options;
-    return fine;
+    return exitSuccess;
   }
   checkCommand(command, name);
   const auto settings = membershipSettingsOf(given);
-  const auto address = given.count("at") ? given["at"].as<std::string>() : settings.advertise.text;
+  const auto address = given.count("at") > 0 ? given["at"].as<std::string>() : settings.advertise.text;
   MembershipClient client(settings, address);
   try {
     return run(client, command, name, given["json"].as<bool>());
@@ -181,7 +181,7 @@
   } catch (const json::exception&) {
     fmt::print(stderr, "rainhook: members: the answer can't be read: another release?\n");
   }
-  return absent;
+  return exitNotFound;
 }
 
 }  // namespace rainhook::commands
--- a/src/commands/members_options.h
+++ b/src/commands/members_options.h
@@ -10,7 +10,7 @@
 
 [[nodiscard]] boost::program_options::options_description membershipOptions(const char* title);
 /// The section membership of the settings that the option names.
-/// @throws Misuse where there is none
+/// @throws UsageError where there is none
 [[nodiscard]] membership::MembershipSettings membershipSettingsOf(
     const boost::program_options::variables_map& given);
 
--- a/src/commands/membership_client.cpp
+++ b/src/commands/membership_client.cpp
@@ -5,7 +5,7 @@
 
 #include <random>
 
-#include "commands/commands.h"
+#include "commands/command_line.h"
 #include "membership_transport/address.h"
 #include "membership_transport/framing.h"
 
@@ -47,7 +47,8 @@
 MembershipClient::MembershipClient(const membership::MembershipSettings& settings, const std::string& address)
     : authenticator_(settings.keys, drawProcessId()) {
   const auto parsed = membershipTransport::parseAddress(address);
-  if (!parsed) throw Misuse(fmt::format("members: '{}' is no address of the form 127.0.0.1:7101", address));
+  if (!parsed)
+    throw UsageError(fmt::format("members: '{}' is no address of the form 127.0.0.1:7101", address));
   address_ = *parsed;
 }
 
--- a/src/commands/membership_client.h
+++ b/src/commands/membership_client.h
@@ -21,7 +21,7 @@
 class MembershipClient {
  public:
   /// @param address of the instance to ask
-  /// @throws Misuse where the address has another form
+  /// @throws UsageError where the address has another form
   MembershipClient(const membership::MembershipSettings& settings, const std::string& address);
 
   /// The members as that instance sees them, with `members`, `doubtful` and `asked`.
--- a/src/commands/witness_command.cpp
+++ b/src/commands/witness_command.cpp
@@ -8,7 +8,7 @@
 #include <iostream>
 #include <optional>
 
-#include "commands/commands.h"
+#include "commands/command_line.h"
 #include "commands/members_options.h"
 #include "commands/membership_client.h"
 #include "logging/log.h"
@@ -26,22 +26,22 @@
 using membershipTransport::MembershipTransport;
 
 /// Says why this instance can't be a member, and gives the status to end with; nothing where it can.
-std::optional<Status> rejectionStatus(const MembershipSettings& settings, const MembershipEvent& event) {
+std::optional<ExitStatus> rejectionStatus(const MembershipSettings& settings, const MembershipEvent& event) {
   if (event.type == MembershipEvent::Type::regionMismatch) {
     fmt::print(stderr, "rainhook: {}\n", server::regionMismatch(settings, event.member));
-    return misused;
+    return exitUsageError;
   }
   if (event.type != MembershipEvent::Type::nameRejected) return std::nullopt;
   fmt::print(stderr, "rainhook: the name {} is held by the living instance at {}\n", settings.name.text,
              event.member.address.text);
-  return cannotServe;
+  return exitFailure;
 }
 
 /// Runs until a signal ends it or it is rejected.
 int runWitness(const MembershipSettings& settings, logging::Log& log) {
   net::Reactor reactor;
   net::BufferPool pool;
-  int status = fine;
+  int status = exitSuccess;
   net::Reactor::Timer stopTimer;
   std::optional<MembershipTransport> transport;
   reactor.onSignals({SIGTERM, SIGINT}, [&](int) {
@@ -61,7 +61,7 @@
     transport->open();
   } catch (const Poco::Exception& error) {
     fmt::print(stderr, "rainhook: can't listen at {}: {}\n", settings.listen.text, error.displayText());
-    return cannotServe;
+    return exitFailure;
   }
   incarnations.follow(*transport);
   transport->publishStatus(membership::MemberStatus{});  // an observer
@@ -73,17 +73,17 @@
 
 }  // namespace
 
-int witness(const Words& words) {
+int witness(const Arguments& arguments) {
   const auto options = membershipOptions("options of witness");
-  const auto given = read(words, options);
-  if (given.count("help")) {
+  const auto given = parseArguments(arguments, options);
+  if (given.count("help") > 0) {
     std::cout << "usage: rainhook witness --options FILE\n\n" << options;
-    return fine;
+    return exitSuccess;
   }
   const auto settings = membershipSettingsOf(given);
   const auto own = options::readOptionsFile(given["options"].as<std::string>());
   signal(SIGPIPE, SIG_IGN);
-  const bool isJson = own.log && own.log->json;
+  const bool isJson = own.logFormat() == options::LogFormat::json;
   logging::Log log(isJson ? logging::Log::Form::json : logging::Log::Form::text, settings.name.text);
   return runWitness(settings, log);
 }
