--- a/bench/membership_measure.cpp
+++ b/bench/membership_measure.cpp
@@ -18,7 +18,7 @@
 using namespace rainhook::membership;
 using namespace std::chrono_literals;
 
-double seconds(Span span) { return std::chrono::duration<double>(span).count(); }
+double seconds(Duration span) { return std::chrono::duration<double>(span).count(); }
 double at(std::vector<double> values, double share) {
   if (values.empty()) return 0;
   std::sort(values.begin(), values.end());
@@ -48,7 +48,7 @@
   Found out;
   for (int seed = 1; seed <= seeds; ++seed) {
     SimulatedFleet fleet = together(count, seed, settings);
-    const Span killed = fleet.now;
+    const Duration killed = fleet.now;
     const std::size_t who = 1;
     fleet.kill(who);
     fleet.runUntil(300s, [&] {
@@ -77,7 +77,7 @@
     SimulatedFleet fleet = together(count, seed, settings);
     pcg32 chance(static_cast<std::uint64_t>(seed));
     const std::size_t before = fleet.deathsDeclared();
-    const Span from = fleet.now;
+    const Duration from = fleet.now;
     trouble(fleet, chance);
     verdicts += fleet.deathsDeclared() - before;
     hours += seconds(fleet.now - from) / 3600;
@@ -121,7 +121,7 @@
                        [](const auto& node) { return node.member->queuedUpdates() == 0; });
   });
   for (auto& node : fleet.nodes) node.datagrams = node.bytes = node.stateBytes = 0;
-  const Span from = fleet.now;
+  const Duration from = fleet.now;
   fleet.runFor(30s);
   Load out;
   const double over = seconds(fleet.now - from) * static_cast<double>(count);
@@ -167,7 +167,7 @@
     fleet.link = [](auto from, auto to) { return SimulatedFleet::Link{from % 2 == to % 2 ? 0.0 : 1.0, {}}; };
     fleet.runFor(120s);
     fleet.healAllLinks();
-    const Span from = fleet.now;
+    const Duration from = fleet.now;
     if (fleet.runUntil(200s, [&] { return fleet.hasConverged(); })) out.push_back(seconds(fleet.now - from));
   }
   return at(out, 0.5);
--- a/src/membership/death_declaration.cpp
+++ b/src/membership/death_declaration.cpp
@@ -7,12 +7,13 @@
 
 using namespace std::chrono_literals;
 
-void DeathDeclaration::removeExpired(Span now) {
-  std::erase_if(declaredAt_, [&](Span at) { return now - at >= window(); });
+void DeathDeclaration::removeExpired(Duration now) {
+  std::erase_if(declaredAt_, [&](Duration at) { return now - at >= window(); });
 }
 
-PostponeReason DeathDeclaration::reasonToPostpone(Span now, const Member& suspected, const LocalView& view,
-                                                  const MemberTable& members, const ZoneHealth& zones) const {
+PostponeReason DeathDeclaration::reasonToPostpone(Duration now, const Member& suspected,
+                                                  const LocalView& view, const MemberTable& members,
+                                                  const ZoneHealth& zones) const {
   if (!settings_.requireCorroboration) return PostponeReason::none;
   if (view.isIsolated) return PostponeReason::isolated;
   if (view.isInGracePeriod) return PostponeReason::recentPause;
@@ -26,8 +27,8 @@
   return checkBounds(now, members);
 }
 
-PostponeReason DeathDeclaration::checkAccusers(Span now, const Suspicion& suspicion, const LocalView& view,
-                                               const MemberTable& members) const {
+PostponeReason DeathDeclaration::checkAccusers(Duration now, const Suspicion& suspicion,
+                                               const LocalView& view, const MemberTable& members) const {
   if (members.count(now, window()).alive < 2) return PostponeReason::noSecondAccuser;
   if (suspicion.accusers.size() < 2) return PostponeReason::awaitsSecondAccuser;
   std::set<ZoneName> possibleZones{view.zone};
@@ -39,12 +40,12 @@
   return PostponeReason::none;
 }
 
-PostponeReason DeathDeclaration::checkBounds(Span now, const MemberTable& members) const {
+PostponeReason DeathDeclaration::checkBounds(Duration now, const MemberTable& members) const {
   const auto present = static_cast<double>(members.count(now, window()).present);
   const auto limit = std::max<std::size_t>(1, static_cast<std::size_t>(settings_.maxDeclaredShare * present));
   if (declaredAt_.size() >= limit) return PostponeReason::shareExceeded;
   const auto withinSecond =
-      std::count_if(declaredAt_.begin(), declaredAt_.end(), [&](Span at) { return now - at < 1s; });
+      std::count_if(declaredAt_.begin(), declaredAt_.end(), [&](Duration at) { return now - at < 1s; });
   if (static_cast<std::size_t>(withinSecond) >= settings_.maxDeclarationsPerSecond)
     return PostponeReason::rateExceeded;
   return PostponeReason::none;
--- a/src/membership/death_declaration.h
+++ b/src/membership/death_declaration.h
@@ -17,7 +17,7 @@
   ZoneName zone;
   bool isIsolated = false;
   bool isInGracePeriod = false;
-  Span minSuspicionTimeout{};
+  Duration minSuspicionTimeout{};
 };
 
 /// Remembers the declarations of the declaration window.
@@ -25,21 +25,23 @@
  public:
   explicit DeathDeclaration(const ProtocolSettings& settings) : settings_(settings) {}
 
-  void record(Span now) { declaredAt_.push_back(now); }
+  void record(Duration now) { declaredAt_.push_back(now); }
   /// Forgets the declarations that are older than the window.
-  void removeExpired(Span now);
+  void removeExpired(Duration now);
   /// Why the declaration has to wait; `none` where the member may be declared dead.
-  [[nodiscard]] PostponeReason reasonToPostpone(Span now, const Member& suspected, const LocalView& view,
+  [[nodiscard]] PostponeReason reasonToPostpone(Duration now, const Member& suspected, const LocalView& view,
                                                 const MemberTable& members, const ZoneHealth& zones) const;
 
  private:
-  [[nodiscard]] PostponeReason checkAccusers(Span now, const Suspicion& suspicion, const LocalView& view,
+  [[nodiscard]] PostponeReason checkAccusers(Duration now, const Suspicion& suspicion, const LocalView& view,
                                              const MemberTable& members) const;
-  [[nodiscard]] PostponeReason checkBounds(Span now, const MemberTable& members) const;
-  [[nodiscard]] Span window() const { return settings_.probeInterval * settings_.declarationWindowPeriods; }
+  [[nodiscard]] PostponeReason checkBounds(Duration now, const MemberTable& members) const;
+  [[nodiscard]] Duration window() const {
+    return settings_.probeInterval * settings_.declarationWindowPeriods;
+  }
 
   const ProtocolSettings& settings_;
-  std::vector<Span> declaredAt_;
+  std::vector<Duration> declaredAt_;
 };
 
 }  // namespace rainhook::membership
--- a/src/membership/dependency_quota.cpp
+++ b/src/membership/dependency_quota.cpp
@@ -29,7 +29,7 @@
 
 }  // namespace
 
-FleetView observeFleet(const Membership& membership, Span now, Span lease) {
+FleetView observeFleet(const Membership& membership, Duration now, Duration lease) {
   FleetView out;
   out.isUncertain = membership.isViewUncertain(now);
   for (const auto& [name, member] : membership.members()) {
@@ -39,7 +39,7 @@
   return out;
 }
 
-double DependencyQuota::update(Span now, const FleetView& view) {
+double DependencyQuota::update(Duration now, const FleetView& view) {
   const Standing standing = updateStanding(now, view);
   updateLease(now, view, standing.hasHalf);
   updateHolders(now, view, standing.hasMajority);
@@ -53,7 +53,7 @@
   return static_cast<double>(servers) / static_cast<double>(quotaHolders_);
 }
 
-DependencyQuota::Standing DependencyQuota::updateStanding(Span now, const FleetView& view) {
+DependencyQuota::Standing DependencyQuota::updateStanding(Duration now, const FleetView& view) {
   // After a late call the view is as old as at the call before.
   const bool isLate = lastUpdate_ && now - *lastUpdate_ > settings_.lease / 4;
   lastUpdate_ = now;
@@ -69,7 +69,7 @@
   return out;
 }
 
-void DependencyQuota::updateLease(Span now, const FleetView& view, bool hasHalf) {
+void DependencyQuota::updateLease(Duration now, const FleetView& view, bool hasHalf) {
   if (lastWithHalf_ && now - *lastWithHalf_ > settings_.lease) isLeaseValid_ = false;
   if (hasHalf) lastWithHalf_ = now;
   // Whoever comes, or comes back, lets the others count it before it calls.
@@ -77,11 +77,11 @@
   if (hasHalf && !isLeaseValid_ && !backSince_) backSince_ = now;
   const bool isCounted =
       view.smallestAdvertised >= view.fleetSize && view.fleetSize >= view.largestAdvertised;
-  const Span wait = isCounted ? settings_.stabilizationPeriod : settings_.lease;
+  const Duration wait = isCounted ? settings_.stabilizationPeriod : settings_.lease;
   if (backSince_ && now - *backSince_ >= wait) isLeaseValid_ = true;
 }
 
-void DependencyQuota::updateHolders(Span now, const FleetView& view, bool hasMajority) {
+void DependencyQuota::updateHolders(Duration now, const FleetView& view, bool hasMajority) {
   if (view.quotaHolders >= quotaHolders_) {
     quotaHolders_ = view.quotaHolders;
     fewerHoldersSince_.reset();
--- a/src/membership/dependency_quota.h
+++ b/src/membership/dependency_quota.h
@@ -33,20 +33,20 @@
   /// Fleet size by which a member divides that is alive and may call.
   std::size_t smallestAdvertised = std::numeric_limits<std::size_t>::max();
 };
-[[nodiscard]] FleetView observeFleet(const Membership& membership, Span now, Span lease);
+[[nodiscard]] FleetView observeFleet(const Membership& membership, Duration now, Duration lease);
 
 class DependencyQuota {
  public:
   struct Settings {
     int servers = 1;  ///< for so many is the quota of each configured
-    Span lease = std::chrono::seconds(30);
-    Span stabilizationPeriod = std::chrono::seconds(5);
+    Duration lease = std::chrono::seconds(30);
+    Duration stabilizationPeriod = std::chrono::seconds(5);
   };
   explicit DependencyQuota(const Settings& settings) : settings_(settings) {}
 
   /// The part of the configured quota that may be used from now on, 0 to 1. To be called many times in a
   /// lease: a call that comes late makes the view count as uncertain.
-  double update(Span now, const FleetView& view);
+  double update(Duration now, const FleetView& view);
   /// By how many the configured sum is divided.
   [[nodiscard]] std::size_t quotaHolders() const { return quotaHolders_; }
   /// The fleet of which a majority is needed; what this member advertises.
@@ -57,17 +57,17 @@
     bool hasHalf = false;
     bool hasMajority = false;
   };
-  Standing updateStanding(Span now, const FleetView& view);
-  void updateLease(Span now, const FleetView& view, bool hasHalf);
-  void updateHolders(Span now, const FleetView& view, bool hasMajority);
+  Standing updateStanding(Duration now, const FleetView& view);
+  void updateLease(Duration now, const FleetView& view, bool hasHalf);
+  void updateHolders(Duration now, const FleetView& view, bool hasMajority);
 
   Settings settings_;
   std::size_t quotaHolders_ = 1;
   std::size_t fleetSize_ = 1;
-  std::optional<Span> lastUpdate_;
-  std::optional<Span> lastWithHalf_;
-  std::optional<Span> fewerHoldersSince_;
-  std::optional<Span> backSince_;
+  std::optional<Duration> lastUpdate_;
+  std::optional<Duration> lastWithHalf_;
+  std::optional<Duration> fewerHoldersSince_;
+  std::optional<Duration> backSince_;
   bool hasBegun_ = false;      ///< the others have counted this member once, or it is the first
   bool isLeaseValid_ = false;  ///< the others have had time to count this member
 };
--- a/src/membership/dissemination.cpp
+++ b/src/membership/dissemination.cpp
@@ -41,10 +41,10 @@
 }
 
 /// The queue holds moments, messages hold ages.
-void turnMomentsIntoAges(std::vector<GossipUpdate>& updates, Span now) {
+void turnMomentsIntoAges(std::vector<GossipUpdate>& updates, Duration now) {
   for (auto& update : updates)
     if (update.kind == GossipUpdate::Kind::receivedFrom)
-      update.observed = std::max(now - update.observed, Span{});
+      update.observed = std::max(now - update.observed, Duration{});
 }
 
 }  // namespace
@@ -56,7 +56,7 @@
 }
 
 void Dissemination::announceReceivedFrom(const MemberRecord& subject, const Reporter& reporter,
-                                         Span observedAt) {
+                                         Duration observedAt) {
   queue_.add({GossipUpdate::Kind::receivedFrom, subject, {reporter}, observedAt});
 }
 
@@ -85,7 +85,7 @@
   return encodeMessage(message, maxStateBytes).bytes;
 }
 
-std::string Dissemination::encodeDatagram(Message message, Span now, const MemberTable& members,
+std::string Dissemination::encodeDatagram(Message message, Duration now, const MemberTable& members,
                                           const ProbeRound& round, RandomSource& random) {
   addOwnFacts(message, members);
   message.updates = queue_.next(maxUpdates, message.recipient);
--- a/src/membership/dissemination.h
+++ b/src/membership/dissemination.h
@@ -20,7 +20,7 @@
   /// Queues an update, in place of an earlier one on the same member or zone.
   void announce(GossipUpdate::Kind kind, const MemberRecord& subject, std::vector<Reporter> reporters = {});
   /// Queues the proof that `reporter` received from `subject` at that moment.
-  void announceReceivedFrom(const MemberRecord& subject, const Reporter& reporter, Span observedAt);
+  void announceReceivedFrom(const MemberRecord& subject, const Reporter& reporter, Duration observedAt);
   void removeUpdatesAbout(const MemberName& name) { queue_.remove(name); }
   [[nodiscard]] std::size_t queuedUpdates() const { return queue_.size(); }
 
@@ -32,7 +32,7 @@
   [[nodiscard]] std::string encodeState(Message message, bool hasLeft, const MemberTable& members) const;
   /// A message that fits into a datagram. The update on its recipient goes first, so that a member that is
   /// suspected learns of it at once (Lifeguard's buddy system, section IV.C).
-  [[nodiscard]] std::string encodeDatagram(Message message, Span now, const MemberTable& members,
+  [[nodiscard]] std::string encodeDatagram(Message message, Duration now, const MemberTable& members,
                                            const ProbeRound& round, RandomSource& random);
 
  private:
--- a/src/membership/explain.cpp
+++ b/src/membership/explain.cpp
@@ -6,11 +6,13 @@
 namespace rainhook::membership {
 namespace {
 
-std::string inMilliseconds(Span span) {
+std::string inMilliseconds(Duration span) {
   return std::to_string(std::chrono::duration_cast<std::chrono::milliseconds>(span).count()) + " ms";
 }
 
-std::string ago(Span now, Span at) { return at < Span{} ? "never" : inMilliseconds(now - at) + " ago"; }
+std::string ago(Duration now, Duration at) {
+  return at < Duration{} ? "never" : inMilliseconds(now - at) + " ago";
+}
 
 std::string textOf(Incarnation incarnation) {
   return std::to_string(static_cast<std::uint64_t>(incarnation));
@@ -26,9 +28,9 @@
   return out.empty() ? "nobody" : out;
 }
 
-void explainSuspicion(const Suspicion& suspicion, Span now, std::vector<std::string>& lines) {
+void explainSuspicion(const Suspicion& suspicion, Duration now, std::vector<std::string>& lines) {
   lines.push_back("suspected by " + listOf(suspicion.accusers));
-  if (suspicion.lastCorroborated >= Span{})
+  if (suspicion.lastCorroborated >= Duration{})
     lines.push_back("another member received from it " + ago(now, suspicion.lastCorroborated));
   std::string declaration =
       "declared dead in " + inMilliseconds(suspicion.deadline - now) + " at the earliest";
@@ -50,7 +52,7 @@
 
 }  // namespace
 
-std::vector<std::string> explainMember(const Membership& membership, const MemberName& name, Span now) {
+std::vector<std::string> explainMember(const Membership& membership, const MemberName& name, Duration now) {
   if (name == membership.self().name)
     return {"that is the instance asked; incarnation " + textOf(membership.self().incarnation)};
   const auto it = membership.members().find(name);
--- a/src/membership/explain.h
+++ b/src/membership/explain.h
@@ -11,6 +11,6 @@
 
 /// One statement a line; nothing where the name is not known.
 [[nodiscard]] std::vector<std::string> explainMember(const Membership& membership, const MemberName& name,
-                                                     Span now);
+                                                     Duration now);
 
 }  // namespace rainhook::membership
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -11,31 +11,31 @@
 
 constexpr std::size_t maxProbes = 128;  // of each kind
 constexpr int maxLocalHealthMultiplier = 8;
-constexpr Span minPause = 100ms;
-constexpr Span minTimerWait = 1ms;
+constexpr Duration minPause = 100ms;
+constexpr Duration minTimerWait = 1ms;
 constexpr int gracePeriods = 2;
 
 }  // namespace
 
-void FailureDetector::open(Span now, RandomSource& random) {
+void FailureDetector::open(Duration now, RandomSource& random) {
   constexpr int phases = 1000;
-  const auto phase = static_cast<Span::rep>(random.below(phases));
-  nextProbeAt_ = now + Span(phase * settings_.probeInterval.count() / phases);
+  const auto phase = static_cast<Duration::rep>(random.below(phases));
+  nextProbeAt_ = now + Duration(phase * settings_.probeInterval.count() / phases);
   lastReceived_ = now;
 }
 
-bool FailureDetector::isIsolated(Span now, std::size_t admittedMembers) const {
+bool FailureDetector::isIsolated(Duration now, std::size_t admittedMembers) const {
   return admittedMembers > 1 && now - lastReceived_ > settings_.probeInterval * settings_.isolationPeriods;
 }
 
-std::optional<Span> FailureDetector::detectPause(Span now) const {
-  const Span late = now - nextDeadline_;
-  if (!settings_.detectPauses || nextDeadline_ == Span{}) return std::nullopt;
-  if (late < std::max<Span>(settings_.probeInterval / 2, minPause)) return std::nullopt;
+std::optional<Duration> FailureDetector::detectPause(Duration now) const {
+  const Duration late = now - nextDeadline_;
+  if (!settings_.detectPauses || nextDeadline_ == Duration{}) return std::nullopt;
+  if (late < std::max<Duration>(settings_.probeInterval / 2, minPause)) return std::nullopt;
   return late;
 }
 
-void FailureDetector::onPause(Span now, Span pause) {
+void FailureDetector::onPause(Duration now, Duration pause) {
   adjustLocalHealth(pause > settings_.probeInterval ? 2 : 1);
   for (auto& [nonce, probe] : probes_) {
     probe.askHelpersAt += pause;
@@ -53,11 +53,11 @@
   localHealthMultiplier_ = std::clamp(localHealthMultiplier_ + by, 0, maxLocalHealthMultiplier);
 }
 
-std::optional<Nonce> FailureDetector::beginProbe(Span now, const MemberRecord& target, ProbePurpose purpose,
-                                                 RandomSource& random) {
+std::optional<Nonce> FailureDetector::beginProbe(Duration now, const MemberRecord& target,
+                                                 ProbePurpose purpose, RandomSource& random) {
   if (probes_.size() >= maxProbes) return std::nullopt;
   const Nonce nonce = random.nonce();
-  const Span interval = byLocalHealth(settings_.probeInterval);
+  const Duration interval = byLocalHealth(settings_.probeInterval);
   Probe probe{.target = target, .purpose = purpose, .started = now};
   probe.askHelpersAt = now + interval * 2 / 5;
   probe.deadline = now + interval;
@@ -70,7 +70,7 @@
   return it == probes_.end() ? nullptr : &it->second;
 }
 
-std::vector<Probe> FailureDetector::takeExpiredProbes(Span now) {
+std::vector<Probe> FailureDetector::takeExpiredProbes(Duration now) {
   std::vector<Probe> out;
   std::erase_if(probes_, [&](auto& entry) {
     if (now < entry.second.deadline) return false;
@@ -80,7 +80,7 @@
   return out;
 }
 
-std::vector<Nonce> FailureDetector::probesToAskHelpersFor(Span now) const {
+std::vector<Nonce> FailureDetector::probesToAskHelpersFor(Duration now) const {
   std::vector<Nonce> out;
   for (const auto& [nonce, probe] : probes_)
     if (now >= probe.askHelpersAt && probe.mayAskHelpers()) out.push_back(nonce);
@@ -89,11 +89,11 @@
 
 bool FailureDetector::hasRoomForIndirectProbe() const { return indirectProbes_.size() < maxProbes; }
 
-std::optional<Nonce> FailureDetector::beginIndirectProbe(Span now, const MemberName& requester,
+std::optional<Nonce> FailureDetector::beginIndirectProbe(Duration now, const MemberName& requester,
                                                          Nonce requesterNonce, RandomSource& random) {
   if (!hasRoomForIndirectProbe()) return std::nullopt;
   const Nonce nonce = random.nonce();
-  const Span deadline = now + settings_.probeInterval / 2;
+  const Duration deadline = now + settings_.probeInterval / 2;
   indirectProbes_.emplace(nonce, IndirectProbe{requester, requesterNonce, deadline});
   nextDeadline_ = std::min(nextDeadline_, deadline);
   return nonce;
@@ -107,7 +107,7 @@
   return out;
 }
 
-std::vector<IndirectProbe> FailureDetector::takeExpiredIndirectProbes(Span now) {
+std::vector<IndirectProbe> FailureDetector::takeExpiredIndirectProbes(Duration now) {
   std::vector<IndirectProbe> out;
   std::erase_if(indirectProbes_, [&](auto& entry) {
     if (now < entry.second.deadline) return false;
@@ -117,10 +117,11 @@
   return out;
 }
 
-void FailureDetector::updateNextDeadline(Span now, bool isProbing) {
+void FailureDetector::updateNextDeadline(Duration now, bool isProbing) {
   nextDeadline_ = now + settings_.probeInterval / 4;
   for (const auto& [nonce, probe] : probes_) {
-    const Span due = probe.mayAskHelpers() ? std::min(probe.askHelpersAt, probe.deadline) : probe.deadline;
+    const Duration due =
+        probe.mayAskHelpers() ? std::min(probe.askHelpersAt, probe.deadline) : probe.deadline;
     nextDeadline_ = std::min(nextDeadline_, due);
   }
   for (const auto& [nonce, probe] : indirectProbes_) nextDeadline_ = std::min(nextDeadline_, probe.deadline);
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -28,9 +28,9 @@
 struct Probe {
   MemberRecord target;
   ProbePurpose purpose = ProbePurpose::failureDetection;
-  Span started{};
-  Span askHelpersAt{};
-  Span deadline{};
+  Duration started{};
+  Duration askHelpersAt{};
+  Duration deadline{};
   std::size_t helpersAsked = 0;
   std::size_t nacks = 0;  ///< helpers that answered that they got no acknowledgement
 
@@ -41,7 +41,7 @@
 struct IndirectProbe {
   MemberName requester;
   Nonce requesterNonce{};
-  Span deadline{};
+  Duration deadline{};
 };
 
 /// Holds 128 probes and 128 indirect probes at most; each ends with its answer or its deadline.
@@ -50,60 +50,60 @@
   explicit FailureDetector(const ProtocolSettings& settings) : settings_(settings) {}
 
   /// Draws the moment of the first probe, so that members do not probe in step.
-  void open(Span now, RandomSource& random);
+  void open(Duration now, RandomSource& random);
 
   // Own condition
-  void onMessageReceived(Span now) { lastReceived_ = now; }
+  void onMessageReceived(Duration now) { lastReceived_ = now; }
   /// Whether nothing was received for so long that this member may be cut off.
   /// @param admittedMembers with this one; a member that is alone is not isolated
-  [[nodiscard]] bool isIsolated(Span now, std::size_t admittedMembers) const;
+  [[nodiscard]] bool isIsolated(Duration now, std::size_t admittedMembers) const;
   /// For how long this process did not run, where that is over half a probe interval (and 100 ms).
-  [[nodiscard]] std::optional<Span> detectPause(Span now) const;
+  [[nodiscard]] std::optional<Duration> detectPause(Duration now) const;
   /// Lets what ran out during a pause run on, and starts the grace period in which nobody is judged.
-  void onPause(Span now, Span pause);
-  [[nodiscard]] bool isInGracePeriod(Span now) const { return now < gracePeriodEnd_; }
+  void onPause(Duration now, Duration pause);
+  [[nodiscard]] bool isInGracePeriod(Duration now) const { return now < gracePeriodEnd_; }
   /// 0 (well) to 8: by how much slower this member judges.
   [[nodiscard]] int localHealthMultiplier() const { return localHealthMultiplier_; }
   /// Positive where this member's health got worse.
   void adjustLocalHealth(int by);
 
   // Probes
-  [[nodiscard]] bool isProbeDue(Span now) const { return now >= nextProbeAt_; }
-  void scheduleNextProbe(Span now) { nextProbeAt_ = now + settings_.probeInterval; }
+  [[nodiscard]] bool isProbeDue(Duration now) const { return now >= nextProbeAt_; }
+  void scheduleNextProbe(Duration now) { nextProbeAt_ = now + settings_.probeInterval; }
   /// The nonce to send; nothing where too many probes are under way.
-  [[nodiscard]] std::optional<Nonce> beginProbe(Span now, const MemberRecord& target, ProbePurpose purpose,
-                                                RandomSource& random);
+  [[nodiscard]] std::optional<Nonce> beginProbe(Duration now, const MemberRecord& target,
+                                                ProbePurpose purpose, RandomSource& random);
   /// Null where no such probe is under way.
   [[nodiscard]] Probe* findProbe(Nonce nonce);
   void endProbe(Nonce nonce) { probes_.erase(nonce); }
   /// Removes and returns the probes that got no answer in time.
-  std::vector<Probe> takeExpiredProbes(Span now);
+  std::vector<Probe> takeExpiredProbes(Duration now);
   /// The probes whose target has not answered directly, so that helpers are to be asked.
-  [[nodiscard]] std::vector<Nonce> probesToAskHelpersFor(Span now) const;
+  [[nodiscard]] std::vector<Nonce> probesToAskHelpersFor(Duration now) const;
 
   // Probes on behalf of others
   /// The nonce to send; nothing where too many are under way.
-  [[nodiscard]] std::optional<Nonce> beginIndirectProbe(Span now, const MemberName& requester,
+  [[nodiscard]] std::optional<Nonce> beginIndirectProbe(Duration now, const MemberName& requester,
                                                         Nonce requesterNonce, RandomSource& random);
   [[nodiscard]] bool hasRoomForIndirectProbe() const;
   /// Removes and returns the one that this nonce acknowledges.
   std::optional<IndirectProbe> takeIndirectProbe(Nonce nonce);
-  std::vector<IndirectProbe> takeExpiredIndirectProbes(Span now);
+  std::vector<IndirectProbe> takeExpiredIndirectProbes(Duration now);
 
   // Timer
-  void updateNextDeadline(Span now, bool isProbing);
-  [[nodiscard]] Span nextDeadline() const { return nextDeadline_; }
+  void updateNextDeadline(Duration now, bool isProbing);
+  [[nodiscard]] Duration nextDeadline() const { return nextDeadline_; }
 
  private:
-  [[nodiscard]] Span byLocalHealth(Span span) const { return span * (1 + localHealthMultiplier_); }
+  [[nodiscard]] Duration byLocalHealth(Duration span) const { return span * (1 + localHealthMultiplier_); }
 
   const ProtocolSettings& settings_;
   std::map<Nonce, Probe> probes_;
   std::map<Nonce, IndirectProbe> indirectProbes_;
-  Span nextProbeAt_{};
-  Span nextDeadline_{};
-  Span lastReceived_{};
-  Span gracePeriodEnd_{-1};
+  Duration nextProbeAt_{};
+  Duration nextDeadline_{};
+  Duration lastReceived_{};
+  Duration gracePeriodEnd_{-1};
   int localHealthMultiplier_ = 0;
 };
 
--- a/src/membership/join.h
+++ b/src/membership/join.h
@@ -49,8 +49,8 @@
 
   [[nodiscard]] bool hasContacts() const { return !contacts_.empty(); }
   [[nodiscard]] bool hasAskedAll() const;
-  [[nodiscard]] bool isContactDue(Span now) const { return now >= nextContactAt_; }
-  void scheduleContact(Span at) { nextContactAt_ = at; }
+  [[nodiscard]] bool isContactDue(Duration now) const { return now >= nextContactAt_; }
+  void scheduleContact(Duration at) { nextContactAt_ = at; }
   /// Whom to ask next; there is one.
   [[nodiscard]] const KnownMember& nextContact();
 
@@ -69,7 +69,7 @@
   std::vector<KnownMember> contacts_;  ///< the seeds, then those known from earlier processes
   std::size_t seedCount_ = 0;
   std::size_t contactsAsked_ = 0;
-  Span nextContactAt_{};
+  Duration nextContactAt_{};
   bool hasJoined_ = false;
   bool isRejected_ = false;
   bool isNameChallenged_ = false;
--- a/src/membership/member.h
+++ b/src/membership/member.h
@@ -29,10 +29,10 @@
 
 /// A suspicion against one member.
 struct Suspicion {
-  Span since{};
-  Span deadline{};              ///< when the member may be declared dead
-  std::set<Reporter> accusers;  ///< those that confirm it, maxReporters at most
-  Span lastCorroborated{-1};    ///< when a member last reported that it receives from the suspect
+  Duration since{};
+  Duration deadline{};            ///< when the member may be declared dead
+  std::set<Reporter> accusers;    ///< those that confirm it, maxReporters at most
+  Duration lastCorroborated{-1};  ///< when a member last reported that it receives from the suspect
   PostponeReason postponedBecause = PostponeReason::none;
   int zoneProbes = 0;  ///< probes of others of its zone before the declaration
 };
@@ -44,15 +44,15 @@
 
   MemberRecord record;
   MemberState state = MemberState::alive;
-  Span stateSince{};
-  Span lastReceived{-1};      ///< a message directly from it
-  Span lastEvidence{-1};      ///< any proof that it lives, also by way of others
-  Span lastCorroborated{-1};  ///< some member, or this one, received a message from it
-  int missedProbes = 0;       ///< in a row without a direct answer
+  Duration stateSince{};
+  Duration lastReceived{-1};      ///< a message directly from it
+  Duration lastEvidence{-1};      ///< any proof that it lives, also by way of others
+  Duration lastCorroborated{-1};  ///< some member, or this one, received a message from it
+  int missedProbes = 0;           ///< in a row without a direct answer
   std::optional<Suspicion> suspicion;
   std::vector<Reporter> deathReporters;  ///< on whose word it was declared dead
   MemberStatus status;
-  Span statusReceived{-1};
+  Duration statusReceived{-1};
   std::vector<MemberName> cannotReach;  ///< members that it reports as unreachable from it
 
   [[nodiscard]] bool isReachable() const { return missedProbes < unreachableAfterProbes; }
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -14,7 +14,7 @@
   return it == members_.end() ? nullptr : &it->second;
 }
 
-FleetCount MemberTable::count(Span now, Span window) const {
+FleetCount MemberTable::count(Duration now, Duration window) const {
   FleetCount out;
   for (const auto& [name, member] : members_) {
     const bool isRecentlyDead = member.state == MemberState::dead && now - member.stateSince < window;
@@ -39,7 +39,7 @@
   return out;
 }
 
-Member& MemberTable::add(const MemberRecord& record, Span now) {
+Member& MemberTable::add(const MemberRecord& record, Duration now) {
   Member& member = members_.emplace(record.name, Member{}).first->second;
   member.record = record;
   member.stateSince = now;
@@ -47,14 +47,14 @@
   return member;
 }
 
-void MemberTable::setState(Member& member, MemberState state, Span now) {
+void MemberTable::setState(Member& member, MemberState state, Duration now) {
   if (member.isGone()) tombstones_.erase({member.stateSince, member.record.name});
   member.state = state;
   member.stateSince = now;
   if (member.isGone()) tombstones_.insert({now, member.record.name});
 }
 
-std::optional<MemberName> MemberTable::removeExpired(Span now, Span retention) {
+std::optional<MemberName> MemberTable::removeExpired(Duration now, Duration retention) {
   if (tombstones_.empty() || now - tombstones_.begin()->first < retention) return std::nullopt;
   const MemberName name = tombstones_.begin()->second;
   members_.erase(name);
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -26,7 +26,7 @@
 class MemberTable {
  public:
   using Members = std::map<MemberName, Member>;
-  using Tombstones = std::set<std::pair<Span, MemberName>>;  ///< by the moment of the state
+  using Tombstones = std::set<std::pair<Duration, MemberName>>;  ///< by the moment of the state
 
   [[nodiscard]] const Members& all() const { return members_; }
   [[nodiscard]] Members& all() { return members_; }
@@ -40,7 +40,7 @@
   [[nodiscard]] std::size_t admittedCount() const { return admittedCount_; }
 
   /// Counts the fleet; those declared dead less than `window` ago count as present.
-  [[nodiscard]] FleetCount count(Span now, Span window) const;
+  [[nodiscard]] FleetCount count(Duration now, Duration window) const;
 
   /// Some members that are alive, drawn at random, at most `limit`: those that answer this one; where there
   /// is none, those that do not, since they may still receive.
@@ -48,13 +48,13 @@
                                                     RandomSource& random) const;
 
   /// Adds a member that is alive.
-  Member& add(const MemberRecord& record, Span now);
+  Member& add(const MemberRecord& record, Duration now);
   /// Moves a member to another state; its suspicion is to be ended by the caller.
-  void setState(Member& member, MemberState state, Span now);
+  void setState(Member& member, MemberState state, Duration now);
   /// The dead and the left, those that went first in front.
   [[nodiscard]] const Tombstones& tombstones() const { return tombstones_; }
   /// Removes and returns the next member that is gone for `retention`.
-  std::optional<MemberName> removeExpired(Span now, Span retention);
+  std::optional<MemberName> removeExpired(Duration now, Duration retention);
 
   /// Members that are alive but do not answer this one.
   [[nodiscard]] const std::set<MemberName>& unreachable() const { return unreachable_; }
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -26,7 +26,7 @@
   self_.incarnation = identity.firstIncarnation;
 }
 
-void Membership::open(Span now, Effects& effects) {
+void Membership::open(Duration now, Effects& effects) {
   isOpen_ = true;
   detector_.open(now, random_);
   nextStateSyncAt_ = now + settings_.probeInterval * settings_.stateSyncPeriods;
@@ -39,26 +39,26 @@
   return std::max(reservation_.required(), self_.incarnation);
 }
 
-bool Membership::isViewUncertain(Span now) const {
+bool Membership::isViewUncertain(Duration now) const {
   if (!join_.hasJoined() || isIsolated(now) || detector_.isInGracePeriod(now)) return true;
   return isLostMajority(now);
 }
 
 /// Where more than half of those that were present lately are lost, it may be this member that is cut off.
-bool Membership::isLostMajority(Span now) const {
+bool Membership::isLostMajority(Duration now) const {
   if (suspicions_.isEmpty() && members_.tombstones().empty()) return false;
   const auto count = members_.count(now, settings_.probeInterval * settings_.declarationWindowPeriods);
   return count.alive * 2 < count.present;
 }
 
-LocalView Membership::localView(Span now) const {
+LocalView Membership::localView(Duration now) const {
   return {self_.zone, isIsolated(now), detector_.isInGracePeriod(now),
           suspicions_.minTimeout(members_.admittedCount())};
 }
 
 // --- Timer ---
 
-void Membership::onTimer(Span now, Effects& effects) {
+void Membership::onTimer(Duration now, Effects& effects) {
   if (!isOpen_ || join_.isRejected()) return;
   handlePause(now, effects);
   handleExpiredProbes(now, effects);
@@ -75,15 +75,15 @@
 
 /// A process that did not run has received nothing and fired no timer: all that ran out meanwhile runs on,
 /// and nobody is judged before the grace period is over.
-void Membership::handlePause(Span now, Effects& effects) {
+void Membership::handlePause(Duration now, Effects& effects) {
   const auto pause = detector_.detectPause(now);
   if (!pause) return;
   ++counters_.pauses;
   detector_.onPause(now, *pause);
-  const Span minDeadline = now + suspicions_.timeout(0, 2, members_.admittedCount());
+  const Duration minDeadline = now + suspicions_.timeout(0, 2, members_.admittedCount());
   for (auto& [name, member] : members_.all()) {
-    for (Span* at : {&member.lastReceived, &member.lastEvidence, &member.lastCorroborated})
-      if (*at >= Span{}) *at += *pause;
+    for (Duration* at : {&member.lastReceived, &member.lastEvidence, &member.lastCorroborated})
+      if (*at >= Duration{}) *at += *pause;
     if (!member.suspicion) continue;
     member.suspicion->since += *pause;
     suspicions_.setDeadline(member, std::max(member.suspicion->deadline + *pause, minDeadline));
@@ -93,21 +93,21 @@
       {EventType::pauseDetected, self_, MemberState::alive, std::to_string(pauseMs) + " ms"});
 }
 
-void Membership::handleExpiredProbes(Span now, Effects& effects) {
+void Membership::handleExpiredProbes(Duration now, Effects& effects) {
   const auto expired = detector_.takeExpiredProbes(now);
   for (const auto nonce : detector_.probesToAskHelpersFor(now)) askHelpers(now, nonce, effects);
   for (const auto& probe : expired) onProbeFailed(now, probe, effects);
 }
 
 /// Lifeguard's nack: this helper lives, the target did not answer it.
-void Membership::handleExpiredIndirectProbes(Span now, Effects& effects) {
+void Membership::handleExpiredIndirectProbes(Duration now, Effects& effects) {
   for (const auto& probe : detector_.takeExpiredIndirectProbes(now))
     if (const Member* const requester = members_.find(probe.requester))
       sendDatagram(now, requester->record.address,
                    newMessage(Kind::nack, probe.requester, probe.requesterNonce), effects);
 }
 
-void Membership::continueJoin(Span now, Effects& effects) {
+void Membership::continueJoin(Duration now, Effects& effects) {
   if (!join_.isContactDue(now) || join_.isNameChallenged()) return;
   if (join_.hasAskedAll())
     admitSelf(now, effects);
@@ -115,14 +115,14 @@
     askNextContact(now, effects);
 }
 
-void Membership::continueMembership(Span now, Effects& effects) {
+void Membership::continueMembership(Duration now, Effects& effects) {
   declareDueMembers(now, effects);
   if (detector_.isProbeDue(now)) probeNext(now, effects);
   if (now >= nextStateSyncAt_) requestState(now, effects);
   reportCertainty(now, effects);
 }
 
-void Membership::continueLeave(Span now, Effects& effects) {
+void Membership::continueLeave(Duration now, Effects& effects) {
   constexpr std::size_t noticesAtOnce = 4;
   if (now < nextLeaveNoticeAt_) return;
   nextLeaveNoticeAt_ = now + settings_.probeInterval / 4;
@@ -130,12 +130,12 @@
     sendDatagram(now, members_.at(name).record.address, newMessage(Kind::ping, name), effects);
 }
 
-void Membership::removeExpiredTombstones(Span now) {
+void Membership::removeExpiredTombstones(Duration now) {
   while (const auto name = members_.removeExpired(now, settings_.tombstoneRetention))
     dissemination_.removeUpdatesAbout(*name);
 }
 
-void Membership::reportCertainty(Span now, Effects& effects) {
+void Membership::reportCertainty(Duration now, Effects& effects) {
   const bool isUncertain = isViewUncertain(now);
   if (isUncertain == wasViewUncertain_) return;
   wasViewUncertain_ = isUncertain;
@@ -149,7 +149,7 @@
   effects.events.push_back({EventType::viewUncertain, self_, MemberState::alive, reason});
 }
 
-void Membership::requestState(Span now, Effects& effects) {
+void Membership::requestState(Duration now, Effects& effects) {
   nextStateSyncAt_ = now + settings_.probeInterval * settings_.stateSyncPeriods;
   const auto sample = members_.sampleAlive(1, {}, random_);
   if (sample.empty()) return;
@@ -158,7 +158,7 @@
             effects);
 }
 
-void Membership::leave(Span now, Effects& effects) {
+void Membership::leave(Duration now, Effects& effects) {
   if (hasLeft_ || !isOpen_ || join_.isRejected()) return;
   hasLeft_ = true;
   nextLeaveNoticeAt_ = now;
@@ -168,7 +168,7 @@
 
 // --- Join ---
 
-void Membership::askNextContact(Span now, Effects& effects) {
+void Membership::askNextContact(Duration now, Effects& effects) {
   join_.scheduleContact(now + settings_.probeInterval);
   const KnownMember& contact = join_.nextContact();
   // Whoever is at that address by now may answer.
@@ -177,7 +177,7 @@
 
 /// This instance is a member from now on, unless its zone stands in another region for those who are there:
 /// whoever adds up figures by zone or by region would be wrong.
-void Membership::admitSelf(Span now, Effects& effects) {
+void Membership::admitSelf(Duration now, Effects& effects) {
   if (join_.hasJoined() || join_.isNameChallenged()) return;
   for (const auto& [name, member] : members_.all()) {
     const MemberRecord& record = member.record;
@@ -203,13 +203,13 @@
 
 /// Our name stands at another address: an earlier process of ours that nobody has missed yet, or another
 /// instance that lives. Only its own answer tells.
-void Membership::challengeName(Span now, const MemberRecord& holder, Effects& effects) {
+void Membership::challengeName(Duration now, const MemberRecord& holder, Effects& effects) {
   if (join_.isNameChallenged()) return;
   join_.setNameChallenged(true);
   probe(now, holder, ProbePurpose::nameChallenge, effects);
 }
 
-void Membership::onNameUnanswered(Span now, const MemberRecord& holder, Effects& effects) {
+void Membership::onNameUnanswered(Duration now, const MemberRecord& holder, Effects& effects) {
   join_.setNameChallenged(false);
   raiseIncarnation(nextIncarnation(holder.incarnation));
   if (join_.hasJoined())
@@ -232,7 +232,7 @@
 
 // --- Probes ---
 
-void Membership::probeNext(Span now, Effects& effects) {
+void Membership::probeNext(Duration now, Effects& effects) {
   detector_.scheduleNextProbe(now);
   if (const Member* const next = round_.next(members_, random_))
     probe(now, next->record, ProbePurpose::failureDetection, effects);
@@ -242,7 +242,7 @@
 }
 
 /// So that two halves that have declared each other dead find together after a network partition.
-void Membership::probeTombstone(Span now, Effects& effects) {
+void Membership::probeTombstone(Duration now, Effects& effects) {
   std::vector<const MemberRecord*> dead;
   for (const auto& [since, name] : members_.tombstones()) {
     const Member& member = members_.at(name);
@@ -252,14 +252,14 @@
   probe(now, *dead[random_.below(dead.size())], ProbePurpose::tombstone, effects);
 }
 
-void Membership::probe(Span now, const MemberRecord& target, ProbePurpose purpose, Effects& effects) {
+void Membership::probe(Duration now, const MemberRecord& target, ProbePurpose purpose, Effects& effects) {
   const auto nonce = detector_.beginProbe(now, target, purpose, random_);
   if (!nonce) return;
   ++counters_.probes;
   sendDatagram(now, target.address, newMessage(Kind::ping, target.name, *nonce), effects);
 }
 
-void Membership::askHelpers(Span now, Nonce nonce, Effects& effects) {
+void Membership::askHelpers(Duration now, Nonce nonce, Effects& effects) {
   Probe& probe = *detector_.findProbe(nonce);
   for (const auto& name : members_.sampleAlive(settings_.indirectProbes, probe.target.name, random_)) {
     auto message = newMessage(Kind::pingRequest, name, nonce);
@@ -270,7 +270,7 @@
   if (probe.helpersAsked == 0) probe.askHelpersAt = probe.deadline;
 }
 
-void Membership::onProbeFailed(Span now, const Probe& probe, Effects& effects) {
+void Membership::onProbeFailed(Duration now, const Probe& probe, Effects& effects) {
   if (probe.purpose == ProbePurpose::tombstone) return;
   if (probe.purpose == ProbePurpose::nameChallenge) {
     onNameUnanswered(now, probe.target, effects);
@@ -301,7 +301,7 @@
 
 // --- Messages ---
 
-void Membership::onMessage(Span now, const Message& message, Effects& effects) {
+void Membership::onMessage(Duration now, const Message& message, Effects& effects) {
   if (!isOpen_ || join_.isRejected()) return;
   handlePause(now, effects);
   detector_.onMessageReceived(now);
@@ -319,7 +319,7 @@
   dispatch(now, message, effects);
 }
 
-void Membership::onMessageUnderOwnName(Span now, const Message& message, Effects& effects) {
+void Membership::onMessageUnderOwnName(Duration now, const Message& message, Effects& effects) {
   effects.events.push_back(
       {EventType::nameConflict, message.sender, MemberState::alive, "sends under our name"});
   if (message.kind == Kind::ack)
@@ -329,7 +329,7 @@
 }
 
 /// A message is a proof of life of its sender.
-void Membership::onDirectMessage(Span now, const Message& message, Effects& effects) {
+void Membership::onDirectMessage(Duration now, const Message& message, Effects& effects) {
   if (!message.hasSenderJoined) return;
   applyAlive(now, message.sender, effects);
   Member* const member = members_.find(message.sender.name);
@@ -346,7 +346,7 @@
       sendDatagram(now, judge->record.address, newMessage(Kind::ping, accuser.name), effects);
 }
 
-void Membership::onStatus(Span now, const StatusEntry& entry) {
+void Membership::onStatus(Duration now, const StatusEntry& entry) {
   Member* const member = members_.find(entry.name);
   if (!member || member->record.incarnation > entry.incarnation) return;
   const bool isNewer =
@@ -356,7 +356,7 @@
   member->statusReceived = now;
 }
 
-void Membership::dispatch(Span now, const Message& message, Effects& effects) {
+void Membership::dispatch(Duration now, const Message& message, Effects& effects) {
   const MemberName& sender = message.sender.name;
   const Member* const known = members_.find(sender);
   const Address& address = known ? known->record.address : message.sender.address;
@@ -383,7 +383,7 @@
   }
 }
 
-void Membership::onPingRequest(Span now, const Message& message, Effects& effects) {
+void Membership::onPingRequest(Duration now, const Message& message, Effects& effects) {
   const MemberRecord& target = message.subject;
   if (target.name == self_.name || !detector_.hasRoomForIndirectProbe()) return;
   // What this member received from the target counts, whether the target answers now or not.
@@ -394,7 +394,7 @@
   sendDatagram(now, target.address, newMessage(Kind::ping, target.name, *nonce), effects);
 }
 
-void Membership::onAck(Span now, const Message& message, Effects& effects) {
+void Membership::onAck(Duration now, const Message& message, Effects& effects) {
   if (const auto indirect = detector_.takeIndirectProbe(message.nonce)) {
     forwardAck(now, *indirect, message, effects);
     return;
@@ -414,7 +414,8 @@
   onProbeAnswered(now, message, answering, effects);
 }
 
-void Membership::forwardAck(Span now, const IndirectProbe& probe, const Message& message, Effects& effects) {
+void Membership::forwardAck(Duration now, const IndirectProbe& probe, const Message& message,
+                            Effects& effects) {
   const Member* const requester = members_.find(probe.requester);
   if (!requester) return;
   auto ack = newMessage(Kind::ack, probe.requester, probe.requesterNonce);
@@ -422,7 +423,7 @@
   sendDatagram(now, requester->record.address, std::move(ack), effects);
 }
 
-void Membership::onProbeAnswered(Span now, const Message& message, const MemberRecord& target,
+void Membership::onProbeAnswered(Duration now, const Message& message, const MemberRecord& target,
                                  Effects& effects) {
   detector_.adjustLocalHealth(-1);
   Member* const member = members_.find(target.name);
@@ -450,7 +451,7 @@
   return out;
 }
 
-void Membership::sendDatagram(Span now, const Address& address, Message message, Effects& effects) {
+void Membership::sendDatagram(Duration now, const Address& address, Message message, Effects& effects) {
   const MemberName recipient = message.recipient;
   auto bytes = dissemination_.encodeDatagram(std::move(message), now, members_, round_, random_);
   effects.messages.push_back({Channel::datagram, recipient, address, std::move(bytes)});
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -59,17 +59,17 @@
   Membership& operator=(const Membership&) = delete;
 
   /// Begins to ask the seeds. Without any, this is the first member of a fleet.
-  void open(Span now, Effects& effects);
+  void open(Duration now, Effects& effects);
   /// Takes a message whose authenticity was verified.
-  void onMessage(Span now, const Message& message, Effects& effects);
+  void onMessage(Duration now, const Message& message, Effects& effects);
   /// Does what is due; to be called at nextDeadline().
-  void onTimer(Span now, Effects& effects);
-  [[nodiscard]] Span nextDeadline() const { return detector_.nextDeadline(); }
+  void onTimer(Duration now, Effects& effects);
+  [[nodiscard]] Duration nextDeadline() const { return detector_.nextDeadline(); }
   /// Sets what this member states about itself from now on.
   void publishStatus(const MemberStatus& status) { dissemination_.publishStatus(status); }
   /// Announces that this member leaves; the host goes on with timers for leaveDuration().
-  void leave(Span now, Effects& effects);
-  [[nodiscard]] Span leaveDuration() const { return settings_.probeInterval; }
+  void leave(Duration now, Effects& effects);
+  [[nodiscard]] Duration leaveDuration() const { return settings_.probeInterval; }
   /// Incarnations up to this one are on the disk by now.
   void reserveUpTo(Incarnation incarnation) { reservation_.reserveUpTo(incarnation); }
   /// The incarnation that this member needs, to be past all that was said about it; it may not be reserved
@@ -83,7 +83,7 @@
   [[nodiscard]] bool hasLeft() const { return hasLeft_; }
   /// Whether this view may be wrong, so that its users should wait: not joined, isolated, paused a moment
   /// ago, or more than half of the fleet lost lately.
-  [[nodiscard]] bool isViewUncertain(Span now) const;
+  [[nodiscard]] bool isViewUncertain(Duration now) const;
   /// The other members.
   [[nodiscard]] const std::map<MemberName, Member>& members() const { return members_.all(); }
   /// Members admitted so far, this one with them; does not shrink.
@@ -96,90 +96,90 @@
 
  private:
   // Timer
-  void handlePause(Span now, Effects& effects);
-  void handleExpiredProbes(Span now, Effects& effects);
-  void handleExpiredIndirectProbes(Span now, Effects& effects);
-  void continueJoin(Span now, Effects& effects);
-  void continueMembership(Span now, Effects& effects);
-  void continueLeave(Span now, Effects& effects);
-  void removeExpiredTombstones(Span now);
-  void reportCertainty(Span now, Effects& effects);
-  void requestState(Span now, Effects& effects);
+  void handlePause(Duration now, Effects& effects);
+  void handleExpiredProbes(Duration now, Effects& effects);
+  void handleExpiredIndirectProbes(Duration now, Effects& effects);
+  void continueJoin(Duration now, Effects& effects);
+  void continueMembership(Duration now, Effects& effects);
+  void continueLeave(Duration now, Effects& effects);
+  void removeExpiredTombstones(Duration now);
+  void reportCertainty(Duration now, Effects& effects);
+  void requestState(Duration now, Effects& effects);
 
   // Join
-  void askNextContact(Span now, Effects& effects);
-  void admitSelf(Span now, Effects& effects);
+  void askNextContact(Duration now, Effects& effects);
+  void admitSelf(Duration now, Effects& effects);
   void rejectSelf(const MemberRecord& holder, Effects& effects);
-  void challengeName(Span now, const MemberRecord& holder, Effects& effects);
-  void onNameUnanswered(Span now, const MemberRecord& holder, Effects& effects);
+  void challengeName(Duration now, const MemberRecord& holder, Effects& effects);
+  void onNameUnanswered(Duration now, const MemberRecord& holder, Effects& effects);
   void onNameAnswered(const Message& message, const MemberRecord& holder, Effects& effects);
 
   // Probes
-  void probeNext(Span now, Effects& effects);
-  void probeTombstone(Span now, Effects& effects);
-  void probe(Span now, const MemberRecord& target, ProbePurpose purpose, Effects& effects);
-  void askHelpers(Span now, Nonce nonce, Effects& effects);
-  void onProbeFailed(Span now, const Probe& probe, Effects& effects);
+  void probeNext(Duration now, Effects& effects);
+  void probeTombstone(Duration now, Effects& effects);
+  void probe(Duration now, const MemberRecord& target, ProbePurpose purpose, Effects& effects);
+  void askHelpers(Duration now, Nonce nonce, Effects& effects);
+  void onProbeFailed(Duration now, const Probe& probe, Effects& effects);
   void countMissedProbe(Member& member, const char* reason, Effects& effects);
 
   // Messages
-  void onMessageUnderOwnName(Span now, const Message& message, Effects& effects);
-  void onDirectMessage(Span now, const Message& message, Effects& effects);
-  void onStatus(Span now, const StatusEntry& entry);
-  void dispatch(Span now, const Message& message, Effects& effects);
-  void onAck(Span now, const Message& message, Effects& effects);
-  void onProbeAnswered(Span now, const Message& message, const MemberRecord& target, Effects& effects);
-  void forwardAck(Span now, const IndirectProbe& probe, const Message& message, Effects& effects);
-  void onPingRequest(Span now, const Message& message, Effects& effects);
+  void onMessageUnderOwnName(Duration now, const Message& message, Effects& effects);
+  void onDirectMessage(Duration now, const Message& message, Effects& effects);
+  void onStatus(Duration now, const StatusEntry& entry);
+  void dispatch(Duration now, const Message& message, Effects& effects);
+  void onAck(Duration now, const Message& message, Effects& effects);
+  void onProbeAnswered(Duration now, const Message& message, const MemberRecord& target, Effects& effects);
+  void forwardAck(Duration now, const IndirectProbe& probe, const Message& message, Effects& effects);
+  void onPingRequest(Duration now, const Message& message, Effects& effects);
 
   // Updates
-  void apply(Span now, const GossipUpdate& update, Effects& effects);
-  void applyAboutSelf(Span now, const GossipUpdate& update, Effects& effects);
-  void applyAlive(Span now, const MemberRecord& subject, Effects& effects);
-  void addMember(Span now, const MemberRecord& subject, Effects& effects);
-  void applySuspect(Span now, Member& member, Incarnation incarnation, const std::vector<Reporter>& accusers,
-                    Effects& effects);
+  void apply(Duration now, const GossipUpdate& update, Effects& effects);
+  void applyAboutSelf(Duration now, const GossipUpdate& update, Effects& effects);
+  void applyAlive(Duration now, const MemberRecord& subject, Effects& effects);
+  void addMember(Duration now, const MemberRecord& subject, Effects& effects);
+  void applySuspect(Duration now, Member& member, Incarnation incarnation,
+                    const std::vector<Reporter>& accusers, Effects& effects);
   bool addAccusers(Member& member, const std::vector<Reporter>& accusers);
-  void scheduleDeclaration(Span now, Member& member, bool isNew);
-  void confirmOrRefute(Span now, Member& member, Effects& effects);
-  void applyGone(Span now, Member& member, const GossipUpdate& update, Effects& effects);
-  void corroborate(Member& member, const Reporter& reporter, Span observedAt);
-  void setState(Span now, Member& member, MemberState state, std::string reason, Effects& effects);
+  void scheduleDeclaration(Duration now, Member& member, bool isNew);
+  void confirmOrRefute(Duration now, Member& member, Effects& effects);
+  void applyGone(Duration now, Member& member, const GossipUpdate& update, Effects& effects);
+  void corroborate(Member& member, const Reporter& reporter, Duration observedAt);
+  void setState(Duration now, Member& member, MemberState state, std::string reason, Effects& effects);
   void raiseIncarnation(Incarnation wanted);
 
   // Declarations
-  void declareDueMembers(Span now, Effects& effects);
-  void postponeDeclaration(Span now, Member& member, PostponeReason reason, Effects& effects);
-  void declareDead(Span now, Member& member, Effects& effects);
+  void declareDueMembers(Duration now, Effects& effects);
+  void postponeDeclaration(Duration now, Member& member, PostponeReason reason, Effects& effects);
+  void declareDead(Duration now, Member& member, Effects& effects);
 
   // Zones
-  void checkZones(Span now, Effects& effects);
-  void suspectZone(Span now, const ZoneInRegion& zone, const std::vector<Reporter>& accusers,
+  void checkZones(Duration now, Effects& effects);
+  void suspectZone(Duration now, const ZoneInRegion& zone, const std::vector<Reporter>& accusers,
                    Effects& effects);
-  void applyAboutZone(Span now, const GossipUpdate& update, Effects& effects);
-  bool declareZoneDead(Span now, const std::vector<Member*>& members, const std::vector<Reporter>& reporters,
-                       Effects& effects);
-  bool addZoneAccusers(Span now, const std::vector<Member*>& members, const std::vector<Reporter>& accusers,
-                       Effects& effects);
+  void applyAboutZone(Duration now, const GossipUpdate& update, Effects& effects);
+  bool declareZoneDead(Duration now, const std::vector<Member*>& members,
+                       const std::vector<Reporter>& reporters, Effects& effects);
+  bool addZoneAccusers(Duration now, const std::vector<Member*>& members,
+                       const std::vector<Reporter>& accusers, Effects& effects);
 
   // Sending
   [[nodiscard]] Message newMessage(Message::Kind kind, const MemberName& recipient, Nonce nonce = {}) const;
-  void sendDatagram(Span now, const Address& address, Message message, Effects& effects);
+  void sendDatagram(Duration now, const Address& address, Message message, Effects& effects);
   /// `recipient` may be a name that the message itself does not insist on.
   void sendState(OutgoingMessage::Channel channel, const MemberName& recipient, const Address& address,
                  Message message, Effects& effects);
 
   // Conditions
-  [[nodiscard]] bool isIsolated(Span now) const {
+  [[nodiscard]] bool isIsolated(Duration now) const {
     return detector_.isIsolated(now, members_.admittedCount());
   }
-  [[nodiscard]] bool isLostMajority(Span now) const;
+  [[nodiscard]] bool isLostMajority(Duration now) const;
   /// Whether this was not long ago, and did happen.
-  [[nodiscard]] bool isRecent(Span now, Span at) const {
-    return at >= Span{} && now - at < 2 * settings_.probeInterval;
+  [[nodiscard]] bool isRecent(Duration now, Duration at) const {
+    return at >= Duration{} && now - at < 2 * settings_.probeInterval;
   }
   [[nodiscard]] Reporter selfAsReporter() const { return {self_.name, self_.zone}; }
-  [[nodiscard]] LocalView localView(Span now) const;
+  [[nodiscard]] LocalView localView(Duration now) const;
 
   const ProtocolSettings settings_;
   RandomSource random_;
@@ -193,8 +193,8 @@
   Dissemination dissemination_;
   JoinProtocol join_;
   IncarnationReservation reservation_;
-  Span nextStateSyncAt_{};
-  Span nextLeaveNoticeAt_{};
+  Duration nextStateSyncAt_{};
+  Duration nextLeaveNoticeAt_{};
   bool isOpen_ = false;
   bool hasLeft_ = false;
   bool wasViewUncertain_ = false;
--- a/src/membership/membership_settings.h
+++ b/src/membership/membership_settings.h
@@ -28,7 +28,7 @@
   std::vector<MessageKey> keys;  ///< the first signs, all verify
   std::map<MemberName, Address>
       addressOverrides;  ///< where this instance reaches a member, if not as advertised
-  Span probeInterval = std::chrono::seconds(1);
+  Duration probeInterval = std::chrono::seconds(1);
   std::string stateFolder;  ///< of the persisted identity; empty: nothing is persisted
 
   bool operator==(const MembershipSettings&) const = default;
@@ -36,14 +36,14 @@
 
 /// The protocol's parameters. A period is one probe interval.
 struct ProtocolSettings {
-  Span probeInterval = std::chrono::seconds(1);
+  Duration probeInterval = std::chrono::seconds(1);
   std::size_t indirectProbes = 3;  ///< helpers asked where a probe gets no answer
   int stateSyncPeriods = 10;       ///< between two exchanges of the full state
   int isolationPeriods = 3;        ///< without any message, after which this member takes itself for isolated
   double maxDeclaredShare = 0.5;   ///< of the fleet that may be declared dead within the declaration window
   int declarationWindowPeriods = 60;
   std::size_t maxDeclarationsPerSecond = 10;
-  Span tombstoneRetention = std::chrono::minutes(10);  ///< for which the dead and the left are remembered
+  Duration tombstoneRetention = std::chrono::minutes(10);  ///< for which the dead and the left are remembered
   std::size_t maxMembers = 2048;
 
   // The defences beyond SWIM. All on in an instance; measurements switch them off to learn what each is
--- a/src/membership/membership_updates.cpp
+++ b/src/membership/membership_updates.cpp
@@ -18,7 +18,7 @@
 
 }  // namespace
 
-void Membership::apply(Span now, const GossipUpdate& update, Effects& effects) {
+void Membership::apply(Duration now, const GossipUpdate& update, Effects& effects) {
   const MemberRecord& subject = update.subject;
   if (update.kind == Kind::zoneUnreachable || update.kind == Kind::zoneDead)
     return applyAboutZone(now, update, effects);
@@ -55,7 +55,7 @@
 }
 
 /// Only this member may raise its incarnation, and does so to refute what is not true of it.
-void Membership::applyAboutSelf(Span now, const GossipUpdate& update, Effects& effects) {
+void Membership::applyAboutSelf(Duration now, const GossipUpdate& update, Effects& effects) {
   const MemberRecord& subject = update.subject;
   if (hasLeft_ || subject.incarnation < self_.incarnation || update.kind == Kind::receivedFrom) return;
   const bool isOtherProcess = subject.processId != self_.processId;
@@ -78,7 +78,7 @@
   effects.events.push_back({EventType::refuted, self_, MemberState::alive, reason});
 }
 
-void Membership::applyAlive(Span now, const MemberRecord& subject, Effects& effects) {
+void Membership::applyAlive(Duration now, const MemberRecord& subject, Effects& effects) {
   if (subject.name == self_.name || subject.name.text.empty()) return;
   Member* const member = members_.find(subject.name);
   if (!member) return addMember(now, subject, effects);
@@ -89,7 +89,7 @@
     members_.markReachable(subject.name);
     member->missedProbes = 0;
     member->status = {};
-    member->statusReceived = Span{-1};
+    member->statusReceived = Duration{-1};
   }
   member->record = subject;
   dissemination_.announce(Kind::alive, subject);
@@ -100,7 +100,7 @@
     setState(now, *member, MemberState::alive, "said so itself", effects);
 }
 
-void Membership::addMember(Span now, const MemberRecord& subject, Effects& effects) {
+void Membership::addMember(Duration now, const MemberRecord& subject, Effects& effects) {
   if (members_.size() >= settings_.maxMembers) {
     ++counters_.rejectedMembers;
     return;
@@ -111,7 +111,7 @@
   effects.events.push_back({EventType::stateChanged, subject, MemberState::alive, "new"});
 }
 
-void Membership::applySuspect(Span now, Member& member, Incarnation incarnation,
+void Membership::applySuspect(Duration now, Member& member, Incarnation incarnation,
                               const std::vector<Reporter>& accusers, Effects& effects) {
   const bool isNew = !member.suspicion;
   if (isNew) {
@@ -141,22 +141,22 @@
 }
 
 /// Each further accuser shortens the suspicion.
-void Membership::scheduleDeclaration(Span now, Member& member, bool isNew) {
+void Membership::scheduleDeclaration(Duration now, Member& member, bool isNew) {
   const std::size_t admitted = members_.admittedCount();
   const Suspicion& suspicion = *member.suspicion;
-  const Span byTimeout =
+  const Duration byTimeout =
       suspicion.since + suspicions_.timeout(suspicion.accusers.size(), admitted - 1, admitted);
-  const Span byEvidence = member.lastCorroborated < Span{}
-                              ? now
-                              : member.lastCorroborated + suspicions_.corroborationHold(member, admitted);
-  const Span deadline = isNew ? byTimeout : std::min(suspicion.deadline, byTimeout);
+  const Duration byEvidence = member.lastCorroborated < Duration{}
+                                  ? now
+                                  : member.lastCorroborated + suspicions_.corroborationHold(member, admitted);
+  const Duration deadline = isNew ? byTimeout : std::min(suspicion.deadline, byTimeout);
   suspicions_.setDeadline(member, std::max({now, byEvidence, deadline}));
 }
 
 /// What this member can contribute to a suspicion raised by others.
-void Membership::confirmOrRefute(Span now, Member& member, Effects& effects) {
+void Membership::confirmOrRefute(Duration now, Member& member, Effects& effects) {
   const bool receivesFromIt =
-      member.lastReceived >= Span{} && now - member.lastReceived < settings_.probeInterval;
+      member.lastReceived >= Duration{} && now - member.lastReceived < settings_.probeInterval;
   if (receivesFromIt && !isIsolated(now)) return corroborate(member, selfAsReporter(), member.lastReceived);
   if (!settings_.shortenByConfirmations) return;
   // Some of those who learn of a suspicion probe its member themselves, so that declarations need not wait
@@ -173,20 +173,20 @@
 }
 
 /// Somebody received from the member: whoever does not may be cut off from it, so the declaration waits.
-void Membership::corroborate(Member& member, const Reporter& reporter, Span observedAt) {
+void Membership::corroborate(Member& member, const Reporter& reporter, Duration observedAt) {
   if (!settings_.requireCorroboration) return;
-  const bool isCovered =
-      member.lastCorroborated >= Span{} && observedAt - member.lastCorroborated < settings_.probeInterval / 2;
+  const bool isCovered = member.lastCorroborated >= Duration{} &&
+                         observedAt - member.lastCorroborated < settings_.probeInterval / 2;
   if (isCovered) return;
   member.lastCorroborated = observedAt;
   dissemination_.announceReceivedFrom(member.record, reporter, observedAt);
   if (!member.suspicion) return;
   member.suspicion->lastCorroborated = observedAt;
-  const Span hold = observedAt + suspicions_.corroborationHold(member, members_.admittedCount());
+  const Duration hold = observedAt + suspicions_.corroborationHold(member, members_.admittedCount());
   suspicions_.setDeadline(member, std::max(member.suspicion->deadline, hold));
 }
 
-void Membership::applyGone(Span now, Member& member, const GossipUpdate& update, Effects& effects) {
+void Membership::applyGone(Duration now, Member& member, const GossipUpdate& update, Effects& effects) {
   const bool isDeath = update.kind == Kind::dead;
   if (member.state == MemberState::left || (member.state == MemberState::dead && isDeath)) return;
   // A member from which this one receives is not dead, whatever others declare. What this one announces gives
@@ -207,7 +207,8 @@
   dissemination_.announce(update.kind, member.record, update.reporters);
 }
 
-void Membership::setState(Span now, Member& member, MemberState state, std::string reason, Effects& effects) {
+void Membership::setState(Duration now, Member& member, MemberState state, std::string reason,
+                          Effects& effects) {
   suspicions_.end(member);
   members_.setState(member, state, now);
   if (state == MemberState::dead) {
@@ -224,7 +225,7 @@
 
 // --- Declarations ---
 
-void Membership::declareDueMembers(Span now, Effects& effects) {
+void Membership::declareDueMembers(Duration now, Effects& effects) {
   declaration_.removeExpired(now);
   if (settings_.requireCorroboration && (!suspicions_.isEmpty() || !zones_.isEmpty()))
     checkZones(now, effects);
@@ -239,7 +240,7 @@
 }
 
 /// Asks again in the meantime: what others know may not have reached this member, nor the other way round.
-void Membership::postponeDeclaration(Span now, Member& member, PostponeReason reason, Effects& effects) {
+void Membership::postponeDeclaration(Duration now, Member& member, PostponeReason reason, Effects& effects) {
   Suspicion& suspicion = *member.suspicion;
   if (suspicion.postponedBecause != reason) ++counters_.postponedDeclarations;
   suspicion.postponedBecause = reason;
@@ -254,7 +255,7 @@
                             {suspicion.accusers.begin(), suspicion.accusers.end()});
 }
 
-void Membership::declareDead(Span now, Member& member, Effects& effects) {
+void Membership::declareDead(Duration now, Member& member, Effects& effects) {
   const std::set<Reporter>& accusers = member.suspicion->accusers;
   member.deathReporters.assign(accusers.begin(), accusers.end());
   const MemberRecord& record = member.record;
@@ -267,7 +268,7 @@
 
 // --- Zones ---
 
-void Membership::checkZones(Span now, Effects& effects) {
+void Membership::checkZones(Duration now, Effects& effects) {
   const auto observed = observeZones(members_);
   if (!isIsolated(now))
     for (const auto& zone :
@@ -278,7 +279,7 @@
 }
 
 /// All members of a zone are suspected at once: one event and one update in place of one for each of them.
-void Membership::suspectZone(Span now, const ZoneInRegion& zone, const std::vector<Reporter>& accusers,
+void Membership::suspectZone(Duration now, const ZoneInRegion& zone, const std::vector<Reporter>& accusers,
                              Effects& effects) {
   if (!zones_.markUnreachable(zone.zone, now)) return;
   std::size_t suspected = 0;
@@ -295,7 +296,7 @@
 }
 
 /// Holds only where this member receives from none of the zone itself.
-void Membership::applyAboutZone(Span now, const GossipUpdate& update, Effects& effects) {
+void Membership::applyAboutZone(Duration now, const GossipUpdate& update, Effects& effects) {
   const ZoneName& zone = update.subject.zone;
   if (zone == self_.zone || update.reporters.empty()) return;
   std::vector<Member*> members;
@@ -322,7 +323,7 @@
 }
 
 /// Whether one of them was suspected.
-bool Membership::declareZoneDead(Span now, const std::vector<Member*>& members,
+bool Membership::declareZoneDead(Duration now, const std::vector<Member*>& members,
                                  const std::vector<Reporter>& reporters, Effects& effects) {
   bool hasChanged = false;
   for (Member* const member : members) {
@@ -335,7 +336,7 @@
 }
 
 /// Whether one of the accusers is new to one of the members.
-bool Membership::addZoneAccusers(Span now, const std::vector<Member*>& members,
+bool Membership::addZoneAccusers(Duration now, const std::vector<Member*>& members,
                                  const std::vector<Reporter>& accusers, Effects& effects) {
   bool hasChanged = false;
   for (Member* const member : members) {
--- a/src/membership/suspicion.cpp
+++ b/src/membership/suspicion.cpp
@@ -32,7 +32,7 @@
   return "";
 }
 
-void SuspicionTracker::begin(Member& member, Span now) {
+void SuspicionTracker::begin(Member& member, Duration now) {
   member.suspicion = Suspicion{};
   member.suspicion->since = now;
 }
@@ -43,19 +43,19 @@
   member.suspicion.reset();
 }
 
-void SuspicionTracker::setDeadline(Member& member, Span deadline) {
+void SuspicionTracker::setDeadline(Member& member, Duration deadline) {
   byDeadline_.erase({member.suspicion->deadline, member.record.name});
   member.suspicion->deadline = deadline;
   byDeadline_.insert({deadline, member.record.name});
 }
 
-std::optional<MemberName> SuspicionTracker::nextDue(Span now) const {
+std::optional<MemberName> SuspicionTracker::nextDue(Duration now) const {
   if (byDeadline_.empty() || byDeadline_.begin()->first > now) return std::nullopt;
   return byDeadline_.begin()->second;
 }
 
-Span SuspicionTracker::timeout(std::size_t confirmations, std::size_t candidates,
-                               std::size_t fleetSize) const {
+Duration SuspicionTracker::timeout(std::size_t confirmations, std::size_t candidates,
+                                   std::size_t fleetSize) const {
   constexpr double minPeriods = 4;
   constexpr double maxToMin = 6;
   constexpr double fullConfirmations = 3;  // as many as bring it to the minimum
@@ -67,15 +67,15 @@
         std::log(static_cast<double>(std::max<std::size_t>(confirmations, 1))) / std::log(expected + 1);
     periods = std::max(minimum, maxToMin * minimum - (maxToMin - 1) * minimum * std::min(1.0, share));
   }
-  return std::chrono::duration_cast<Span>(settings_.probeInterval * periods);
+  return std::chrono::duration_cast<Duration>(settings_.probeInterval * periods);
 }
 
-Span SuspicionTracker::minTimeout(std::size_t fleetSize) const {
+Duration SuspicionTracker::minTimeout(std::size_t fleetSize) const {
   return timeout(maxReporters, maxReporters, fleetSize);
 }
 
-Span SuspicionTracker::corroborationHold(const Member& member, std::size_t fleetSize) const {
-  const Span hold = minTimeout(fleetSize);
+Duration SuspicionTracker::corroborationHold(const Member& member, std::size_t fleetSize) const {
+  const Duration hold = minTimeout(fleetSize);
   // A member that was killed is not heard once it is suspected, so a later proof of life weighs more.
   const bool isSinceSuspicion = member.suspicion && member.lastCorroborated > member.suspicion->since;
   return isSinceSuspicion ? 3 * hold : hold;
--- a/src/membership/suspicion.h
+++ b/src/membership/suspicion.h
@@ -18,26 +18,27 @@
   explicit SuspicionTracker(const ProtocolSettings& settings) : settings_(settings) {}
 
   /// Starts a suspicion; its deadline is to be set next.
-  void begin(Member& member, Span now);
+  void begin(Member& member, Duration now);
   void end(Member& member);
-  void setDeadline(Member& member, Span deadline);
+  void setDeadline(Member& member, Duration deadline);
   /// The member whose deadline is over, the earliest one.
-  [[nodiscard]] std::optional<MemberName> nextDue(Span now) const;
+  [[nodiscard]] std::optional<MemberName> nextDue(Duration now) const;
   [[nodiscard]] bool isEmpty() const { return byDeadline_.empty(); }
 
   /// The time from a suspicion to its deadline: between a minimum and six times that, shorter with each
   /// confirmation out of those that `candidates` could give (Lifeguard, Dadgar, Phillips and Currey, DSN-W
   /// 2018, section IV.B). The minimum grows with the logarithm of the fleet, as the time for an update to
   /// reach everyone does (SWIM, section 4.2).
-  [[nodiscard]] Span timeout(std::size_t confirmations, std::size_t candidates, std::size_t fleetSize) const;
+  [[nodiscard]] Duration timeout(std::size_t confirmations, std::size_t candidates,
+                                 std::size_t fleetSize) const;
   /// The shortest such time.
-  [[nodiscard]] Span minTimeout(std::size_t fleetSize) const;
+  [[nodiscard]] Duration minTimeout(std::size_t fleetSize) const;
   /// How long after a proof of life its member is not declared dead.
-  [[nodiscard]] Span corroborationHold(const Member& member, std::size_t fleetSize) const;
+  [[nodiscard]] Duration corroborationHold(const Member& member, std::size_t fleetSize) const;
 
  private:
   const ProtocolSettings& settings_;
-  std::set<std::pair<Span, MemberName>> byDeadline_;
+  std::set<std::pair<Duration, MemberName>> byDeadline_;
 };
 
 }  // namespace rainhook::membership
--- a/src/membership/types.h
+++ b/src/membership/types.h
@@ -12,7 +12,7 @@
 
 /// A duration, and a moment as the duration since the epoch of a steady clock. A negative moment means
 /// "never".
-using Span = std::chrono::nanoseconds;
+using Duration = std::chrono::nanoseconds;
 
 /// A text that identifies something; the tag keeps identifiers of different things apart.
 template <typename Tag>
@@ -96,7 +96,7 @@
   std::vector<Reporter> reporters;  ///< maxReporters at most
   /// Only of `receivedFrom`: in a message the age of the observation, in the queue its moment. The age keeps
   /// an update that is passed on from counting as a new observation.
-  Span observed{};
+  Duration observed{};
   bool operator==(const GossipUpdate&) const = default;
 };
 
--- a/src/membership/zone_aggregate.cpp
+++ b/src/membership/zone_aggregate.cpp
@@ -23,7 +23,7 @@
   return zone.observers;
 }
 
-void addStatus(ZoneAggregate& zone, const MemberStatus& status, Span age) {
+void addStatus(ZoneAggregate& zone, const MemberStatus& status, Duration age) {
   if (status.version == 0) {
     ++zone.withoutStatus;
     return;
@@ -40,7 +40,7 @@
   zone.queueingRatio += status.queueingRatio;
 }
 
-void addMember(ZoneAggregate& zone, const Member& member, Span now) {
+void addMember(ZoneAggregate& zone, const Member& member, Duration now) {
   zone.region = member.record.region;
   ++zone.members;
   if (member.state == MemberState::suspect) ++zone.suspected;
@@ -57,12 +57,12 @@
 
 }  // namespace
 
-std::vector<ZoneAggregate> aggregateByZone(const Membership& membership, Span now) {
+std::vector<ZoneAggregate> aggregateByZone(const Membership& membership, Duration now) {
   std::map<ZoneName, ZoneAggregate> zones;
   ZoneAggregate& own = zones[membership.self().zone];
   own.region = membership.self().region;
   ++own.members;
-  addStatus(own, membership.status(), Span{});
+  addStatus(own, membership.status(), Duration{});
   for (const auto& [name, member] : membership.members())
     if (member.isPresent()) addMember(zones[member.record.zone], member, now);
   std::vector<ZoneAggregate> out;
--- a/src/membership/zone_aggregate.h
+++ b/src/membership/zone_aggregate.h
@@ -30,10 +30,10 @@
   double completedPerSecond = 0;  ///< sum
   double warmUpProgress = 0;      ///< mean over those that are serving or warming up
   double queueingRatio = 0;       ///< mean over those that are serving or warming up
-  Span oldestStatusAge{};
+  Duration oldestStatusAge{};
 };
 
 /// In the order of the zones' names, this member with its own.
-[[nodiscard]] std::vector<ZoneAggregate> aggregateByZone(const Membership& membership, Span now);
+[[nodiscard]] std::vector<ZoneAggregate> aggregateByZone(const Membership& membership, Duration now);
 
 }  // namespace rainhook::membership
--- a/src/membership/zone_health.cpp
+++ b/src/membership/zone_health.cpp
@@ -25,23 +25,23 @@
   return out;
 }
 
-std::optional<Span> ZoneHealth::unreachableSince(const ZoneName& zone) const {
+std::optional<Duration> ZoneHealth::unreachableSince(const ZoneName& zone) const {
   const auto it = unreachableSince_.find(zone);
   return it == unreachableSince_.end() ? std::nullopt : std::optional(it->second);
 }
 
-bool ZoneHealth::isLost(Span now, const ZoneObservation& zone, int localHealthMultiplier) const {
+bool ZoneHealth::isLost(Duration now, const ZoneObservation& zone, int localHealthMultiplier) const {
   // Where all of its members are suspected the local health does not matter: one of them might be declared
   // dead before its zone is found to be unreachable.
   const bool areAllSuspected = zone.suspected == zone.present;
-  const Span period =
+  const Duration period =
       areAllSuspected ? settings_.probeInterval : settings_.probeInterval * (1 + localHealthMultiplier);
   const std::size_t aThird = (zone.present + 2) / 3;
   return now - zone.lastEvidence > period * silentPeriods &&
          zone.suspected >= std::max(minSuspectedMembers, aThird);
 }
 
-std::vector<ZoneInRegion> ZoneHealth::findUnreachable(Span now, const ZoneObservations& zones,
+std::vector<ZoneInRegion> ZoneHealth::findUnreachable(Duration now, const ZoneObservations& zones,
                                                       const ZoneName& ownZone,
                                                       int localHealthMultiplier) const {
   std::vector<ZoneInRegion> out;
@@ -53,7 +53,7 @@
   return out;
 }
 
-std::vector<ZoneInRegion> ZoneHealth::removeReachable(Span now, const ZoneObservations& zones) {
+std::vector<ZoneInRegion> ZoneHealth::removeReachable(Duration now, const ZoneObservations& zones) {
   std::vector<ZoneInRegion> out;
   std::erase_if(unreachableSince_, [&](const auto& entry) {
     const auto& [name, since] = entry;
--- a/src/membership/zone_health.h
+++ b/src/membership/zone_health.h
@@ -16,7 +16,7 @@
 struct ZoneObservation {
   std::size_t present = 0;
   std::size_t suspected = 0;
-  Span lastEvidence{-1};  ///< the latest proof that one of them lives
+  Duration lastEvidence{-1};  ///< the latest proof that one of them lives
   RegionName region;
 };
 using ZoneObservations = std::map<ZoneName, ZoneObservation>;
@@ -34,18 +34,20 @@
 
   [[nodiscard]] bool isEmpty() const { return unreachableSince_.empty(); }
   [[nodiscard]] bool isUnreachable(const ZoneName& zone) const { return unreachableSince_.contains(zone); }
-  [[nodiscard]] std::optional<Span> unreachableSince(const ZoneName& zone) const;
+  [[nodiscard]] std::optional<Duration> unreachableSince(const ZoneName& zone) const;
   /// False where it was unreachable already.
-  bool markUnreachable(const ZoneName& zone, Span now) { return unreachableSince_.emplace(zone, now).second; }
+  bool markUnreachable(const ZoneName& zone, Duration now) {
+    return unreachableSince_.emplace(zone, now).second;
+  }
 
   /// Zones of which several members are suspected and none gave a proof of life for a while.
   /// @param localHealthMultiplier by how much slower this member judges at present
-  [[nodiscard]] std::vector<ZoneInRegion> findUnreachable(Span now, const ZoneObservations& zones,
+  [[nodiscard]] std::vector<ZoneInRegion> findUnreachable(Duration now, const ZoneObservations& zones,
                                                           const ZoneName& ownZone,
                                                           int localHealthMultiplier) const;
   /// Forgets the zones that are reachable again, and returns them. Those that have lost all their members are
   /// forgotten in time too, and not returned.
-  std::vector<ZoneInRegion> removeReachable(Span now, const ZoneObservations& zones);
+  std::vector<ZoneInRegion> removeReachable(Duration now, const ZoneObservations& zones);
 
   /// Before a member is declared dead, another one of its zone has to give a proof of life, or to be probed a
   /// few times without an answer, which makes the zone unreachable. Returns whom to probe; null where there
@@ -53,10 +55,10 @@
   [[nodiscard]] const Member* memberToProbe(const Member& suspected, const MemberTable& members) const;
 
  private:
-  [[nodiscard]] bool isLost(Span now, const ZoneObservation& zone, int localHealthMultiplier) const;
+  [[nodiscard]] bool isLost(Duration now, const ZoneObservation& zone, int localHealthMultiplier) const;
 
   const ProtocolSettings& settings_;
-  std::map<ZoneName, Span> unreachableSince_;
+  std::map<ZoneName, Duration> unreachableSince_;
 };
 
 }  // namespace rainhook::membership
--- a/src/membership_transport/membership_transport.cpp
+++ b/src/membership_transport/membership_transport.cpp
@@ -54,7 +54,7 @@
   reactor_.removeEventHandler(listener_, acceptObserver_);
 }
 
-membership::Span MembershipTransport::now() { return net::Reactor::Clock::now().time_since_epoch(); }
+membership::Duration MembershipTransport::now() { return net::Reactor::Clock::now().time_since_epoch(); }
 
 void MembershipTransport::open() {
   const auto address = *parseAddress(settings_.listen.text);
@@ -289,7 +289,7 @@
 /// What this member holds and sends, against which its bounds can be checked.
 void MembershipTransport::reportStatistics() {
   const auto at = now();
-  if (lastStatisticsAt_ != membership::Span{}) {
+  if (lastStatisticsAt_ != membership::Duration{}) {
     const auto interval = std::chrono::duration_cast<std::chrono::milliseconds>(at - lastStatisticsAt_);
     log_.event(LogCategory::membership, "statistics",
                {{"interval_ms", static_cast<std::int64_t>(interval.count())},
--- a/src/membership_transport/membership_transport.h
+++ b/src/membership_transport/membership_transport.h
@@ -67,7 +67,7 @@
     std::uint64_t rejectedExchanges = 0;
   };
 
-  static membership::Span now();
+  static membership::Duration now();
 
   // Events of the event loop
   void onDatagramsReadable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&);
@@ -117,7 +117,7 @@
   bool isOpen_ = false;
   Counters counters_;
   Counters reported_;  ///< at the last statistics
-  membership::Span lastStatisticsAt_{};
+  membership::Duration lastStatisticsAt_{};
 };
 
 }  // namespace rainhook::membershipTransport
--- a/src/membership_transport/view_report.cpp
+++ b/src/membership_transport/view_report.cpp
@@ -73,7 +73,7 @@
   return out;
 }
 
-json zoneRows(const Membership& membership, membership::Span now) {
+json zoneRows(const Membership& membership, membership::Duration now) {
   json out = json::array();
   for (const auto& zone : membership::aggregateByZone(membership, now)) out.push_back(toJson(zone));
   return out;
--- a/src/membership_transport/view_report.h
+++ b/src/membership_transport/view_report.h
@@ -12,6 +12,6 @@
 /// A row for each member, this one first.
 [[nodiscard]] nlohmann::json memberRows(const membership::Membership& membership);
 /// A row for each zone.
-[[nodiscard]] nlohmann::json zoneRows(const membership::Membership& membership, membership::Span now);
+[[nodiscard]] nlohmann::json zoneRows(const membership::Membership& membership, membership::Duration now);
 
 }  // namespace rainhook::membershipTransport
--- a/src/server/incarnation_store.cpp
+++ b/src/server/incarnation_store.cpp
@@ -123,7 +123,7 @@
 // Some that live, of as many zones as there are.
 void IncarnationStore::keepKnown() {
   const auto now = net::Reactor::Clock::now().time_since_epoch();
-  if (knownAt_ != membership::Span{} && now - knownAt_ < place_.probeInterval * keepEach) return;
+  if (knownAt_ != membership::Duration{} && now - knownAt_ < place_.probeInterval * keepEach) return;
   std::map<membership::ZoneName, std::vector<const membership::MemberRecord*>> zones;
   for (const auto& [name, member] : members_->membership().members())
     if (member.state == membership::MemberState::alive) zones[member.record.zone].push_back(&member.record);
--- a/src/server/incarnation_store.h
+++ b/src/server/incarnation_store.h
@@ -52,7 +52,7 @@
   membershipTransport::MembershipTransport* members_ = nullptr;
   std::uint64_t ceiling_ = 0;
   std::string known_;
-  membership::Span knownAt_{};
+  membership::Duration knownAt_{};
   bool writing_ = false, failed_ = false;
   net::Reactor::Timer next_;
 };
--- a/src/server/membership_service.cpp
+++ b/src/server/membership_service.cpp
@@ -7,11 +7,11 @@
 
 namespace rainhook::server {
 
+using membership::Duration;
 using membership::MembershipEvent;
 using membership::MembershipSettings;
 using membership::MemberStatus;
 using membership::Phase;
-using membership::Span;
 using namespace std::chrono_literals;
 
 namespace {
@@ -20,8 +20,8 @@
 constexpr int stabilizationPeriods = 5;
 constexpr double queueingSmoothing = 0.2;  // weight of the latest sample
 
-Span updateIntervalOf(const MembershipSettings& settings) {
-  return std::clamp<Span>(settings.probeInterval, 100ms, 1s);
+Duration updateIntervalOf(const MembershipSettings& settings) {
+  return std::clamp<Duration>(settings.probeInterval, 100ms, 1s);
 }
 
 Phase phaseOf(const RequestServer::Figures& figures) {
@@ -83,12 +83,12 @@
 
 void MembershipService::update() {
   timer_ = reactor_.after(updateInterval_, [this] { update(); });
-  const Span now = net::Reactor::Clock::now().time_since_epoch();
+  const Duration now = net::Reactor::Clock::now().time_since_epoch();
   transport_.publishStatus(sampleStatus(now));
   applyQuota(now);
 }
 
-MemberStatus MembershipService::sampleStatus(Span now) {
+MemberStatus MembershipService::sampleStatus(Duration now) {
   constexpr double minSeconds = 0.001;
   const auto figures = server_.figures();
   const double seconds =
@@ -109,7 +109,7 @@
   return out;
 }
 
-void MembershipService::applyQuota(Span now) {
+void MembershipService::applyQuota(Duration now) {
   const auto& membership = transport_.membership();
   const auto view = membership::observeFleet(membership, now, lease_);
   const double quota = membership.isRejected() ? 0 : quota_.update(now, view);
--- a/src/server/membership_service.h
+++ b/src/server/membership_service.h
@@ -40,22 +40,22 @@
  private:
   void onEvent(const membership::MembershipEvent& event);
   void update();
-  [[nodiscard]] membership::MemberStatus sampleStatus(membership::Span now);
-  void applyQuota(membership::Span now);
+  [[nodiscard]] membership::MemberStatus sampleStatus(membership::Duration now);
+  void applyQuota(membership::Duration now);
 
   net::Reactor& reactor_;
   logging::Log& log_;
   RequestServer& server_;
   const membership::MembershipSettings settings_;
-  const membership::Span updateInterval_;
-  const membership::Span lease_;
+  const membership::Duration updateInterval_;
+  const membership::Duration lease_;
   IncarnationStore incarnations_;
   net::BufferPool pool_;
   membershipTransport::MembershipTransport transport_;
   membership::DependencyQuota quota_;
   std::optional<double> appliedQuota_;
   RequestServer::Figures lastFigures_;
-  std::optional<membership::Span> lastSampleAt_;
+  std::optional<membership::Duration> lastSampleAt_;
   double queueingRatio_ = 0;  ///< exponentially weighted
   net::Reactor::Timer timer_;
 };
--- a/tests/dependency_quota_test.cpp
+++ b/tests/dependency_quota_test.cpp
@@ -1,7 +1,8 @@
 // The share of the dependency: the sum over the fleet stays within what is stated, whatever the views are.
+#include "membership/dependency_quota.h"
+
 #include <gtest/gtest.h>
 
-#include "membership/dependency_quota.h"
 #include "simulated_fleet.h"
 
 namespace rainhook::membership {
@@ -14,15 +15,15 @@
 DependencyQuota share() { return DependencyQuota({stated, 30s, 5s}); }
 
 // Looks ten times a second for so long, and gives the last.
-double after(DependencyQuota& share, Span& now, Span by, const FleetView& seen) {
+double after(DependencyQuota& share, Duration& now, Duration by, const FleetView& seen) {
   double out = 0;
-  for (const Span end = now + by; now < end; now += 100ms) out = share.update(now, seen);
+  for (const Duration end = now + by; now < end; now += 100ms) out = share.update(now, seen);
   return out;
 }
 
 TEST(DependencyQuota, IsThePartStatedUpToTheServersStatedAndLessAtOnceBeyond) {
   auto s = share();
-  Span now = 1s;
+  Duration now = 1s;
   EXPECT_EQ(after(s, now, 10s, {4, 4, 4, false}), 1);
   EXPECT_EQ(s.update(now, {8, 8, 8, false}), 0.5);
   EXPECT_EQ(s.update(now, {8, 5, 8, true}), 0.5);
@@ -31,7 +32,7 @@
 // Of six that start together it has met three so far; nobody may count on that.
 TEST(DependencyQuota, OfANewcomerWaitsUntilAllHaveCountedItOrALeaseIsOver) {
   auto s = share();
-  Span now = 1s;
+  Duration now = 1s;
   EXPECT_EQ(after(s, now, 4s, {4, 4, 4, false, 4, 4}), 0);
   EXPECT_EQ(after(s, now, 2s, {4, 4, 4, false, 4, 4}), 1);
   auto uncounted = share();
@@ -47,7 +48,7 @@
 
 TEST(DependencyQuota, GrowsOnlyOnceItIsSureForAWhileAndWithMost) {
   auto s = share();
-  Span now = 1s;
+  Duration now = 1s;
   after(s, now, 10s, {8, 8, 8, false});
   EXPECT_EQ(after(s, now, 20s, {5, 5, 8, true}), 0.5);   // in doubt
   EXPECT_EQ(after(s, now, 20s, {4, 4, 8, false}), 0.5);  // half is not most
@@ -57,7 +58,7 @@
 
 TEST(DependencyQuota, IsNothingForOneWhoLostMostForALeaseUntilItIsBack) {
   auto s = share();
-  Span now = 1s;
+  Duration now = 1s;
   after(s, now, 10s, {8, 8, 8, false});
   EXPECT_EQ(after(s, now, 29s, {8, 3, 8, false}), 0.5);
   EXPECT_EQ(after(s, now, 3s, {8, 3, 8, false}), 0);
@@ -67,7 +68,7 @@
 
 TEST(DependencyQuota, IsNothingAfterALongStopWhateverItBelieves) {
   auto s = share();
-  Span now = 1s;
+  Duration now = 1s;
   after(s, now, 10s, {8, 8, 8, false});
   now += 300s;
   EXPECT_EQ(s.update(now, {8, 8, 8, false}), 0);
@@ -81,8 +82,8 @@
 class Sums {
  public:
   explicit Sums(SimulatedFleet& world) : fleet(world), shares(fleet.nodes.size(), share()) {}
-  void run(Span by) {
-    for (const Span end = fleet.now + by; fleet.now < end;) {
+  void run(Duration by) {
+    for (const Duration end = fleet.now + by; fleet.now < end;) {
       fleet.runFor(1s);
       double sum = 0;
       for (std::size_t i = 0; i < fleet.nodes.size(); ++i)
--- a/tests/fleet/other_release.cpp
+++ b/tests/fleet/other_release.cpp
@@ -72,7 +72,7 @@
   // An older one takes each hearing for new.
   auto out = decodeMessageOfThisRelease(bytes);
   if (!out) return out;
-  for (auto& update : out->updates) update.observed = Span{};
+  for (auto& update : out->updates) update.observed = Duration{};
   for (auto& entry : out->statuses) entry.status.advertisedFleetSize = 0;
   return out;
 }
--- a/tests/membership_recording_test.cpp
+++ b/tests/membership_recording_test.cpp
@@ -60,7 +60,7 @@
   return numbers.at(type);
 }
 
-void addOutput(Fingerprint& print, Span now, std::size_t node, const Effects& effects) {
+void addOutput(Fingerprint& print, Duration now, std::size_t node, const Effects& effects) {
   print.add(static_cast<std::uint64_t>(now.count()));
   print.add(std::uint64_t{node});
   for (const auto& sent : effects.messages) {
@@ -79,7 +79,7 @@
   }
 }
 
-void addZones(Fingerprint& print, const Membership& member, Span now) {
+void addZones(Fingerprint& print, const Membership& member, Duration now) {
   for (const auto& sum : aggregateByZone(member, now)) {
     print.add(sum.zone.text);
     print.add(std::uint64_t{sum.isUnreachable});
@@ -94,7 +94,7 @@
 }
 
 /// What a member tells its users.
-void addView(Fingerprint& print, const Membership& member, Span now) {
+void addView(Fingerprint& print, const Membership& member, Duration now) {
   const auto& counters = member.counters();
   for (const std::uint64_t count :
        {counters.probes, counters.failedProbes, counters.pauses, counters.declaredDead,
@@ -186,7 +186,7 @@
         break;
       case 6:
         world_.link = [a](auto from, auto to) {
-          return SimulatedFleet::Link{from == a ? 0.8 : 0.2, to == a ? Span(700ms) : Span{}};
+          return SimulatedFleet::Link{from == a ? 0.8 : 0.2, to == a ? Duration(700ms) : Duration{}};
         };
         break;
       case 7:  // a whole zone
@@ -197,8 +197,8 @@
         if (world_.isRunning(a)) world_.leave(a);
     }
   }
-  void runFor(Span span) {
-    for (const Span end = world_.now + span; world_.now < end;) {
+  void runFor(Duration span) {
+    for (const Duration end = world_.now + span; world_.now < end;) {
       world_.runFor(1s);
       for (std::size_t i = 0; i < count_; ++i)
         if (world_.isRunning(i) && world_.now >= world_.nodes[i].pausedUntil) lookAt(i);
@@ -299,7 +299,7 @@
   if (of.joinsAlone) newcomer.onMessage(world.now, *decodeMessage(stateOf(world)), effects);
   exchange(print, world, newcomer, std::move(effects));
   Effects later;
-  for (Span ahead = 100ms; ahead < 6s; ahead += 100ms) newcomer.onTimer(world.now + ahead, later);
+  for (Duration ahead = 100ms; ahead < 6s; ahead += 100ms) newcomer.onTimer(world.now + ahead, later);
   addOutput(print, world.now, 9, later);
   addView(print, newcomer, world.now + 6s);
   world.runFor(5s);
@@ -340,7 +340,7 @@
         GossipUpdate::Kind::left, GossipUpdate::Kind::receivedFrom, GossipUpdate::Kind::zoneUnreachable,
         GossipUpdate::Kind::zoneDead})
     out.updates.push_back({kindOfUpdate, out.subject, reporters,
-                           kindOfUpdate == GossipUpdate::Kind::receivedFrom ? Span(1234ms) : Span{}});
+                           kindOfUpdate == GossipUpdate::Kind::receivedFrom ? Duration(1234ms) : Duration{}});
   MemberStatus status;
   status.version = 17;
   status.phase = Phase::draining;
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -48,7 +48,7 @@
 TEST(Membership, ReportsAKilledZoneAsOneEventAndDeclaresItDead) {
   for (int seed = 1; seed <= seeds; ++seed) {
     SimulatedFleet fleet = convergedFleet(12, 3, seed);
-    const Span killed = fleet.now;
+    const Duration killed = fleet.now;
     for (std::size_t i = 0; i < 12; i += 3) fleet.kill(i);
     EXPECT_TRUE(fleet.runUntil(180s, [&] { return fleet.hasConverged(); })) << "seed " << seed;
     for (const auto& node : fleet.nodes) {
@@ -74,9 +74,9 @@
 
 TEST(Membership, DeclaresNobodyDeadAfterItsOwnPause) {
   for (int seed = 1; seed <= seeds; ++seed)
-    for (const Span stop : {500ms, 3000ms, 30000ms}) {
+    for (const Duration stop : {500ms, 3000ms, 30000ms}) {
       SimulatedFleet fleet = convergedFleet(9, 3, seed);
-      const Span from = fleet.now;
+      const Duration from = fleet.now;
       for (std::size_t i = 1; i < 9; ++i) fleet.pause(i, stop);  // all but one
       fleet.runFor(stop + 20s);
       EXPECT_TRUE(fleet.runUntil(30s, [&] { return fleet.hasConverged(); })) << "seed " << seed;
@@ -88,7 +88,7 @@
 TEST(Membership, ConvergesAfterAThirdOfTheFleetWasPaused) {
   for (int seed = 1; seed <= seeds; ++seed) {
     SimulatedFleet fleet = convergedFleet(9, 3, seed);
-    const Span from = fleet.now;
+    const Duration from = fleet.now;
     for (std::size_t i = 0; i < 9; i += 3) fleet.pause(i, 30s);
     fleet.runFor(30s);
     EXPECT_TRUE(fleet.runUntil(20s, [&] { return fleet.hasConverged(); })) << "seed " << seed;
@@ -199,7 +199,9 @@
 TEST(Membership, DeclaresNobodyDeadWhenALinkDelaysByTwoSeconds) {
   for (int seed = 1; seed <= seeds; ++seed) {
     SimulatedFleet fleet = convergedFleet(5, 3, seed);
-    fleet.link = [](auto from, auto) { return SimulatedFleet::Link{0, from == 1 ? Span(2s) : Span{}}; };
+    fleet.link = [](auto from, auto) {
+      return SimulatedFleet::Link{0, from == 1 ? Duration(2s) : Duration{}};
+    };
     fleet.runFor(120s);
     EXPECT_EQ(fleet.deathsDeclared(), 0u) << "seed " << seed;
   }
@@ -310,12 +312,12 @@
     SimulatedFleet fleet = convergedFleet(6, 3, seed);
     fleet.link = [](auto, auto) { return SimulatedFleet::Link{0.1, {}}; };
     fleet.runFor(std::chrono::milliseconds(137 * seed % 3000));
-    const Span killed = fleet.now;
+    const Duration killed = fleet.now;
     fleet.kill(1), fleet.kill(4);
     EXPECT_TRUE(fleet.runUntil(180s, [&] { return fleet.hasConverged(); })) << "seed " << seed;
     for (const auto& node : fleet.nodes) {
       if (!node.member) continue;
-      Span silent{-1}, dead{-1};
+      Duration silent{-1}, dead{-1};
       for (const auto& [at, event] : node.events) {
         if (at < killed) continue;
         if (event.type == MembershipEvent::Type::zoneUnreachable && silent < 0s) silent = at;
@@ -337,7 +339,7 @@
     Effects effects;
     member.open(1s, effects);
   }
-  void receive(Span now, std::vector<GossipUpdate> updates) {
+  void receive(Duration now, std::vector<GossipUpdate> updates) {
     Message message;
     message.sender = other, message.hasSenderJoined = true, message.updates = std::move(updates);
     Effects effects;
@@ -389,7 +391,7 @@
                     {Incarnation{1}, Incarnation{9}, {{{"n1"}, {"n1:1"}}, {{"n2"}, {"n2:1"}}}});
   Effects effects;
   member.open(0s, effects);
-  for (Span now{}; !member.hasJoined() && now < 20s; now += 100ms) member.onTimer(now, effects);
+  for (Duration now{}; !member.hasJoined() && now < 20s; now += 100ms) member.onTimer(now, effects);
   std::vector<std::string> asked;
   for (const auto& sent : effects.messages) asked.push_back(sent.recipient.text + "@" + sent.address.text);
   EXPECT_EQ(asked, (std::vector<std::string>{"@n7:1", "@n7:1", "@n7:1", "n1@n1:1", "n2@n2:1"}));
--- a/tests/simulated_fleet.h
+++ b/tests/simulated_fleet.h
@@ -25,14 +25,14 @@
  public:
   struct Link {
     double loss = 0;  ///< share of the datagrams; 1 cuts connections too
-    Span delay{};
+    Duration delay{};
   };
   struct Node {
     std::unique_ptr<Membership> member;  ///< null while the process does not run
-    Span pausedUntil{-1};
+    Duration pausedUntil{-1};
     std::vector<std::pair<std::string, std::size_t>>
         buffered;  ///< what the system keeps for a paused process
-    std::vector<std::pair<Span, MembershipEvent>> events;
+    std::vector<std::pair<Duration, MembershipEvent>> events;
     std::vector<std::uint64_t> processes;  ///< in which of the node's processes each event was reported
     std::uint64_t datagrams = 0;
     std::uint64_t bytes = 0;
@@ -46,7 +46,7 @@
   std::function<Link(std::size_t from, std::size_t to)> link = [](auto, auto) { return Link{}; };
   /// Sees all that a member sends and reports, before the links do.
   std::function<void(std::size_t node, const Effects&)> onEffects = [](auto, const auto&) {};
-  Span now{};
+  Duration now{};
   std::vector<Node> nodes;
 
   SimulatedFleet(std::size_t count, std::size_t zones, std::uint64_t seed, ProtocolSettings settings = {})
@@ -97,7 +97,7 @@
     nodes[i].buffered.clear();
     ++nodes[i].process;
   }
-  void pause(std::size_t i, Span duration) {
+  void pause(std::size_t i, Duration duration) {
     nodes[i].pausedUntil = now + duration;
     scheduleTimer(i);
   }
@@ -111,8 +111,8 @@
   }
 
   // Time
-  void runFor(Span duration) {
-    const Span end = now + duration;
+  void runFor(Duration duration) {
+    const Duration end = now + duration;
     while (!queue_.empty() && queue_.top().at <= end) {
       Delivery delivery = queue_.top();
       queue_.pop();
@@ -122,8 +122,8 @@
     now = end;
   }
   /// Runs until the condition holds; false where that takes longer than `limit`.
-  bool runUntil(Span limit, const std::function<bool()>& condition) {
-    for (const Span end = now + limit; now < end; runFor(std::chrono::milliseconds(100)))
+  bool runUntil(Duration limit, const std::function<bool()>& condition) {
+    for (const Duration end = now + limit; now < end; runFor(std::chrono::milliseconds(100)))
       if (condition()) return true;
     return condition();
   }
@@ -146,7 +146,7 @@
         if (viewer != subject && isRunning(viewer) && !isSeenAsItIs(viewer, subject)) return false;
     return true;
   }
-  std::size_t deathsDeclaredOf(std::size_t subject, Span since = {}) const {
+  std::size_t deathsDeclaredOf(std::size_t subject, Duration since = {}) const {
     std::size_t out = 0;
     for (const auto& node : nodes)
       for (const auto& [at, event] : node.events)
@@ -180,7 +180,7 @@
  private:
   /// A message that arrives, or a timer that fires.
   struct Delivery {
-    Span at;
+    Duration at;
     std::uint64_t number;
     std::size_t to;
     std::size_t from;
@@ -258,7 +258,7 @@
     const Link on = link(from, to);
     if (on.loss >= 1) return;
     if (isDatagram && on.loss > 0 && std::uniform_real_distribution<>()(random_) < on.loss) return;
-    const Span travel = on.delay + std::chrono::microseconds(200 + random_(800));
+    const Duration travel = on.delay + std::chrono::microseconds(200 + random_(800));
     queue_.push({now + travel, ++number_, to, from, nodes[to].process, false, std::move(message.bytes)});
   }
   void scheduleTimer(std::size_t i) {
