--- a/src/commands/witness_command.cpp
+++ b/src/commands/witness_command.cpp
@@ -76,7 +76,7 @@
 int witness(const Arguments& words) {
   const auto description = membershipOptions("options of witness");
   const auto given = parseArguments(words, description);
-  if (given.count("help")) {
+  if (given.count("help") > 0) {
     std::cout << "usage: rainhook witness --options FILE\n\n" << description;
     return exitSuccess;
   }
