--- a/src/server/deduplication_cache.h
+++ b/src/server/deduplication_cache.h
@@ -33,9 +33,10 @@
  public:
   /// Keyed requests are identified by their idempotency key, shared reads by their resource.
   struct Key {
-    HandlerId handler{};
-    std::string idempotencyKey;
-    ResourceKey resourceKey{};
+    HandlerId handler{};         ///< Keys of different handlers never match.
+    std::string idempotencyKey;  ///< Empty for shared reads.
+    ResourceKey resourceKey{};   ///< Zero for keyed requests.
+    /// Compares member by member.
     // NOLINTNEXTLINE(modernize-use-nullptr): false positive of clang-tidy 14 on defaulted comparisons
     auto operator<=>(const Key&) const = default;
   };
@@ -50,8 +51,9 @@
   /// A 128-bit hash (XXH3) over what all attempts of one request have in common: tenant and body. Zero for
   /// shared reads, which are identified by their resource alone.
   struct PayloadFingerprint {
-    std::uint64_t high = 0;
-    std::uint64_t low = 0;
+    std::uint64_t high = 0;  ///< Upper half of the hash.
+    std::uint64_t low = 0;   ///< Lower half of the hash.
+    /// Compares member by member.
     bool operator==(const PayloadFingerprint&) const = default;
   };
 
@@ -68,7 +70,7 @@
 
   /// One arrival of a request.
   struct Arrival {
-    RequestId id{};
+    RequestId id{};    ///< The request that arrived.
     Time arrivedAt{};  ///< When it reached the machine.
     Time readAt{};     ///< When it was read.
   };
@@ -81,22 +83,24 @@
 
   /// A retained request and, once it has completed, its result.
   struct CachedResult {
-    RequestId original{};
-    PayloadFingerprint fingerprint;
-    Time retainedUntil{};
-    Time endedAt{};
-    OriginalState state = OriginalState::pending;
-    std::string result;
+    RequestId original{};                          ///< The request that was executed, or is to be.
+    PayloadFingerprint fingerprint;                ///< What its duplicates must match.
+    Time retainedUntil{};                          ///< End of the retention of its result.
+    Time endedAt{};                                ///< When its execution ended.
+    OriginalState state = OriginalState::pending;  ///< How far the original is.
+    std::string result;                            ///< Empty unless the original has completed.
     /// End of the retention of an earlier request with this key, which may have been executed: what arrived
     /// before it is still a duplicate.
     Time earlierRetainedUntil{};
   };
 
+  /// Creates an empty cache.
   explicit DeduplicationCache(const Limits& limits) : limits_(limits) {}
 
   /// The key under which a request is deduplicated; none where its handler does not deduplicate it.
   static std::optional<Key> keyOf(const peers::IncomingRequest& request,
                                   const std::vector<HandlerPolicy>& handlers);
+  /// The fingerprint of tenant and body; zero where there is no idempotency key.
   static PayloadFingerprint fingerprintOf(const peers::IncomingRequest& request);
 
   /// Finds the original of an arrival: one that is retained, or one read earlier in the same iteration. Where
@@ -123,6 +127,7 @@
 
   /// The entry of a retained request, valid until the next change; null where it is not retained.
   const CachedResult* find(RequestId id) const;
+  /// Number of entries.
   std::size_t size() const { return entries_.size(); }
   /// How many entries `expire` has visited so far.
   std::uint64_t entriesScanned() const { return entriesScanned_; }
--- a/src/server/graceful_shutdown.h
+++ b/src/server/graceful_shutdown.h
@@ -28,6 +28,7 @@
                    const EndpointRegistration& registration, const RequestTable& requests)
       : reactor_(reactor), log_(log), listener_(listener), registration_(registration), requests_(requests) {}
 
+  /// From `begin` on.
   bool isInProgress() const { return stopAt_.has_value(); }
   /// Starts the shutdown, once. Returns the time within which the policy has to have all requests answered.
   [[nodiscard]] Duration begin(Duration timeout);
--- a/src/server/policy_timers.h
+++ b/src/server/policy_timers.h
@@ -28,6 +28,7 @@
   PolicyTimers(net::Reactor& reactor, peers::ExecutionEngineClient& engine,
                const DeploymentSettings& deployment, std::function<void(const TimerFired&)> onFired);
 
+  /// Fires once after `delay`, and then the wait for the gauges.
   void start(TimerId timer, Duration delay);
   /// The engine's answer to a request for gauges; ignored where it comes too late.
   void onGauges(std::uint64_t gaugeRequest, const std::vector<double>& values);
--- a/src/server/request_server.h
+++ b/src/server/request_server.h
@@ -33,12 +33,12 @@
 
 /// What a server is doing, for the other members of its fleet.
 struct ServerStatus {
-  bool isShuttingDown = false;
-  bool isEngineResponsive = false;
-  double warmUpProgress = 1;    ///< Share of its full speed, 0 to 1.
-  double concurrencyLimit = 0;  ///< Requests that may execute.
-  std::size_t executing = 0;    ///< Downstream calls included.
-  std::size_t queued = 0;
+  bool isShuttingDown = false;          ///< From the shutdown notice on.
+  bool isEngineResponsive = false;      ///< Connected, and it answers in time.
+  double warmUpProgress = 1;            ///< Share of its full speed, 0 to 1.
+  double concurrencyLimit = 0;          ///< Requests that may execute.
+  std::size_t executing = 0;            ///< Downstream calls included.
+  std::size_t queued = 0;               ///< Or awaiting their originals.
   std::uint64_t requestsRead = 0;       ///< Since the start.
   std::uint64_t requestsCompleted = 0;  ///< Since the start.
 };
@@ -63,6 +63,7 @@
 
   /// Binds its address and connects to its peers; throws Poco::Exception where the address can't be bound.
   void open();
+  /// Where it listens, once it is open.
   Poco::Net::SocketAddress address() const { return requestListener_.address(); }
 
   /// Takes what a new configuration may change while the server runs, see ConfigurationReload.
@@ -76,7 +77,9 @@
   /// How much of the configured quota of downstream calls it may use from now on, 0 to 1.
   void setDownstreamQuota(double share);
 
+  /// The requests in flight by state.
   InFlightCounts inFlightCounts() const;
+  /// What the server is doing now.
   ServerStatus status() const;
   /// How many connections were visited so far to make room for new ones.
   std::uint64_t connectionsScanned() const { return requestListener_.entriesScanned(); }
--- a/src/server/request_statistics.h
+++ b/src/server/request_statistics.h
@@ -18,15 +18,17 @@
 
 /// The requests in flight by their state, to be held against the gauges of the engine.
 struct InFlightCounts {
-  std::size_t queued = 0;             ///< Or awaiting their originals.
-  std::size_t executing = 0;          ///< Outside downstream calls.
-  std::size_t inDownstreamCalls = 0;  ///< Wanting a downstream call, or in one.
-  std::size_t abandoned = 0;          ///< No response is pending any more, the execution goes on.
-  std::size_t openDownstreamCalls = 0;
+  std::size_t queued = 0;               ///< Or awaiting their originals.
+  std::size_t executing = 0;            ///< Outside downstream calls.
+  std::size_t inDownstreamCalls = 0;    ///< Wanting a downstream call, or in one.
+  std::size_t abandoned = 0;            ///< No response is pending any more, the execution goes on.
+  std::size_t openDownstreamCalls = 0;  ///< As the client of the downstream service counts them.
+  /// Compares member by member.
   // NOLINTNEXTLINE(modernize-use-nullptr): false positive of clang-tidy 14 on defaulted comparisons
   auto operator<=>(const InFlightCounts&) const = default;
 };
 
+/// Counts the requests of the table by their state.
 InFlightCounts countInFlight(const RequestTable& requests, std::size_t openDownstreamCalls);
 
 /// Counts what happens to requests and logs the counts of every interval in which there were any. Used from
@@ -35,9 +37,9 @@
  public:
   /// What is logged beside the counts.
   struct Snapshot {
-    InFlightCounts inFlight;
+    InFlightCounts inFlight;                    ///< The requests in flight by state.
     std::optional<double> engineRunnableTasks;  ///< As the engine's gauges said last.
-    std::size_t openConnections = 0;
+    std::size_t openConnections = 0;            ///< Of clients.
   };
 
   /// The references must outlive this object.
@@ -46,13 +48,13 @@
   /// Starts the periodic report.
   void start();
 
-  void onRequestRead(Duration readDelay);
-  void onRequestCompleted() { ++interval_.completed; }
-  void onRequestShed() { ++interval_.shed; }
-  void onRequestFailed() { ++interval_.failed; }
-  void onClientDisconnected() { ++interval_.clientsDisconnected; }
-  void onDownstreamCallStarted() { ++interval_.downstreamCalls; }
-  void onDownstreamCallCompleted() { ++interval_.downstreamCallsCompleted; }
+  void onRequestRead(Duration readDelay);               ///< `readDelay`: for how long it stood unread.
+  void onRequestCompleted() { ++interval_.completed; }  ///< Answered with a result.
+  void onRequestShed() { ++interval_.shed; }            ///< Rejected by the policy before it was executed.
+  void onRequestFailed() { ++interval_.failed; }        ///< Answered with a failure.
+  void onClientDisconnected() { ++interval_.clientsDisconnected; }  ///< Before its request was answered.
+  void onDownstreamCallStarted() { ++interval_.downstreamCalls; }   ///< Retries included.
+  void onDownstreamCallCompleted() { ++interval_.downstreamCallsCompleted; }  ///< With a reply.
 
   /// Since the start.
   std::uint64_t requestsRead() const { return readBefore_ + interval_.read; }
--- a/src/server/request_table.h
+++ b/src/server/request_table.h
@@ -35,20 +35,21 @@
 
 /// One request from its arrival until it is answered and its execution has ended.
 struct InFlightRequest {
-  peers::IncomingRequest request;
-  bool isResponsePending = true;  ///< False once it is answered or its client is gone.
-  bool wasStarted = false;        ///< The engine may have it: it was told at least once to execute it.
-  RequestState state = RequestState::queued;
-  Moment stateSince{};  ///< Start of the execution, or of the wait for the original.
+  peers::IncomingRequest request;  ///< As it was read.
+  bool isResponsePending = true;   ///< False once it is answered or its client is gone.
+  bool wasStarted = false;         ///< The engine may have it: it was told at least once to execute it.
+  RequestState state = RequestState::queued;  ///< Where it stands.
+  Moment stateSince{};                        ///< Start of the execution, or of the wait for the original.
 
-  EngineCommand lastCommand = EngineCommand::none;
-  Moment lastCommandAt{};
-  bool wasCommandSent = false;  ///< False where there was no connection to the engine.
+  EngineCommand lastCommand = EngineCommand::none;  ///< None where there is nothing to send again.
+  Moment lastCommandAt{};                           ///< When it was sent or tried.
+  bool wasCommandSent = false;                      ///< False where there was no connection to the engine.
 
-  std::optional<RequestId> duplicateOf;
+  std::optional<RequestId> duplicateOf;  ///< Its original, where it has one.
   std::string downstreamPayload;         ///< Body of the requested call, later its reply.
   std::uint64_t callNotificationId = 0;  ///< The engine's notification that asked for the call.
 
+  /// Whether its execution was started and has not ended.
   bool isWithEngine() const { return state >= RequestState::executing; }
 };
 
@@ -67,7 +68,9 @@
 
   /// Null where no such request is in flight.
   InFlightRequest* find(RequestId id);
+  /// The id of the request that the engine and the downstream service know by this name.
   std::optional<RequestId> findByName(const std::string& name) const;
+  /// Ignored where no such request is in flight.
   void remove(RequestId id);
 
   /// Registers a duplicate whose state is `awaitingOriginal`.
@@ -76,9 +79,12 @@
   }
   /// Puts a duplicate that awaits its original back to `queued`.
   void stopAwaitingOriginal(RequestId id, InFlightRequest& request);
+  /// The duplicates that await this original, by id.
   std::vector<RequestId> duplicatesAwaiting(RequestId original) const;
 
+  /// Number of requests in flight.
   std::size_t size() const { return requests_.size(); }
+  /// All requests in flight, by id.
   const std::map<RequestId, InFlightRequest>& all() const { return requests_; }
 
  private:
--- a/src/server/resource_budget.h
+++ b/src/server/resource_budget.h
@@ -8,11 +8,11 @@
 
 /// Upper bounds that follow from the limits of the process.
 struct ResourceBudget {
-  std::size_t maxClientConnections = 0;
-  std::size_t maxDownstreamCalls = 0;
-  std::size_t maxRequestsInFlight = 0;
-  std::size_t maxOutputBytes = 0;  ///< Waiting to be sent, over all client connections.
-  std::size_t maxResultBytes = 0;  ///< Cached for duplicates.
+  std::size_t maxClientConnections = 0;  ///< Open at once.
+  std::size_t maxDownstreamCalls = 0;    ///< Open at once.
+  std::size_t maxRequestsInFlight = 0;   ///< What comes beyond is failed.
+  std::size_t maxOutputBytes = 0;        ///< Waiting to be sent, over all client connections.
+  std::size_t maxResultBytes = 0;        ///< Cached for duplicates.
 };
 
 /// Divides the limits.
