--- a/src/server/request_server.h
+++ b/src/server/request_server.h
@@ -98,7 +98,7 @@
   void onCommandRejected(const std::string& name, const std::string& command) override;
   void onDownstreamCallEnded(RequestId id, Outcome outcome, Duration took, std::string&& reply) override;
 
-  // Actions of the policy.
+  // Actions of the policy, in request_server_actions.cpp.
   void perform(const StartExecution& action);
   void perform(const ShedRequest& action);
   void perform(const FailRequest& action);
