--- a/tests/execution_engine_protocol_test.cpp
+++ b/tests/execution_engine_protocol_test.cpp
@@ -25,7 +25,7 @@
 
 TEST(EngineProtocol, DecodesACompletedExecution) {
   const auto message = decodeAs<EngineExecutionEnded>({{"msg", "outcome"},
-                                                       {"serial", 3},
+                                                       {"serial", 3u},
                                                        {"call", "ab"},
                                                        {"how", "ok"},
                                                        {"duration", 2},
@@ -70,7 +70,7 @@
 }
 
 TEST(EngineProtocol, TellsAnUnknownNotificationFromAnUnknownMessage) {
-  EXPECT_TRUE(decodeAs<EngineUnknownMessage>({{"msg", "dance"}, {"serial", 4}}).isNotification);
+  EXPECT_TRUE(decodeAs<EngineUnknownMessage>({{"msg", "dance"}, {"serial", 4u}}).isNotification);
   EXPECT_FALSE(decodeAs<EngineUnknownMessage>({{"msg", "dance"}}).isNotification);
 }
 
