--- a/bench/membership_measure.cpp
+++ b/bench/membership_measure.cpp
@@ -25,7 +25,7 @@
 constexpr std::size_t zoneCount = 3;
 constexpr double measuredLoss = 0.2;
 
-double toSeconds(Span span) { return std::chrono::duration<double>(span).count(); }
+double toSeconds(Duration span) { return std::chrono::duration<double>(span).count(); }
 
 /// The value below which this ratio of all values lies; 0 if there are none.
 double quantile(std::vector<double> values, double ratio) {
@@ -66,7 +66,7 @@
   return true;
 }
 
-std::vector<double> secondsToDetections(const SimulatedFleet& fleet, std::size_t subject, Span killedAt) {
+std::vector<double> secondsToDetections(const SimulatedFleet& fleet, std::size_t subject, Duration killedAt) {
   std::vector<double> times;
   for (const auto& node : fleet.nodes)
     for (const auto& [time, event] : node.events)
@@ -81,7 +81,7 @@
   DetectionTimes result;
   for (int seed = 1; seed <= seeds; ++seed) {
     SimulatedFleet fleet = makeConvergedFleet(count, seed, settings);
-    const Span killedAt = fleet.now;
+    const Duration killedAt = fleet.now;
     fleet.kill(killed);
     fleet.runUntil(300s, [&] { return isDeadForAll(fleet, killed); });
     const std::vector<double> times = secondsToDetections(fleet, killed, killedAt);
@@ -103,7 +103,7 @@
     SimulatedFleet fleet = makeConvergedFleet(count, seed, settings);
     pcg32 random(static_cast<std::uint64_t>(seed));
     const std::size_t deathsBefore = fleet.deathsDeclared();
-    const Span start = fleet.now;
+    const Duration start = fleet.now;
     disturb(fleet, random);
     deaths += fleet.deathsDeclared() - deathsBefore;
     hours += toSeconds(fleet.now - start) / secondsPerHour;
@@ -116,7 +116,7 @@
   const std::size_t pausedCount = std::max<std::size_t>(1, fleet.nodes.size() / 10);
   for (int round = 0; round < 30; ++round) {
     for (std::size_t i = 0; i < pausedCount; ++i) {
-      const Span duration = 1s + std::chrono::milliseconds(random(4000));
+      const Duration duration = 1s + std::chrono::milliseconds(random(4000));
       const std::size_t paused = random(static_cast<std::uint32_t>(fleet.nodes.size()));
       fleet.pause(paused, duration);
     }
@@ -164,7 +164,7 @@
     node.bytes = 0;
     node.stateBytes = 0;
   }
-  const Span start = fleet.now;
+  const Duration start = fleet.now;
   fleet.runFor(30s);
   const double memberSeconds = toSeconds(fleet.now - start) * static_cast<double>(count);
   MessageLoad load;
@@ -235,7 +235,7 @@
     };
     fleet.runFor(120s);
     fleet.healAllLinks();
-    const Span start = fleet.now;
+    const Duration start = fleet.now;
     if (fleet.runUntil(200s, [&] { return fleet.hasConverged(); }))
       times.push_back(toSeconds(fleet.now - start));
   }
--- a/src/commands/members_command.cpp
+++ b/src/commands/members_command.cpp
@@ -166,13 +166,13 @@
   const auto given = parseArguments(words, options, {"command", "name"});
   const auto command = given["command"].as<std::string>();
   const auto name = given["name"].as<std::string>();
-  if (given.count("help") || command == "help") {
+  if (given.count("help") > 0 || command == "help") {
     std::cout << usage << options;
     return exitSuccess;
   }
   checkCommand(command, name);
   const auto settings = membershipSettingsOf(given);
-  const auto address = given.count("at") ? given["at"].as<std::string>() : settings.advertise.text;
+  const auto address = given.count("at") > 0 ? given["at"].as<std::string>() : settings.advertise.text;
   MembershipClient client(settings, address);
   try {
     return run(client, command, name, given["json"].as<bool>());
--- a/src/commands/membership_client.cpp
+++ b/src/commands/membership_client.cpp
@@ -5,7 +5,7 @@
 
 #include <random>
 
-#include "commands/commands.h"
+#include "commands/command_line.h"
 #include "membership_transport/address.h"
 #include "membership_transport/framing.h"
 
--- a/src/commands/serve_command.cpp
+++ b/src/commands/serve_command.cpp
@@ -26,8 +26,8 @@
   return (high << 32) | device();
 }
 
-logging::Log::Form logForm(options::LogFormat format) {
-  return format == options::LogFormat::json ? logging::Log::Form::json : logging::Log::Form::text;
+logging::Log::Format logForm(options::LogFormat format) {
+  return format == options::LogFormat::json ? logging::Log::Format::json : logging::Log::Format::text;
 }
 
 // False, after a message on standard error, where the address cannot be had.
@@ -49,8 +49,8 @@
   std::optional<server::MembershipService> membership;
   // Signals wait in the reactor until it runs; by then the server is there.
   reactor.onSignals({SIGTERM, SIGINT, SIGHUP}, [&](int signal) {
-    if (signal == SIGHUP) return server->reloadFrom(configurationFile);
-    server->leave();
+    if (signal == SIGHUP) return server->reloadFile(configurationFile);
+    server->shutDownGracefully();
     if (membership) membership->leave();
   });
   const options::Options options = options::readOptionsFile(optionsFile);
--- a/src/membership_transport/membership_transport.cpp
+++ b/src/membership_transport/membership_transport.cpp
@@ -6,6 +6,7 @@
 #include <nlohmann/json.hpp>
 #include <utility>
 
+#include "codec/protocol_error.h"
 #include "membership/explain.h"
 #include "membership/message_codec.h"
 #include "membership_transport/address.h"
@@ -54,7 +55,7 @@
   reactor_.removeEventHandler(listener_, acceptObserver_);
 }
 
-membership::Span MembershipTransport::now() { return net::Reactor::Clock::now().time_since_epoch(); }
+membership::Duration MembershipTransport::now() { return net::Reactor::Clock::now().time_since_epoch(); }
 
 void MembershipTransport::open() {
   const auto address = *parseAddress(settings_.listen.text);
@@ -134,7 +135,7 @@
   received.append(bytes);
   if (received.size() < frameHeaderBytes) return bytes.size();
   const std::size_t length = frameLength(received);
-  if (length > maxFrameBytes) throw net::ProtocolError("a message longer than a full state");
+  if (length > maxFrameBytes) throw codec::ProtocolError("a message longer than a full state");
   if (received.size() < frameHeaderBytes + length) return bytes.size();
   const std::string signedMessage = received.substr(frameHeaderBytes, length);
   received.clear();
@@ -212,8 +213,8 @@
   if (connection) connection->close();
 }
 
-net::Callbacks MembershipTransport::callbacksOf(ExchangeId id) {
-  net::Callbacks out;
+net::ConnectionCallbacks MembershipTransport::callbacksOf(ExchangeId id) {
+  net::ConnectionCallbacks out;
   out.onData = [this, id](std::string_view bytes) { return onExchangeData(id, bytes); };
   out.onClosed = [this, id](net::CloseReason, const std::string&) { endExchange(id); };
   return out;
@@ -289,7 +290,7 @@
 /// What this member holds and sends, against which its bounds can be checked.
 void MembershipTransport::reportStatistics() {
   const auto at = now();
-  if (lastStatisticsAt_ != membership::Span{}) {
+  if (lastStatisticsAt_ != membership::Duration{}) {
     const auto interval = std::chrono::duration_cast<std::chrono::milliseconds>(at - lastStatisticsAt_);
     log_.event(LogCategory::membership, "statistics",
                {{"interval_ms", static_cast<std::int64_t>(interval.count())},
--- a/src/options/store_options.h
+++ b/src/options/store_options.h
@@ -5,14 +5,14 @@
 #include <string>
 
 #include "options/yaml_section.h"
-#include "store/bounds.h"
+#include "store/store_settings.h"
 
 namespace rainhook::options {
 
 /// Where a store is and how much it may use.
 struct StoreOptions {
-  std::string folder;         ///< as written; relative to the working directory
-  store::StoreBounds bounds;  ///< limits and tuning
+  std::string folder;           ///< as written; relative to the working directory
+  store::StoreSettings bounds;  ///< limits and tuning
 
   /// Whether all options are equal.
   bool operator==(const StoreOptions&) const = default;
--- a/src/server/membership_service.cpp
+++ b/src/server/membership_service.cpp
@@ -7,11 +7,11 @@
 
 namespace rainhook::server {
 
+using membership::Duration;
 using membership::MembershipEvent;
 using membership::MembershipSettings;
 using membership::MemberStatus;
 using membership::Phase;
-using membership::Span;
 using namespace std::chrono_literals;
 
 namespace {
@@ -20,14 +20,14 @@
 constexpr int stabilizationPeriods = 5;
 constexpr double queueingSmoothing = 0.2;  // weight of the latest sample
 
-Span updateIntervalOf(const MembershipSettings& settings) {
-  return std::clamp<Span>(settings.probeInterval, 100ms, 1s);
+Duration updateIntervalOf(const MembershipSettings& settings) {
+  return std::clamp<Duration>(settings.probeInterval, 100ms, 1s);
 }
 
-Phase phaseOf(const RequestServer::Figures& figures) {
-  if (figures.leaving) return Phase::draining;
-  if (!figures.works) return Phase::unhealthy;
-  return figures.warmth < 1 ? Phase::warmingUp : Phase::serving;
+Phase phaseOf(const ServerStatus& status) {
+  if (status.isShuttingDown) return Phase::draining;
+  if (!status.isEngineResponsive) return Phase::unhealthy;
+  return status.warmUpProgress < 1 ? Phase::warmingUp : Phase::serving;
 }
 
 }  // namespace
@@ -72,44 +72,45 @@
   if (event.type == MembershipEvent::Type::regionMismatch) {
     log_.message(logging::LogCategory::membership, "{}: this one leaves",
                  regionMismatch(settings_, event.member));
-    server_.leave();
+    server_.shutDownGracefully();
   } else if (event.type == MembershipEvent::Type::nameRejected) {
     log_.message(logging::LogCategory::membership,
                  "the name {} is held by the living instance at {}: this one leaves", event.member.name.text,
                  event.member.address.text);
-    server_.leave();
+    server_.shutDownGracefully();
   }
 }
 
 void MembershipService::update() {
   timer_ = reactor_.after(updateInterval_, [this] { update(); });
-  const Span now = net::Reactor::Clock::now().time_since_epoch();
+  const Duration now = net::Reactor::Clock::now().time_since_epoch();
   transport_.publishStatus(sampleStatus(now));
   applyQuota(now);
 }
 
-MemberStatus MembershipService::sampleStatus(Span now) {
+MemberStatus MembershipService::sampleStatus(Duration now) {
   constexpr double minSeconds = 0.001;
-  const auto figures = server_.figures();
+  const ServerStatus status = server_.status();
   const double seconds =
       lastSampleAt_ ? std::max(std::chrono::duration<double>(now - *lastSampleAt_).count(), minSeconds) : 1;
   lastSampleAt_ = now;
-  const double isQueueing = figures.held > 0 ? 1.0 : 0.0;
+  const double isQueueing = status.queued > 0 ? 1.0 : 0.0;
   queueingRatio_ += queueingSmoothing * (isQueueing - queueingRatio_);
   MemberStatus out;
-  out.phase = phaseOf(figures);
-  out.warmUpProgress = figures.warmth;
-  out.concurrencyLimit = figures.limit;
-  out.running = static_cast<double>(figures.running);
-  out.receivedPerSecond = static_cast<double>(figures.read - lastFigures_.read) / seconds;
-  out.completedPerSecond = static_cast<double>(figures.done - lastFigures_.done) / seconds;
+  out.phase = phaseOf(status);
+  out.warmUpProgress = status.warmUpProgress;
+  out.concurrencyLimit = status.concurrencyLimit;
+  out.running = static_cast<double>(status.executing);
+  out.receivedPerSecond = static_cast<double>(status.requestsRead - lastStatus_.requestsRead) / seconds;
+  out.completedPerSecond =
+      static_cast<double>(status.requestsCompleted - lastStatus_.requestsCompleted) / seconds;
   out.queueingRatio = queueingRatio_;
   out.advertisedFleetSize = static_cast<double>(quota_.fleetSize());
-  lastFigures_ = figures;
+  lastStatus_ = status;
   return out;
 }
 
-void MembershipService::applyQuota(Span now) {
+void MembershipService::applyQuota(Duration now) {
   const auto& membership = transport_.membership();
   const auto view = membership::observeFleet(membership, now, lease_);
   const double quota = membership.isRejected() ? 0 : quota_.update(now, view);
@@ -119,7 +120,7 @@
              {{"quota", quota},
               {"holders", static_cast<std::int64_t>(quota_.quotaHolders())},
               {"view_uncertain", view.isUncertain}});
-  server_.mayCall(quota);
+  server_.setDownstreamQuota(quota);
 }
 
 }  // namespace rainhook::server
--- a/src/store/log_structured_store.cpp
+++ b/src/store/log_structured_store.cpp
@@ -3,386 +3,255 @@
 #include <fmt/format.h>
 
 #include <algorithm>
+#include <utility>
 
-#include "store/log_structured_store_jobs.h"
+#include "store/file_names.h"
+#include "store/recovery.h"
 
 namespace rainhook::store {
 namespace {
 
-constexpr std::size_t unpackedMost = std::size_t{256} << 20;  // no value is longer, whatever the bounds were
-constexpr std::size_t sweepsMost =
-    64;  // so many steps back of the clock are remembered; beyond, the oldest goes
+constexpr std::size_t expiredEntriesPerStep = 512;
+constexpr int maxCommitAttempts = 2;
 
-std::string faultIn(const std::string& name, const Fault& fault) { return name + ": " + fault.text(); }
-
-}  // namespace
-
-Book::Book(Disk& disk, const StoreBounds& bounds, Tell tell)
-    : disk_(disk), bounds_(bounds), plan_(bounds), tell_(std::move(tell)) {}
-
-Book::~Book() = default;
-
-void Book::say(const std::string& line) const {
-  if (tell_) tell_(line);
+StoreStatus lockFolder(Disk& disk) {
+  const auto locked = disk.lock(lockFileName);
+  if (!locked.error) return {};
+  if (locked.error != std::errc::operation_would_block)
+    return {StoreErrorCode::ioError, describeError(lockFileName, locked.error)};
+  return {StoreErrorCode::locked, fmt::format("the store is open in process {}",
+                                              locked.holder.empty() ? "(unknown)" : locked.holder)};
 }
 
-void Book::addBytes(std::uint64_t bytes) const {
-  const std::lock_guard lock(mutex_);
-  stats_.folderBytes += bytes;
-  stats_.folderMost = std::max(stats_.folderMost, stats_.folderBytes);
+/// Collects the entries of a scan that have not expired.
+template <typename Scan>
+ScanPage collectPage(std::size_t maxRows, UnixTime now, Scan scan) {
+  ScanPage out;
+  scan([&](const IndexEntry& entry) {
+    if (entry.expiry <= now) return true;
+    if (out.rows.size() == maxRows) {
+      out.hasMore = true;
+      return false;
+    }
+    out.rows.push_back({entry.key, entry.expiry, entry.sequence, entry.location.bytes});
+    return true;
+  });
+  return out;
 }
 
-void Book::lessBytes(std::uint64_t bytes) const {
-  const std::lock_guard lock(mutex_);
-  stats_.folderBytes -= std::min(stats_.folderBytes, bytes);
-}
+}  // namespace
 
-std::uint64_t Book::costOf(const Write& write) {
-  return recordBytes(write.key.size(), write.value.size()) + hintBytes(write.key.size());
+LogStructuredStore::LogStructuredStore(Disk& disk, const StoreSettings& settings, LogCallback log)
+    : disk_(disk),
+      settings_(settings),
+      policy_(settings),
+      log_(std::move(log)),
+      catalog_(disk, usage_, state_),
+      files_(disk, settings.maxOpenFiles),
+      reader_(state_, files_, log_),
+      batchWriter_(settings_, policy_, catalog_, state_, log_),
+      compactor_(disk, policy_, catalog_, state_, usage_, files_, log_) {}
+
+void LogStructuredStore::log(const std::string& line) const {
+  if (log_) log_(line);
 }
 
-Outcome refusalOf(const Write& write, const StoreBounds& bounds) {
-  if (write.key.empty()) return {Outcome::Code::misused, "the key is empty"};
-  if (write.key.size() > bounds.longestKey)
-    return {Outcome::Code::tooLong,
-            fmt::format("a key of {} bytes; {} are allowed", write.key.size(), bounds.longestKey)};
-  if (write.value.size() > bounds.longestValue)
-    return {Outcome::Code::tooLong,
-            fmt::format("a value of {} bytes; {} are allowed", write.value.size(), bounds.longestValue)};
+StoreStatus LogStructuredStore::open(std::uint64_t seed) {
+  if (auto status = lockFolder(disk_); !status.isOk()) return status;
+  Recovery recovery(disk_, policy_, usage_, state_, log_);
+  if (auto status = recovery.run(StoreId{seed}); !status.isOk()) return status;
+  catalog_.restore(recovery.takeContents());
+  isOpen_ = true;
+  if (const DiskError error = catalog_.writeManifest())
+    log(describeError(manifestFileName, error) + "; writes are refused until it can be written");
   return {};
 }
 
-std::vector<Outcome> Book::commit(std::span<const Write> writes, UnixTime now) {
-  std::vector<Outcome> out(writes.size());
-  for (std::size_t at = 0; at < writes.size();) {
-    out[at] =
-        opened_ ? refusalOf(writes[at], bounds_) : Outcome{Outcome::Code::closed, "the store is not open"};
-    if (!out[at].ok()) {
-      ++at;
+std::vector<StoreStatus> LogStructuredStore::commit(std::span<const WriteRequest> writes, UnixTime now) {
+  std::vector<StoreStatus> statuses(writes.size());
+  for (std::size_t begin = 0; begin < writes.size();) {
+    statuses[begin] = isOpen_ ? validateWrite(writes[begin], settings_)
+                              : StoreStatus{StoreErrorCode::closed, "the store is not open"};
+    if (!statuses[begin].isOk()) {
+      ++begin;
       continue;
     }
-    if (active_ && plan_.isFull(active_->weight(), costOf(writes[at]))) seal(active_, false);
-    // As many as fit into one segment go with one sync.
-    const auto base = active_ ? active_->weight() : 2 * headBytes;
-    std::uint64_t cost = costOf(writes[at]);
-    std::size_t end = at + 1;
-    while (end < writes.size() && end - at < bounds_.commitMost && refusalOf(writes[end], bounds_).ok() &&
-           !plan_.isFull(base + cost, costOf(writes[end])))
-      cost += costOf(writes[end++]);
-    const auto outcome = commitPortion(writes.subspan(at, end - at), cost, now);
-    for (; at < end; ++at) out[at] = outcome;
+    const SegmentWriter* active = activeSegment();
+    if (active && policy_.isFull(active->projectedBytes(), BatchWriter::bytesOf(writes.subspan(begin, 1))))
+      catalog_.seal(SegmentRole::commits, SegmentTrust::trusted);
+    const auto batch = writes.subspan(begin, batchWriter_.batchSize(writes.subspan(begin)));
+    const StoreStatus status = commitBatch(batch, now);
+    std::fill_n(statuses.begin() + static_cast<std::ptrdiff_t>(begin), batch.size(), status);
+    begin += batch.size();
   }
-  return out;
+  return statuses;
 }
 
-Outcome Book::commitPortion(std::span<const Write> writes, std::uint64_t cost, UnixTime now) {
-  const auto refuse = [&](Outcome outcome) {
-    const std::lock_guard lock(mutex_);
-    (outcome.code == Outcome::Code::full ? stats_.refused : stats_.failed) += writes.size();
-    return outcome;
-  };
-  if (!makeRoom(cost + recordBytes(0, 0) + 2 * headBytes, now))
-    return refuse({Outcome::Code::full, "no room under disk_bytes, and none could be made"});
-  Fault fault;
+StoreStatus LogStructuredStore::commitBatch(std::span<const WriteRequest> writes, UnixTime now) {
+  const std::uint64_t sweepAndHeaders = recordBytes(0, 0) + 2 * fileHeaderBytes;
+  if (!makeRoom(BatchWriter::bytesOf(writes) + sweepAndHeaders, now))
+    return countRefused(writes.size(),
+                        {StoreErrorCode::storeFull, "no room under disk_bytes, and none could be made"});
+  DiskError error;
   // A sync that failed says that what was written before may be lost, and a second sync of the same file
-  // can't be believed; so these go once more, into a new segment.
-  for (int attempt = 0; attempt < 2; ++attempt) {
-    if (auto outcome = ensureActive(); !outcome.ok() || !active_) return refuse(std::move(outcome));
-    fault = writePortion(writes, now);
-    if (!fault) return {};
-    if (active_) break;  // not a sync: the file is as it was before
+  // can't be believed; so these writes go once more, into a new segment.
+  for (int attempt = 0; attempt < maxCommitAttempts; ++attempt) {
+    auto status = ensureActiveSegment();
+    if (!status.isOk()) return countRefused(writes.size(), std::move(status));
+    error = batchWriter_.write(writes, now);
+    if (!error) return {};
+    if (activeSegment()) break;  // not a sync: the file is as it was before
   }
-  return refuse(
-      {Outcome::Code::failed, faultIn(active_ ? segmentName(active_->number()) : "a new segment", fault)});
+  const SegmentWriter* active = activeSegment();
+  const std::string name = active ? segmentFileName(active->number()) : "a new segment";
+  return countRefused(writes.size(), {StoreErrorCode::ioError, describeError(name, error)});
 }
 
-void Book::addWrite(const Write& write, std::span<const Write> before, UnixTime now,
-                    std::vector<Move>& moves) {
-  const bool erase = write.erase || write.goodUntil <= now;
-  if (erase) {
-    const bool here =
-        std::any_of(before.begin(), before.end(), [&](const Write& w) { return w.key == write.key; });
-    const std::lock_guard lock(mutex_);
-    const Entry* entry = index_.find(write.key);
-    // There is nothing to erase, unless a write that failed may have left something.
-    if (!here && !uncertain_ && (!entry || entry->state == State::gone)) return;
-  }
-  Record record{erase ? Kind::erase : Kind::put,   false,     nextSequence_,
-                erase ? forever : write.goodUntil, write.key, {}};
-  nextSequence_ = after(nextSequence_);
-  std::optional<std::string> packed;
-  if (!erase) {
-    if (write.value.size() >= bounds_.compressFrom) packed = pack(write.value);
-    record.packed = packed.has_value();
-    record.value = packed ? *packed : write.value;
-  }
-  moves.push_back({write.key, record.kind, record.sequence, record.goodUntil, active_->add(record)});
+StoreStatus LogStructuredStore::countRefused(std::size_t writes, StoreStatus status) {
+  const std::lock_guard lock(state_.mutex);
+  StoreStatistics& statistics = state_.statistics;
+  (status.code == StoreErrorCode::storeFull ? statistics.rejectedWrites : statistics.failedWrites) += writes;
+  return status;
 }
 
-Fault Book::writePortion(std::span<const Write> writes, UnixTime now) {
-  std::vector<Move> moves;
-  std::optional<Sweep> sweep;
-  {
-    const std::lock_guard lock(mutex_);
-    if (sweepDue_) sweep = {nextSequence_, sweptUntil_};
-  }
-  if (sweep) {
-    active_->add({Kind::sweep, false, sweep->before, sweep->until, {}, {}});
-    nextSequence_ = after(nextSequence_);
-  }
-  for (std::size_t i = 0; i < writes.size(); ++i) addWrite(writes[i], writes.first(i), now, moves);
-  if (moves.empty() && !sweep) return {};
-  if (const auto fault = counted(*active_, [&] { return active_->write(); })) {
-    uncertain_ = true;
-    if (active_->broken()) seal(active_, true);
-    return fault;
-  }
-  const auto fault = active_->sync();
-  if (fault) {
-    say(fmt::format("{}; it is not trusted any more, and what lives in it is written anew",
-                    faultIn(segmentName(active_->number()), fault)));
-    uncertain_ = true;
-    counted(*active_, [&] { return active_->takeBack(), 0; });
-    seal(active_, true);
-    const std::lock_guard lock(mutex_);
-    ++stats_.failedSyncs;
-    return fault;
-  }
-  counted(*active_, [&] { return active_->settle(), 0; });
-  if (sweep) addSweep(sweep->before, sweep->until);
-  const std::lock_guard lock(mutex_);
-  for (const Move& move : moves) index_.seen(move.key, move.kind, move.sequence, move.goodUntil, move.where);
-  ++stats_.commits;
-  for (const Write& write : writes) {
-    ++(write.erase ? stats_.erases : stats_.puts);
-    stats_.putBytes += costOf(write);
-  }
-  if (sweep && sweptUntil_ == sweep->until) sweepDue_ = false;
-  return {};
-}
-
-void Book::addSweep(Sequence before, UnixTime until) {
-  while (!sweeps_.empty() && sweeps_.back().until <= until) sweeps_.pop_back();
-  sweeps_.push_back({before, until});
-  if (sweeps_.size() > sweepsMost) sweeps_.erase(sweeps_.begin());
-}
-
-// A clock that steps back before the next commit must not take back what was seen.
-void Book::sawExpired(UnixTime now) const {
-  sweptUntil_ = std::exchange(sweepDue_, true) ? std::max(sweptUntil_, now) : now;
-}
-
-bool Book::makeRoom(std::uint64_t cost, UnixTime now) {
-  const auto folder = [this] {
-    const std::lock_guard lock(mutex_);
-    return stats_.folderBytes;
-  };
-  // Each round removes, copies or ages out something, and there is a bounded amount of that.
-  while (!plan_.mayWrite(folder(), cost)) {
-    if (copying_) return false;  // a snapshot holds all segments in place
-    if (tidy(now)) continue;
-    if (tidyFailed_ || !ageOut(plan_.ageOutAtLeast())) return false;
-  }
-  return true;
+StoreStatus LogStructuredStore::ensureActiveSegment() {
+  return activeSegment() ? StoreStatus{} : catalog_.openWriter(SegmentRole::commits);
 }
 
-Outcome Book::ensureActive() { return active_ ? Outcome{} : makeSegment(active_); }
-
-Outcome Book::makeSpare() {
-  if (!spare_) {
-    Fault fault;
-    auto made = Segment::make(disk_, store_, nextNumber_, fault);
-    if (fault) return {Outcome::Code::failed, faultIn(segmentName(nextNumber_), fault)};
-    nextNumber_ = after(nextNumber_);
-    addBytes(made->bytes() + made->hintBytes());
-    spare_ = std::move(made);
-    spareNamed_ = false;
-  }
-  // Its name has to be on the disk before the manifest tells of it: a listed segment that is not there counts
-  // as lost.
-  if (spareNamed_) return {};
-  if (const auto fault = disk_.syncFolder()) return {Outcome::Code::failed, faultIn("the folder", fault)};
-  spareNamed_ = true;
-  return {};
+ReadResult LogStructuredStore::get(std::string_view key, UnixTime now) const {
+  return reader_.read(catalog_.storeId(), key, now);
 }
 
-Outcome Book::makeSegment(std::unique_ptr<Segment>& into) {
-  if (auto outcome = makeSpare(); !outcome.ok()) return outcome;
-  into = std::move(spare_);
-  const auto fault = writeManifest();
-  if (!fault) return {};
-  spare_ = std::move(into);
-  return {Outcome::Code::failed, faultIn(manifestName, fault)};
+ScanPage LogStructuredStore::scanByKey(std::string_view from, ScanStart start, std::size_t maxRows,
+                                       UnixTime now) const {
+  const std::lock_guard lock(state_.mutex);
+  return collectPage(maxRows, now,
+                     [&](const KeyIndex::Visitor& visit) { state_.index.scanByKey(from, start, visit); });
 }
 
-void Book::seal(std::unique_ptr<Segment>& segment, bool distrusted) {
-  counted(*segment, [&] { return segment->seal(), 0; });
-  sealed_[segment->number()] = {
-      segment->bytes(), segment->hintBytes(), segment->settled(), segment->last(), distrusted, false, {}};
-  segment.reset();
+ScanPage LogStructuredStore::scanByAge(const std::optional<KeyIndex::AgeCursor>& cursor, std::size_t maxRows,
+                                       UnixTime now) const {
+  const std::lock_guard lock(state_.mutex);
+  return collectPage(maxRows, now,
+                     [&](const KeyIndex::Visitor& visit) { state_.index.scanByAge(cursor, visit); });
 }
 
-Manifest Book::manifest(bool sealedOnly) const {
-  Manifest out{store_, nextNumber_, nextSequence_, index_.floor(), sweeps_, {}};
-  for (const auto& [number, segment] : sealed_)
-    // A distrusted one is listed like one that is still written, so that the next start distrusts it too.
-    out.segments.push_back({number, !segment.distrusted, segment.bytes, segment.last});
-  for (const Segment* segment : {active_.get(), output_.get()})
-    if (segment && !sealedOnly) out.segments.push_back({segment->number(), false, 0, {}});
+StoreStatistics LogStructuredStore::statistics() const {
+  const std::lock_guard lock(state_.mutex);
+  StoreStatistics out = state_.statistics;
+  out.entries = state_.index.liveEntryCount();
+  out.tombstones = state_.index.entryCount() - out.entries;
+  out.indexBytes = state_.index.memoryBytes();
+  out.liveBytes = state_.index.liveBytes();
+  out.folderBytes = usage_.bytes();
+  out.peakFolderBytes = usage_.peakBytes();
   return out;
 }
 
-Fault Book::writeManifest() {
-  const auto bytes = encodeManifest(manifest(false));
-  auto opened = disk_.create(manifestTemporary);
-  if (opened.fault) return opened.fault;
-  addBytes(bytes.size());
-  const auto undo = [&](Fault fault) {
-    disk_.remove(manifestTemporary);
-    lessBytes(bytes.size());
-    return fault;
-  };
-  if (const auto fault = writeAll(*opened.file, 0, bytes)) return undo(fault);
-  if (const auto fault = opened.file->sync()) return undo(fault);
-  if (const auto fault = disk_.rename(manifestTemporary, manifestName)) return undo(fault);
-  lessBytes(std::exchange(manifestBytes_, bytes.size()));
-  return disk_.syncFolder();
+bool LogStructuredStore::runMaintenance(UnixTime now, bool hasWaitingWriters) {
+  if (!isOpen_) return false;
+  takeOverCorruptRecords();
+  const bool hasExpired = expireEntries(now);
+  const std::uint64_t budgetBytes = policy_.stepBytes(hasWaitingWriters);
+  if (snapshot_) return stepSnapshot(budgetBytes);
+  const bool hasAgedOut = ageOut(0);
+  return prepareNextSegment() || compactor_.step(budgetBytes) || hasExpired || hasAgedOut;
 }
 
-std::shared_ptr<File> Book::fileOf(SegmentNumber number, Fault& fault) const {
-  const std::lock_guard lock(mutex_);
-  if (const auto at = files_.find(number); at != files_.end()) {
-    at->second.second = ++uses_;
-    return at->second.first;
+/// Notes which segments readers have found damaged; those of a segment that is still being written wait.
+void LogStructuredStore::takeOverCorruptRecords() {
+  const std::lock_guard lock(state_.mutex);
+  for (CorruptRecord& corrupt : std::exchange(state_.corruptRecords, {})) {
+    if (SealedSegment* sealed = catalog_.findSealed(corrupt.segment)) {
+      sealed->isDamaged = true;
+      sealed->lostRecords.push_back(std::move(corrupt.record));
+    } else {
+      state_.corruptRecords.push_back(std::move(corrupt));
+    }
   }
-  auto opened = disk_.open(segmentName(number));
-  fault = opened.fault;
-  if (fault) return nullptr;
-  if (files_.size() >= bounds_.openFiles)
-    files_.erase(std::min_element(files_.begin(), files_.end(), [](const auto& a, const auto& b) {
-      return a.second.second < b.second.second;
-    }));
-  files_[number] = {opened.file, ++uses_};
-  return opened.file;
 }
 
-void Book::forgetFile(SegmentNumber number) {
-  const std::lock_guard lock(mutex_);
-  files_.erase(number);
+bool LogStructuredStore::expireEntries(UnixTime now) {
+  const std::lock_guard lock(state_.mutex);
+  const std::size_t count = state_.index.expireUpTo(now, expiredEntriesPerStep);
+  if (count == 0) return false;
+  state_.statistics.expiredEntries += count;
+  state_.noteExpired(now);
+  return true;
 }
 
-Got Book::get(std::string_view key, UnixTime now) const {
-  // A compaction may move the record between the look into the index and the read; the old file stays
-  // readable for whoever holds it, so more than a second look is rare.
-  for (int attempt = 0; attempt < 4; ++attempt) {
-    Entry entry;
-    {
-      const std::lock_guard lock(mutex_);
-      const Entry* found = index_.find(key);
-      if (!found || found->state == State::gone) return {};
-      if (found->state == State::lost)
-        return {{}, forever, {Outcome::Code::damaged, "its record can't be read"}};
-      if (found->goodUntil <= now) {
-        index_.expire(key);
-        ++stats_.expired;
-        sawExpired(now);
-        return {};
-      }
-      entry = *found;
-    }
-    Fault fault;
-    const auto file = fileOf(entry.where.segment, fault);
-    std::string bytes(entry.where.bytes, '\0');
-    Transfer read{0, fault};
-    if (file) read = readAll(*file, entry.where.offset, bytes);
-    if (!read.fault) {
-      const auto found = readRecord(std::string_view(bytes).substr(0, read.bytes),
-                                    {{FileKind::segment, store_, entry.where.segment}, entry.where.offset});
-      if (found.found == RecordRead::Found::whole && found.record.key == key &&
-          found.record.sequence == entry.sequence) {
-        if (!found.record.packed) return {std::string(found.record.value), entry.goodUntil, {}};
-        if (auto plain = unpack(found.record.value, unpackedMost))
-          return {std::move(plain), entry.goodUntil, {}};
-      }
-    }
-    const auto name = segmentName(entry.where.segment);
-    {
-      const std::lock_guard lock(mutex_);
-      const Entry* still = index_.find(key);
-      if (!still || still->where != entry.where || still->sequence != entry.sequence) continue;
-      if (read.fault) return {{}, forever, {Outcome::Code::failed, faultIn(name, read.fault)}};
-      ++stats_.lostRecords, stats_.lostBytes += entry.where.bytes;
-      if (index_.lost(key, entry.sequence, entry.where.segment))
-        foundDamaged_.push_back({entry.where.segment, entry.key, entry.sequence});
-    }
-    say(fmt::format("{} at {}: a record of {} bytes is damaged; its key is not served any more", name,
-                    entry.where.offset, entry.where.bytes));
-    return {
-        {}, forever, {Outcome::Code::damaged, fmt::format("{} at {}: damaged", name, entry.where.offset)}};
-  }
-  return {{}, forever, {Outcome::Code::failed, "it moved too often while it was read"}};
+bool LogStructuredStore::ageOut(std::uint64_t minBytes) {
+  auto excess = policy_.excess(catalog_.occupancy());
+  excess.diskBytes = std::max(excess.diskBytes, minBytes);
+  if (!excess.isAny()) return false;
+  const std::lock_guard lock(state_.mutex);
+  const SequenceNumber floor = state_.index.floorToFree(excess.diskBytes, excess.indexBytes);
+  if (floor <= state_.index.floor()) return false;
+  state_.statistics.agedOutEntries += state_.index.raiseFloor(floor);
+  return true;
 }
 
-namespace {
-
-Page pageOf(std::size_t most, UnixTime now,
-            const std::function<void(const std::function<bool(const Entry&)>&)>& walk) {
-  Page out;
-  walk([&](const Entry& entry) {
-    if (entry.goodUntil <= now) return true;
-    if (out.rows.size() == most) return out.more = true, false;
-    out.rows.push_back({entry.key, entry.goodUntil, entry.sequence, entry.where.bytes});
-    return true;
-  });
-  return out;
+/// Creates the next segment before the active one is full, so that the commit that fills it waits for less.
+bool LogStructuredStore::prepareNextSegment() {
+  const SegmentWriter* active = activeSegment();
+  if (catalog_.hasDurableSpare() || !active || !policy_.isNearlyFull(active->projectedBytes())) return false;
+  return catalog_.prepareSpare().isOk();
 }
 
-}  // namespace
+bool LogStructuredStore::makeRoom(std::uint64_t bytes, UnixTime now) {
+  // Each round removes, copies or ages out something, and there is a bounded amount of that.
+  while (!policy_.canWrite(usage_.bytes(), bytes)) {
+    if (snapshot_) return false;  // it holds all segments in place
+    if (runMaintenance(now)) continue;
+    if (compactor_.hasFailed() || !ageOut(policy_.minAgeOutBytes())) return false;
+  }
+  return true;
+}
 
-Page Book::byKey(std::string_view from, bool beyond, std::size_t most, UnixTime now) const {
-  const std::lock_guard lock(mutex_);
-  return pageOf(most, now, [&](const auto& hear) { index_.byKey(from, beyond, hear); });
+void LogStructuredStore::startCompaction(StatusCallback onEnded) {
+  if (activeSegment()) catalog_.seal(SegmentRole::commits, SegmentTrust::trusted);
+  compactor_.requestAll(std::move(onEnded));
 }
 
-Page Book::byAge(const std::optional<Index::Behind>& behind, std::size_t most, UnixTime now) const {
-  const std::lock_guard lock(mutex_);
-  return pageOf(most, now, [&](const auto& hear) { index_.byAge(behind, hear); });
+StoreStatus LogStructuredStore::startSnapshot(std::unique_ptr<Disk> destination, StatusCallback onEnded) {
+  if (!isOpen_) return {StoreErrorCode::closed, "the store is not open"};
+  if (snapshot_) return {StoreErrorCode::invalidArgument, "a snapshot is under way"};
+  if (auto status = SnapshotCopy::prepare(*destination); !status.isOk()) return status;
+  compactor_.suspend();
+  if (activeSegment()) catalog_.seal(SegmentRole::commits, SegmentTrust::trusted);
+  std::vector<std::string> files;
+  for (const auto& [number, segment] : catalog_.sealedSegments()) {
+    files.push_back(segmentFileName(number));
+    files.push_back(hintFileName(number));
+  }
+  auto manifest = encodeManifest(catalog_.manifest(SegmentCatalog::ManifestScope::sealedSegments));
+  snapshot_ = std::make_unique<SnapshotCopy>(disk_, std::move(destination), std::move(files),
+                                             std::move(manifest), std::move(onEnded));
+  return {};
 }
 
-FolderFacts Book::facts() const {
-  const std::lock_guard lock(mutex_);
-  FolderFacts out{stats_.folderBytes, index_.bytes(), {}};
-  for (const auto& [number, segment] : sealed_)
-    out.segments.push_back({number, segment.bytes + segment.hintBytes, index_.living(number), true,
-                            segment.distrusted, segment.damaged});
-  for (const Segment* segment : {active_.get(), output_.get()})
-    if (segment)
-      out.segments.push_back({segment->number(), segment->bytes() + segment->hintBytes(),
-                              index_.living(segment->number()), false, false, false});
-  return out;
+bool LogStructuredStore::stepSnapshot(std::uint64_t budgetBytes) {
+  if (auto ended = snapshot_->step(budgetBytes)) endSnapshot(std::move(*ended));
+  return true;
 }
 
-Stats Book::stats() const {
-  const std::lock_guard lock(mutex_);
-  Stats out = stats_;
-  out.entries = index_.livingEntries();
-  out.gone = index_.size() - out.entries;
-  out.indexBytes = index_.bytes();
-  out.livingBytes = index_.livingBytes();
-  return out;
+void LogStructuredStore::endSnapshot(StoreStatus status) {
+  const auto ended = std::move(snapshot_);
+  ended->finish(std::move(status));
 }
 
-void Book::close() {
-  if (!opened_) return;
-  if (copying_) endSnapshot({Outcome::Code::closed, "the store was closed"});
-  job_.reset();
-  if (output_) flushOutput(true);
-  if (output_) seal(output_, false);
-  if (active_) seal(active_, false);
-  compactionEnded({Outcome::Code::closed, "the store was closed"});
-  if (const auto fault = writeManifest()) say(faultIn(manifestName, fault) + "; the next start reads more");
+void LogStructuredStore::close() {
+  if (!isOpen_) return;
+  const StoreStatus closed{StoreErrorCode::closed, "the store was closed"};
+  if (snapshot_) endSnapshot(closed);
+  compactor_.abandon();
+  compactor_.sealOutput();
+  if (activeSegment()) catalog_.seal(SegmentRole::commits, SegmentTrust::trusted);
+  compactor_.endRequests(closed);
+  if (const DiskError error = catalog_.writeManifest())
+    log(describeError(manifestFileName, error) + "; the next start will read more");
   disk_.unlock();
-  opened_ = false;
+  isOpen_ = false;
 }
 
 }  // namespace rainhook::store
--- a/src/store/posix_disk.h
+++ b/src/store/posix_disk.h
@@ -1,5 +1,7 @@
-// The disk in service: files of one folder by POSIX. Source: POSIX.1-2017 open, pread, pwrite, fdatasync,
-// rename; flock(2) for the lock, which the kernel gives back when its process ends, however it ends.
+/// @file
+/// The disk in service: the files of one folder by POSIX. Source: POSIX.1-2017 open, pread, pwrite,
+/// fdatasync, rename; flock(2) for the lock, which the kernel releases when its process ends, however it
+/// ends.
 #pragma once
 
 #include <string>
@@ -8,30 +10,33 @@
 
 namespace rainhook::store {
 
+/// Owns the descriptors of the folder and of its lock. Any thread may open and read; one at a time changes.
 class PosixDisk final : public Disk {
  public:
-  // Makes the folder where it is absent (not its parents).
+  /// Creates the folder where it is absent, not its parents; an error shows in the operations that follow.
   explicit PosixDisk(std::string folder);
   ~PosixDisk() override;
   PosixDisk(const PosixDisk&) = delete;
   PosixDisk& operator=(const PosixDisk&) = delete;
 
-  Fault list(std::vector<Listed>& into) override;
-  Opened open(const std::string& name) override;
-  Opened create(const std::string& name) override;
-  void willRead(const std::string& name) override;
-  Fault rename(const std::string& from, const std::string& to) override;
-  Fault remove(const std::string& name) override;
-  Fault syncFolder() override;
-  Locked lock(const std::string& name) override;
+  DiskError list(std::vector<DirectoryEntry>& into) override;
+  OpenResult open(const std::string& name) override;
+  OpenResult create(const std::string& name) override;
+  void prefetch(const std::string& name) override;
+  DiskError rename(const std::string& from, const std::string& to) override;
+  DiskError remove(const std::string& name) override;
+  DiskError syncDirectory() override;
+  LockResult lock(const std::string& name) override;
   void unlock() override;
 
  private:
-  Opened openAt(const std::string& name, int flags);
+  OpenResult openWithFlags(const std::string& name, int flags) const;
+  std::string lockHolder() const;
 
   std::string folder_;
-  int directory_ = -1, lock_ = -1;
-  Fault made_;
+  int directoryDescriptor_ = -1;
+  int lockDescriptor_ = -1;
+  DiskError openError_;
 };
 
 }  // namespace rainhook::store
--- a/src/test_doubles/open_loop_client.cpp
+++ b/src/test_doubles/open_loop_client.cpp
@@ -47,12 +47,12 @@
       .field(bodyField, Type::text)
       .text("body")
       .stop()
-      .whole();
+      .finish();
 }
 
 bool isResult(const codec::thrift::Message& message) {
   bool hasResult = false;
-  codec::thrift::Reader(message.body).structure([&](std::int16_t field, Type, codec::thrift::Reader&) {
+  codec::thrift::Reader(message.body).readStruct([&](std::int16_t field, Type, codec::thrift::Reader&) {
     hasResult = message.kind == Kind::reply && field == resultField;
     return false;
   });
