--- a/Makefile
+++ b/Makefile
@@ -95,7 +95,7 @@
 # The headers of what is finished, each thing in them with its word; pages under build-docs.
 docs:
 	@[ -n "$(FINISHED_HEADERS)" ] || echo 'docs: no module is finished yet'
-	[ -z "$(FINISHED_HEADERS)" ] || { mkdir -p build-docs && { cat docs/Doxyfile; echo "INPUT = $(FINISHED_HEADERS)"; } | doxygen -; }
+	@[ -z "$(FINISHED_HEADERS)" ] || { mkdir -p build-docs && { cat docs/Doxyfile; echo "INPUT = $(FINISHED_HEADERS)"; } | doxygen -; }
 
 # All of CI but the tests: one pool of cores for the lint and both builds, each one's output whole at its end.
 all-but-tests:
--- a/src/membership_transport/membership_transport.cpp
+++ b/src/membership_transport/membership_transport.cpp
@@ -96,7 +96,7 @@
 }
 
 void MembershipTransport::onDatagramsReadable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) {
-  std::array<char, datagramBufferBytes> bytes;
+  std::array<char, datagramBufferBytes> bytes{};
   for (std::size_t i = 0; i < maxDatagramsPerIteration; ++i) {
     int size = -1;
     try {
