--- a/src/decision/active_requests.h
+++ b/src/decision/active_requests.h
@@ -17,6 +17,7 @@
 /// References and pointers to records stay valid until the record is removed or replaced.
 class ActiveRequests {
  public:
+  /// Deadlines with the requests that have them, in ascending order.
   using DeadlineIndex = std::set<std::pair<Duration, RequestId>>;
 
   /// Adds a request that is owed an answer, or replaces the record of the same id.
@@ -27,6 +28,7 @@
 
   /// The record of a request that must be there.
   [[nodiscard]] RequestRecord& at(RequestId id) { return records_.at(id); }
+  /// The record of a request that must be there, for reading.
   [[nodiscard]] const RequestRecord& at(RequestId id) const { return records_.at(id); }
 
   /// Starts the execution of a queued request.
@@ -46,6 +48,7 @@
 
   /// Requests on the cores.
   [[nodiscard]] int executingCount() const { return static_cast<int>(executing_.size()); }
+  /// The requests on the cores, in the order of their ids.
   [[nodiscard]] const std::set<RequestId>& executing() const { return executing_; }
 
   /// Requests that were started, at downstream calls too.
--- a/src/decision/admission_controller.h
+++ b/src/decision/admission_controller.h
@@ -29,6 +29,7 @@
 /// `processRequests` is that path, top to bottom. docs/design.md explains the decisions.
 class AdmissionController final : public AdmissionPolicy {
  public:
+  /// Keeps a copy of the settings.
   explicit AdmissionController(const PolicySettings& settings);
 
   [[nodiscard]] std::vector<Action> onEvents(Duration now, std::span<const Event> events) override;
--- a/src/decision/admission_queue.h
+++ b/src/decision/admission_queue.h
@@ -17,14 +17,19 @@
 /// the least likely to be answered in time (adaptive LIFO).
 class AdmissionQueue {
  public:
+  /// Whether no request is queued.
   [[nodiscard]] bool isEmpty() const { return ids_.empty(); }
+  /// Number of queued requests.
   [[nodiscard]] std::size_t size() const { return ids_.size(); }
+  /// The position of the oldest request.
   [[nodiscard]] auto begin() const { return ids_.begin(); }
+  /// The position past the newest request.
   [[nodiscard]] auto end() const { return ids_.end(); }
 
   /// The request that came last; the queue must not be empty.
   [[nodiscard]] RequestId newest() const { return ids_.back(); }
 
+  /// Adds a request at the newest end.
   void push(RequestId id) { ids_.push_back(id); }
 
   /// Puts a request whose execution was cancelled back to the oldest end.
--- a/src/decision/decaying_rate.h
+++ b/src/decision/decaying_rate.h
@@ -13,6 +13,7 @@
 /// that it completed, both decaying exponentially. It shows a stall while nothing has completed yet.
 class DecayingRate {
  public:
+  /// Starts with no past; what was seen counts half after each `halfLife`.
   explicit DecayingRate(Duration halfLife) : halfLifeSeconds_(toSeconds(halfLife)) {}
 
   /// Time passes while `active` units are being worked on.
@@ -23,6 +24,7 @@
     completedUnits_ *= retained;
   }
 
+  /// Reports that so many units were completed.
   void recordCompletion(double units) { completedUnits_ += units; }
 
   /// Seconds per unit, where `priorUnits` units of the expected time are added to what was seen.
--- a/src/decision/deduplication_index.h
+++ b/src/decision/deduplication_index.h
@@ -14,6 +14,7 @@
 /// Each entry is removed when its time is over; the cost of that is the number of entries removed.
 class DeduplicationIndex {
  public:
+  /// Whether there is an entry for the request.
   [[nodiscard]] bool contains(RequestId id) const { return retainedUntil_.contains(id); }
 
   /// Adds an entry, or replaces it.
--- a/src/decision/downstream_call_budget.h
+++ b/src/decision/downstream_call_budget.h
@@ -27,6 +27,7 @@
 /// the bucket overflows. So the mean over the quota's window holds even if no call ever comes back.
 class DownstreamCallBudget {
  public:
+  /// Starts with no calls in flight, under the quota of the profile.
   explicit DownstreamCallBudget(const DownstreamProfile& downstream);
 
   /// Uses this share of the configured quota, 0 to 1, from now on. Calls in flight go on; after a smaller
@@ -48,9 +49,12 @@
   /// Calls started and not ended.
   [[nodiscard]] int openCalls() const { return openCalls_; }
 
+  /// Whether there is a quota at all.
   [[nodiscard]] bool hasQuota() const { return configuredQuota_ > 0; }
 
+  /// Reports that a call was started.
   void recordCallStart() { ++openCalls_; }
+  /// Reports that an open call left this server's hands at `now`.
   void recordCallEnd(Duration now, CallEnd end);
 
  private:
--- a/src/decision/drain_state.h
+++ b/src/decision/drain_state.h
@@ -12,13 +12,16 @@
   /// @param grace requests that arrive so long after the notice may still be executed
   explicit DrainState(Duration grace) : grace_(grace) {}
 
+  /// Takes the notice, at `now`, that the server will be stopped after `timeRemaining`.
   void onShutdownNotice(Duration now, Duration timeRemaining) {
     notifiedAt_ = now;
     stopTime_ = now + timeRemaining;
   }
 
+  /// Whether a shutdown notice has come.
   [[nodiscard]] bool isDraining() const { return stopTime_ < Duration::max(); }
 
+  /// Whether a request that arrived at that time may be executed.
   [[nodiscard]] bool mayExecute(Duration arrivedAt) const {
     return !isDraining() || arrivedAt <= notifiedAt_ + grace_;
   }
--- a/src/decision/execution_ceiling.h
+++ b/src/decision/execution_ceiling.h
@@ -11,6 +11,7 @@
 /// come back to the cores unasked. It only bounds the concurrency limit and never raises it.
 class ExecutionCeiling {
  public:
+  /// Takes the engine to have started at time 0, cold or warm as the profile says.
   explicit ExecutionCeiling(const MachineProfile& machine) : machine_(machine) {}
 
   /// Corrects whether and when the execution engine started cold.
--- a/src/decision/idle_connection_tuner.h
+++ b/src/decision/idle_connection_tuner.h
@@ -19,6 +19,7 @@
 /// keep.
 class IdleConnectionTuner {
  public:
+  /// Tunes for so many cores; the timeout is lengthened at most to the fleet's `maxIdleTime`.
   IdleConnectionTuner(int cores, const FleetProfile& fleet);
 
   /// Reports how many tasks want a core, and how many of these are executions.
--- a/src/decision/memory_budget.h
+++ b/src/decision/memory_budget.h
@@ -11,12 +11,17 @@
 /// It only counts: the caller reserves what it takes and releases exactly that.
 class MemoryBudget {
  public:
+  /// Starts with nothing reserved.
   explicit MemoryBudget(const MachineProfile& machine);
 
+  /// Whether so many more kilobytes fit.
   [[nodiscard]] bool fits(double moreKb) const { return reservedKb_ + moreKb <= capacityKb_ * usableShare; }
+  /// Whether more is reserved than may be.
   [[nodiscard]] bool isExceeded() const { return !fits(0); }
 
+  /// Reserves so many kilobytes, whether or not they fit.
   void reserve(double kb) { reservedKb_ += kb; }
+  /// Releases so many reserved kilobytes.
   void release(double kb) { reservedKb_ -= kb; }
 
   /// Memory of a request in execution, from what it takes while it is queued.
--- a/src/decision/overload_detector.h
+++ b/src/decision/overload_detector.h
@@ -15,6 +15,7 @@
   /// the excess and falls at a constant rate.
   void update(Duration elapsed, double waitSeconds, double tolerableSeconds);
 
+  /// Reports a request that was read: the share of shed requests falls.
   void recordArrival();
 
   /// Reports a request that was shed because of this server's own load.
--- a/src/decision/request_timing.h
+++ b/src/decision/request_timing.h
@@ -18,6 +18,7 @@
 /// Keeps references to the handlers and to the estimator; it must not outlive them.
 class RequestTiming {
  public:
+  /// Starts with nothing learned about retries.
   RequestTiming(const std::vector<HandlerPolicy>& handlers, const ServiceTimeEstimator& serviceTimes);
 
   /// The record of a request that was read at `now`, with its deadline and its target. Learns from the time
--- a/src/decision/service_time_estimator.h
+++ b/src/decision/service_time_estimator.h
@@ -17,6 +17,7 @@
 /// before any execution has ended. Memory: one row for each handler.
 class ServiceTimeEstimator {
  public:
+  /// Starts each handler from a part of its latency objective.
   explicit ServiceTimeEstimator(const std::vector<HandlerPolicy>& handlers);
 
   /// Time passes while that many requests are executing and that many calls are open.
@@ -30,6 +31,7 @@
 
   /// Expected seconds on the cores, at the present speed.
   [[nodiscard]] double executionSeconds(HandlerId handler) const;
+  /// Expected seconds on the cores for this request, by its estimated work where it has one.
   [[nodiscard]] double executionSeconds(const RequestArrived& arrival) const;
 
   /// Expected seconds of one downstream call.
--- a/src/decision/settings.h
+++ b/src/decision/settings.h
@@ -40,8 +40,8 @@
 
 /// The machine and its execution engine.
 struct MachineProfile {
-  int cores = 1;
-  double memoryKb = 0;
+  int cores = 1;        ///< Number of cores.
+  double memoryKb = 0;  ///< Memory for requests and retained results, in kilobytes.
   /// Memory of a request in execution over that of a queued one.
   double executionMemoryFactor = 1;
   /// Memory of one entry of the deduplication cache.
@@ -56,7 +56,7 @@
   double maxExecutionsPerCore = 1;
   /// How long the server survives more than that. Not used by the policy.
   Duration crowdingWindow{};
-  CancellationMode cancellation = CancellationMode::none;
+  CancellationMode cancellation = CancellationMode::none;  ///< What a cancellation does to the work.
 };
 
 /// The terms of one kind of request.
@@ -73,15 +73,15 @@
   double lateWeight = 0;
   /// Share of the weight that an answer without its downstream call earns; 0 where there is none.
   double degradedWeight = 0;
-  bool callsDownstream = false;
-  Idempotency idempotency = Idempotency::idempotent;
+  bool callsDownstream = false;                       ///< Whether executions may make downstream calls.
+  Idempotency idempotency = Idempotency::idempotent;  ///< Whether it may be executed more than once.
   /// How long after the arrival of a keyed request duplicates may follow.
   Duration deduplicationWindow{};
 };
 
 /// The downstream service and the part of it that this server may use.
 struct DownstreamProfile {
-  DownstreamKind kind = DownstreamKind::none;
+  DownstreamKind kind = DownstreamKind::none;  ///< What is called.
   /// Concurrent calls that this server may hold on average; 0 where unlimited.
   double concurrentCallQuota = 0;
   /// The window over which that average is taken.
@@ -100,7 +100,7 @@
 
 /// How this server may inform its clients.
 struct SignalingProfile {
-  LoadSignalKind signalKind = LoadSignalKind::none;
+  LoadSignalKind signalKind = LoadSignalKind::none;  ///< How the load is expressed.
   /// How long a client keeps a load signal in mind.
   Duration signalLifetime{};
   /// Whether the endpoint registry follows the published health.
@@ -119,22 +119,22 @@
 
 /// The fleet around this server.
 struct FleetProfile {
-  int servers = 1;
-  int clients = 1;
+  int servers = 1;  ///< Number of servers, this one included. Not used by the policy.
+  int clients = 1;  ///< Number of client processes.
   /// Clients close connections that are idle for longer.
   Duration maxIdleTime = std::chrono::seconds(1);
 };
 
 /// Everything that a policy is told at its start. The policy keeps a copy.
 struct PolicySettings {
-  MachineProfile machine;
+  MachineProfile machine;  ///< The machine of this server.
   /// One entry for each `HandlerId`.
   std::vector<HandlerPolicy> handlers;
-  DownstreamProfile downstream;
-  ProtocolLimits limits;
-  SignalingProfile signaling;
-  ResultSharing sharing;
-  FleetProfile fleet;
+  DownstreamProfile downstream;  ///< What the handlers call.
+  ProtocolLimits limits;         ///< What the protocol allows.
+  SignalingProfile signaling;    ///< How clients may be informed.
+  ResultSharing sharing;         ///< How results count and are shared.
+  FleetProfile fleet;            ///< The other servers and the clients.
 };
 
 }  // namespace rainhook
--- a/src/decision/time_conversion.h
+++ b/src/decision/time_conversion.h
@@ -9,6 +9,7 @@
 
 namespace rainhook {
 
+/// The duration in seconds.
 [[nodiscard]] inline double toSeconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
 }
