--- a/src/membership/death_declaration.h
+++ b/src/membership/death_declaration.h
@@ -14,17 +14,19 @@
 
 /// What the deciding member knows about itself.
 struct LocalView {
-  ZoneName zone;
-  bool isIsolated = false;
-  bool isInGracePeriod = false;
-  Duration minSuspicionTimeout{};
+  ZoneName zone;                   ///< its own zone
+  bool isIsolated = false;         ///< no message was received for several probe intervals
+  bool isInGracePeriod = false;    ///< the process was paused a moment ago
+  Duration minSuspicionTimeout{};  ///< the shortest time from a suspicion to its deadline
 };
 
 /// Remembers the declarations of the declaration window.
 class DeathDeclaration {
  public:
+  /// Keeps a reference to the settings.
   explicit DeathDeclaration(const ProtocolSettings& settings) : settings_(settings) {}
 
+  /// Remembers one declaration, made at `now`.
   void record(Duration now) { declaredAt_.push_back(now); }
   /// Forgets the declarations that are older than the window.
   void removeExpired(Duration now);
--- a/src/membership/dependency_quota.h
+++ b/src/membership/dependency_quota.h
@@ -25,23 +25,27 @@
 
 /// The fleet as one member sees it, in numbers; each count has this member with it.
 struct FleetView {
-  std::size_t quotaHolders = 1;  ///< may be calling: the present, and the gone whose lease may run
-  std::size_t aliveMembers = 1;  ///< observers too
-  std::size_t fleetSize = 1;     ///< the present, and the dead whose lease may run
-  bool isUncertain = false;
+  std::size_t quotaHolders = 1;       ///< may be calling: the present, and the gone whose lease may run
+  std::size_t aliveMembers = 1;       ///< observers too
+  std::size_t fleetSize = 1;          ///< the present, and the dead whose lease may run
+  bool isUncertain = false;           ///< the view may be wrong, see Membership::isViewUncertain
   std::size_t largestAdvertised = 0;  ///< fleet size by which another member divides
   /// Fleet size by which a member divides that is alive and may call.
   std::size_t smallestAdvertised = std::numeric_limits<std::size_t>::max();
 };
+/// Counts the fleet; those that are gone count until twice the lease is over.
 [[nodiscard]] FleetView observeFleet(const Membership& membership, Duration now, Duration lease);
 
+/// Computes the share of the quota from one view of the fleet after the other.
 class DependencyQuota {
  public:
+  /// The settings of the quota, the same on all instances.
   struct Settings {
-    int servers = 1;  ///< for so many is the quota of each configured
-    Duration lease = std::chrono::seconds(30);
-    Duration stabilizationPeriod = std::chrono::seconds(5);
+    int servers = 1;                            ///< for so many is the quota of each configured
+    Duration lease = std::chrono::seconds(30);  ///< without half of the fleet for so long, no more calls
+    Duration stabilizationPeriod = std::chrono::seconds(5);  ///< for which a view holds before it counts
   };
+  /// Begins as an instance that has not been with others yet.
   explicit DependencyQuota(const Settings& settings) : settings_(settings) {}
 
   /// The part of the configured quota that may be used from now on, 0 to 1. To be called many times in a
--- a/src/membership/dissemination.h
+++ b/src/membership/dissemination.h
@@ -21,11 +21,14 @@
   void announce(GossipUpdate::Kind kind, const MemberRecord& subject, std::vector<Reporter> reporters = {});
   /// Queues the proof that `reporter` received from `subject` at that moment.
   void announceReceivedFrom(const MemberRecord& subject, const Reporter& reporter, Duration observedAt);
+  /// Drops what is queued about a member.
   void removeUpdatesAbout(const MemberName& name) { queue_.remove(name); }
+  /// How many updates are yet to be passed on.
   [[nodiscard]] std::size_t queuedUpdates() const { return queue_.size(); }
 
   /// What this member states about itself from now on; its version is set here.
   void publishStatus(const MemberStatus& status);
+  /// What this member states about itself at present.
   [[nodiscard]] const MemberStatus& ownStatus() const { return ownStatus_; }
 
   /// A message with the full state, for a stateRequest or stateResponse.
--- a/src/membership/gossip_queue.h
+++ b/src/membership/gossip_queue.h
@@ -18,6 +18,7 @@
 /// one replaces the earlier. Sending empties it.
 class GossipQueue {
  public:
+  /// Queues an update as one that was never sent, in place of an earlier one on the same topic.
   void add(GossipUpdate update);
   /// Drops what is queued about a member.
   void remove(const MemberName& name);
@@ -25,6 +26,7 @@
   [[nodiscard]] std::vector<GossipUpdate> next(std::size_t limit, const MemberName& first) const;
   /// Counts the first `count` of these updates as sent once more, in a fleet of that size.
   void markSent(const std::vector<GossipUpdate>& updates, std::size_t count, std::size_t fleetSize);
+  /// How many updates are yet to be passed on.
   [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
  private:
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -39,19 +39,23 @@
 /// Not thread-safe. Moments that are passed in never go back.
 class Membership {
  public:
+  /// What happened since the start of the process.
   struct Counters {
-    std::uint64_t probes = 0;
-    std::uint64_t failedProbes = 0;
-    std::uint64_t pauses = 0;
-    std::uint64_t declaredDead = 0;
-    std::uint64_t postponedDeclarations = 0;
-    std::uint64_t refutations = 0;
-    std::uint64_t rejectedMembers = 0;       ///< beyond maxMembers
-    std::uint64_t postponedRefutations = 0;  ///< for want of a reserved incarnation
+    std::uint64_t probes = 0;                 ///< sent, those of tombstones and for our name too
+    std::uint64_t failedProbes = 0;           ///< of a member, without an answer in time
+    std::uint64_t pauses = 0;                 ///< for which this process did not run
+    std::uint64_t declaredDead = 0;           ///< members, on whosever word
+    std::uint64_t postponedDeclarations = 0;  ///< one for each reason that a suspicion had to wait for
+    std::uint64_t refutations = 0;            ///< of a suspicion or a declaration against this member
+    std::uint64_t rejectedMembers = 0;        ///< beyond maxMembers
+    std::uint64_t postponedRefutations = 0;   ///< for want of a reserved incarnation
   };
 
   /// @param self its incarnation is set from `identity`
+  /// @param seeds whom to ask for the fleet's state; none: this is the first member
+  /// @param settings copied
   /// @param randomSeed drawn at the start of the process
+  /// @param identity what earlier processes persisted; by default nothing was
   Membership(MemberRecord self, const std::vector<Address>& seeds, const ProtocolSettings& settings,
              std::uint64_t randomSeed, const PersistedIdentity& identity = {});
   ~Membership() = default;
@@ -64,11 +68,13 @@
   void onMessage(Duration now, const Message& message, Effects& effects);
   /// Does what is due; to be called at nextDeadline().
   void onTimer(Duration now, Effects& effects);
+  /// The moment at which onTimer() is to be called next.
   [[nodiscard]] Duration nextDeadline() const { return detector_.nextDeadline(); }
   /// Sets what this member states about itself from now on.
   void publishStatus(const MemberStatus& status) { dissemination_.publishStatus(status); }
   /// Announces that this member leaves; the host goes on with timers for leaveDuration().
   void leave(Duration now, Effects& effects);
+  /// How long the host goes on after leave(): one probe interval.
   [[nodiscard]] Duration leaveDuration() const { return settings_.probeInterval; }
   /// Incarnations up to this one are on the disk by now.
   void reserveUpTo(Incarnation incarnation) { reservation_.reserveUpTo(incarnation); }
@@ -76,10 +82,15 @@
   /// yet.
   [[nodiscard]] Incarnation requiredIncarnation() const;
 
+  /// Who this member is, with its present incarnation.
   [[nodiscard]] const MemberRecord& self() const { return self_; }
+  /// What this member states about itself at present.
   [[nodiscard]] const MemberStatus& status() const { return dissemination_.ownStatus(); }
+  /// Whether this member was admitted under its name.
   [[nodiscard]] bool hasJoined() const { return join_.hasJoined(); }
+  /// Whether this instance can't be a member and is to stop.
   [[nodiscard]] bool isRejected() const { return join_.isRejected(); }
+  /// Whether leave() was called.
   [[nodiscard]] bool hasLeft() const { return hasLeft_; }
   /// Whether this view may be wrong, so that its users should wait: not joined, isolated, paused a moment
   /// ago, or more than half of the fleet lost lately.
@@ -88,8 +99,11 @@
   [[nodiscard]] const std::map<MemberName, Member>& members() const { return members_.all(); }
   /// Members admitted so far, this one with them; does not shrink.
   [[nodiscard]] std::size_t admittedCount() const { return members_.admittedCount(); }
+  /// The zones that are unreachable as a whole.
   [[nodiscard]] const ZoneHealth& zones() const { return zones_; }
+  /// What happened since the start of the process.
   [[nodiscard]] const Counters& counters() const { return counters_; }
+  /// How many updates are yet to be passed on.
   [[nodiscard]] std::size_t queuedUpdates() const { return dissemination_.queuedUpdates(); }
   /// 0 (well) to 8: by how much slower this member judges.
   [[nodiscard]] int localHealthMultiplier() const { return detector_.localHealthMultiplier(); }
--- a/src/membership/message_codec.h
+++ b/src/membership/message_codec.h
@@ -13,13 +13,16 @@
 
 namespace rainhook::membership {
 
+/// Bytes of a message that goes as a datagram, at most.
 inline constexpr std::size_t maxDatagramBytes = 1400;
+/// Bytes of a message with the full state, at most.
 inline constexpr std::size_t maxStateBytes = 512 << 10;
 /// Of a name, a zone, a region or an address.
 inline constexpr std::size_t maxIdentifierBytes = 64;
 
+/// A message in bytes, with what fitted into it.
 struct EncodedMessage {
-  std::string bytes;
+  std::string bytes;            ///< the message in MessagePack
   std::size_t updateCount = 0;  ///< updates that fitted, from the front
   std::size_t statusCount = 0;  ///< statuses that fitted, from the front
 };
--- a/src/membership/probe_round.h
+++ b/src/membership/probe_round.h
@@ -20,6 +20,7 @@
   void insert(const MemberName& name, RandomSource& random);
   /// Adds a member at the end, unless it is still to come.
   void append(const MemberName& name);
+  /// Whether the round lists no member at all, neither probed nor still to come.
   [[nodiscard]] bool isEmpty() const { return order_.empty(); }
   /// Any name of the round; it may have been removed from the members since. The round is not empty.
   [[nodiscard]] const MemberName& any(RandomSource& random) const {
--- a/src/membership/random_source.h
+++ b/src/membership/random_source.h
@@ -10,12 +10,15 @@
 
 namespace rainhook::membership {
 
+/// The numbers that follow from one seed.
 class RandomSource {
  public:
+  /// The same seed gives the same numbers.
   explicit RandomSource(std::uint64_t seed) : generator_(seed) {}
 
   /// A number below `bound`, which is over 0.
   [[nodiscard]] std::size_t below(std::size_t bound) { return generator_(static_cast<std::uint32_t>(bound)); }
+  /// A nonce of 64 random bits.
   [[nodiscard]] Nonce nonce() {
     const std::uint64_t high = generator_();
     const std::uint64_t low = generator_();
--- a/src/membership/suspicion.h
+++ b/src/membership/suspicion.h
@@ -15,14 +15,18 @@
 /// Keeps the suspicions by their deadlines. The suspicions themselves belong to the members.
 class SuspicionTracker {
  public:
+  /// Keeps a reference to the settings.
   explicit SuspicionTracker(const ProtocolSettings& settings) : settings_(settings) {}
 
   /// Starts a suspicion; its deadline is to be set next.
   void begin(Member& member, Duration now);
+  /// Ends the suspicion against a member, where there is one.
   void end(Member& member);
+  /// Moves the deadline of a suspicion to this moment.
   void setDeadline(Member& member, Duration deadline);
   /// The member whose deadline is over, the earliest one.
   [[nodiscard]] std::optional<MemberName> nextDue(Duration now) const;
+  /// Whether nobody is suspected.
   [[nodiscard]] bool isEmpty() const { return byDeadline_.empty(); }
 
   /// The time from a suspicion to its deadline: between a minimum and six times that, shorter with each
