--- a/src/commands/members_options.h
+++ b/src/commands/members_options.h
@@ -8,6 +8,7 @@
 
 namespace rainhook::commands {
 
+/// The options `--options` and `--help`, under this title in the help page.
 [[nodiscard]] boost::program_options::options_description membershipOptions(const char* title);
 /// The section membership of the settings that the option names.
 /// @throws UsageError where there is none
--- a/src/commands/membership_client.h
+++ b/src/commands/membership_client.h
@@ -20,6 +20,8 @@
 /// Blocks, 3 seconds at most for each step; one connection for each query.
 class MembershipClient {
  public:
+  /// Opens no connection yet.
+  /// @param settings of which the keys are used
   /// @param address of the instance to ask
   /// @throws UsageError where the address has another form
   MembershipClient(const membership::MembershipSettings& settings, const std::string& address);
--- a/src/failover/failover_planner.h
+++ b/src/failover/failover_planner.h
@@ -30,6 +30,7 @@
 /// Holds some times for each zone of the settings. Not thread-safe.
 class FailoverPlanner {
  public:
+  /// Starts without history: the times it holds for each zone begin with the first plan.
   explicit FailoverPlanner(FailoverSettings settings) : settings_(std::move(settings)) {}
 
   /// The plan that follows `previous`; equal to it, version included, where nothing is to change.
@@ -38,6 +39,7 @@
                                       const OperatorOverrides& overrides, const FailoverPlan& previous,
                                       const std::vector<FailoverPlan>& plansInUse);
 
+  /// The settings that every plan is made by.
   [[nodiscard]] const FailoverSettings& settings() const { return settings_; }
 
  private:
--- a/src/failover/minimum_cost_flow.h
+++ b/src/failover/minimum_cost_flow.h
@@ -16,15 +16,17 @@
 /// order gives the same flow. Not thread-safe.
 class FlowNetwork {
  public:
+  /// Index of a node, in the order of addition.
   enum class NodeId : std::size_t {};
+  /// Index of an edge, in the order of addition.
   enum class EdgeId : std::size_t {};
 
   FlowNetwork();
 
-  [[nodiscard]] NodeId source() const { return source_; }
-  [[nodiscard]] NodeId sink() const { return sink_; }
+  [[nodiscard]] NodeId source() const { return source_; }  ///< where all flow begins
+  [[nodiscard]] NodeId sink() const { return sink_; }      ///< where all flow ends
 
-  NodeId addNode();
+  NodeId addNode();  ///< adds a node without edges
   /// Adds a directed edge. The capacity, in requests per second, is rounded down to the resolution, and a
   /// negative one counts as none. The cost of one unit of flow must not be negative.
   EdgeId addEdge(NodeId from, NodeId to, double capacity, double cost);
--- a/src/failover/traffic_assignment.h
+++ b/src/failover/traffic_assignment.h
@@ -12,9 +12,9 @@
 
 /// What traffic is assigned by; the referenced values must outlive the call.
 struct AssignmentInputs {
-  const FailoverSettings& settings;
-  const FleetObservation& observation;
-  const ZoneLoads& loads;
+  const FailoverSettings& settings;               ///< zones, costs and margins
+  const FleetObservation& observation;            ///< age of the data, and which zones can reach which
+  const ZoneLoads& loads;                         ///< estimated from `observation`
   const std::map<ZoneName, ZonePlan>& zonePlans;  ///< of the plan that is being made
   const std::vector<FailoverPlan>& plansInUse;    ///< that some instance may still follow
 };
--- a/src/failover/zone_load.h
+++ b/src/failover/zone_load.h
@@ -16,6 +16,7 @@
   bool isSaturated = false;  ///< its requests wait in queues for much of the time
 };
 
+/// The load of each zone, by name.
 using ZoneLoads = std::map<ZoneName, ZoneLoad>;
 
 /// Load and capacity of every zone in the settings. A zone that can't be reached has neither. `previous` is
--- a/src/failover/zone_state_machine.h
+++ b/src/failover/zone_state_machine.h
@@ -12,10 +12,10 @@
 /// What one step of a zone's state is decided by.
 struct ZoneInputs {
   const ZoneObservation* observation = nullptr;  ///< null: no member can be reached; not owned
-  ZoneLoad load;
-  bool isGrayFailure = false;
-  std::optional<Duration> healthySince;  ///< since when its service time is like the others'
-  bool isDrained = false;                ///< by an operator
+  ZoneLoad load;                                 ///< estimated from `observation`
+  bool isGrayFailure = false;                    ///< it answers, but has been much slower than the others
+  std::optional<Duration> healthySince;          ///< since when its service time is like the others'
+  bool isDrained = false;                        ///< by an operator
 };
 
 /// The state machine of one zone; docs/failover.md has the table of states. It remembers times only: the
--- a/src/membership_transport/framing.h
+++ b/src/membership_transport/framing.h
@@ -25,6 +25,7 @@
 /// The payload where the message has this tag.
 [[nodiscard]] std::optional<std::string_view> payloadOf(MessageTag tag, std::string_view message);
 
+/// Bytes of the length in front of a signed message.
 inline constexpr std::size_t frameHeaderBytes = 4;
 /// Of the signed message in a frame.
 inline constexpr std::size_t maxFrameBytes =
--- a/src/membership_transport/membership_transport.h
+++ b/src/membership_transport/membership_transport.h
@@ -28,8 +28,15 @@
 /// Runs one member on the thread of the event loop.
 class MembershipTransport {
  public:
+  /// Receives what the member has found out about itself or another.
   using EventCallback = std::function<void(const membership::MembershipEvent&)>;
 
+  /// Binds no address yet.
+  /// @param reactor the event loop; must outlive this object
+  /// @param pool of the buffers of connections; must outlive this object
+  /// @param log gets each event, and statistics about every 10 probe intervals; must outlive this object
+  /// @param settings the member's name, addresses, zone, seeds and keys
+  /// @param identity what earlier processes of this member have persisted
   /// @param processId drawn at the start of the process
   /// @param onEvent called after the event was logged
   MembershipTransport(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log,
@@ -42,9 +49,13 @@
   /// Binds the address and joins.
   /// @throws Poco::Exception where the address can't be had
   void open();
+  /// Sets what this member states about itself from now on.
   void publishStatus(const membership::MemberStatus& status) { membership_.publishStatus(status); }
+  /// Announces that this member leaves. The sockets stay open until destruction.
   void leave();
+  /// Allows incarnations up to this one, which must be on the disk by now.
   void reserveUpTo(membership::Incarnation incarnation) { membership_.reserveUpTo(incarnation); }
+  /// The fleet as this member sees it; valid as long as this object.
   [[nodiscard]] const membership::Membership& membership() const { return membership_; }
 
  private:
--- a/src/membership_transport/message_authenticator.h
+++ b/src/membership_transport/message_authenticator.h
@@ -16,6 +16,7 @@
 
 namespace rainhook::membershipTransport {
 
+/// A secret of 32 bytes that all members share.
 using AuthenticationKey = std::array<unsigned char, 32>;
 
 /// Signs and verifies messages. Two keys may be in force, so that a key can be replaced: the first signs, all
@@ -24,22 +25,26 @@
 /// verified longest ago is forgotten first. Not thread-safe.
 class MessageAuthenticator {
  public:
+  /// Messages that were not verified, since the start.
   struct Counters {
-    std::uint64_t invalidTags = 0;
-    std::uint64_t replayed = 0;
+    std::uint64_t invalidTags = 0;  ///< too short, without the magic number, or by no key in force
+    std::uint64_t replayed = 0;     ///< verified before, or behind the window
   };
 
   /// Bytes that signing adds: the magic number, the sender, the sequence number and the tag.
   static constexpr std::size_t overheadBytes = 4 + 8 + 8 + 16;
 
+  /// @param keys the first signs, all verify
   /// @param senderId drawn at the start of the process
   /// @throws std::runtime_error without a key, or where libsodium cannot be initialized
   MessageAuthenticator(std::vector<AuthenticationKey> keys, std::uint64_t senderId);
 
+  /// The message behind the `overheadBytes` that authenticate it; takes the next sequence number.
   [[nodiscard]] std::string sign(std::string_view message);
   /// The message, as a part of `bytes`; nothing where the tag is not by one of the keys, or the message was
   /// verified before.
   [[nodiscard]] std::optional<std::string_view> verify(std::string_view bytes);
+  /// What was counted up to now.
   [[nodiscard]] const Counters& counters() const { return counters_; }
 
  private:
--- a/src/pools/pool_limiter.h
+++ b/src/pools/pool_limiter.h
@@ -13,6 +13,7 @@
   void onAnswer(double latencyRatio);
   /// The limit has kept a request of the pool waiting in this interval.
   void onLimitReached() { isLimitReached_ = true; }
+  /// Whether the limit has kept a request waiting in this interval.
   [[nodiscard]] bool isLimitReached() const { return isLimitReached_; }
 
   /// Ends an interval and returns the change of the limit, in executions. An interval with few answers goes
--- a/src/pools/pool_settings.h
+++ b/src/pools/pool_settings.h
@@ -12,7 +12,7 @@
 
 /// What an operator states of one pool, which holds one handler or several.
 struct PoolSettings {
-  std::string name;
+  std::string name;           ///< as the operator states it
   double priorityWeight = 1;  ///< of one answer within its latency objective
   /// Ratio of the total limit that the pool keeps under any load, from 0 to under 1; of all pools together
   /// under 1.
@@ -23,8 +23,8 @@
 
 /// What a pool has at this moment.
 struct PoolLoad {
-  int queued = 0;
-  int executing = 0;
+  int queued = 0;     ///< requests that wait for their execution
+  int executing = 0;  ///< requests that execute
 };
 
 /// What is known of an execution at its end.
--- a/src/pools/pool_statistics.h
+++ b/src/pools/pool_statistics.h
@@ -10,9 +10,12 @@
 /// thread-safe.
 class PoolStatistics {
  public:
+  /// Begins with the weight and the service time of the settings, and without arrivals.
   explicit PoolStatistics(const PoolSettings& settings);
 
+  /// Counts a request for the arrival rate.
   void onRequestArrived() { ++arrivals_; }
+  /// Adds an execution to the service time and to the earned weight.
   void onExecutionEnded(const ExecutionReport& report);
   /// Lets what was counted fade by the time since the last call. No time at all changes nothing.
   void advance(double elapsedSeconds);
--- a/src/pools/work_pools.h
+++ b/src/pools/work_pools.h
@@ -28,9 +28,12 @@
 /// Constant size for each pool; nothing grows with the requests. Not thread-safe.
 class WorkPools {
  public:
+  /// Makes one pool for each entry; a PoolId is its index.
   explicit WorkPools(std::span<const PoolSettings> settings);
 
+  /// Counts a request for the pool's arrival rate.
   void onRequestArrived(PoolId pool) { at(pool).statistics.onRequestArrived(); }
+  /// Takes what is known of an execution of the pool; its latency counts only if it earned weight.
   void onExecutionEnded(PoolId pool, const ExecutionReport& report);
 
   /// How many requests of each pool may execute now, of `total` on the whole server. To be asked before
@@ -45,6 +48,7 @@
   [[nodiscard]] double weightPerCoreSecond(PoolId pool) const {
     return at(pool).statistics.weightPerCoreSecond();
   }
+  /// How many pools there are.
   [[nodiscard]] std::size_t size() const { return pools_.size(); }
 
  private:
--- a/src/server/membership_service.h
+++ b/src/server/membership_service.h
@@ -23,6 +23,10 @@
 class MembershipService {
  public:
   /// May wait for the disk.
+  /// @param reactor the event loop; must outlive this object
+  /// @param log gets the events of membership; must outlive this object
+  /// @param settings how this server takes part
+  /// @param server whose status is published and whose quota is set; must outlive this object
   /// @param servers for so many is the quota of each configured
   /// @param processId drawn at the start of the process
   /// @throws StateLockedError where another process holds the state folder
