--- a/deploy/sites/make.py
+++ b/deploy/sites/make.py
@@ -10,23 +10,25 @@
 import sys
 import tomllib
 
-here = pathlib.Path(__file__).resolve().parent
-kit = here.parents[2] / "given/kit/more/mass/other"
-beside = ("real.json", "wire.json", "unlock.txt")
+SITES_FOLDER = pathlib.Path(__file__).resolve().parent
+KIT_FOLDER = SITES_FOLDER.parents[2] / "given/kit/more/mass/other"
+FILES_BESIDE_SITE = ("real.json", "wire.json", "unlock.txt")
+EXIT_NO_KIT = 2
 
 
-def crowded(site):
+def make_crowded(site):
+    """Many handlers and tenants with names that need escaping, little memory and few keys."""
     names = ["plan.read", "plan/write", "Zug & Gleis", "späť-lookup", "x", "ticket:buy#1", "a_very_long_name-" + "y" * 40,
              "50%", "quote'd", "seat+map", "名前", "refund"]
     effects = ["safe", "keyed", "unsafe"]
     site["name"] = "crowded"
     site["class"] = [
-        {"name": name, "share": 1 + at % 3, "work_ms": [60 + 10 * at, 110 + 10 * at], "dist": "lognormal",
-         "cv": [0.4, 1.1], "aim_ms": 700 + 60 * (at % 5), "deadline_ms": 1500 + 150 * (at % 4), "worth": 1 + at % 4,
-         "late_worth": 0.1 if at % 2 else 0, "effect": effects[at % 3], "write": at % 3 != 0,
-         **({"window_ms": 1700 + 300 * (at % 4)} if at % 3 == 1 else {})}
-        for at, name in enumerate(names)]
-    site["tenant"] = [{"name": name, "share": 1 + at % 4} for at, name in enumerate(
+        {"name": name, "share": 1 + index % 3, "work_ms": [60 + 10 * index, 110 + 10 * index], "dist": "lognormal",
+         "cv": [0.4, 1.1], "aim_ms": 700 + 60 * (index % 5), "deadline_ms": 1500 + 150 * (index % 4), "worth": 1 + index % 4,
+         "late_worth": 0.1 if index % 2 else 0, "effect": effects[index % 3], "write": index % 3 != 0,
+         **({"window_ms": 1700 + 300 * (index % 4)} if index % 3 == 1 else {})}
+        for index, name in enumerate(names)]
+    site["tenant"] = [{"name": name, "share": 1 + index % 4} for index, name in enumerate(
         ["a", "B-2", "c.d", "É", "north east", "0", "t" * 60] + [f"tenant-{n:02}" for n in range(13)])]
     site["load"].update(keys=[2000, 9000], over_share_worth=0.1, quota_of_capacity=[0.6, 0.9])
     site["clients"].update(retries=[1, 2.99], honour=[0.3, 0.8])
@@ -35,10 +37,11 @@
     site["fam"].update(callers=["two", "hasty", "least+retry", "copies"], habits=[1, 3], say="level", memory_runs=[8, 9],
                        run_factor=4, key_room=[0.35, 0.4], passes_deadline=False, tells_gone=True, halt="drop",
                        fresh_ms=0)
-    site["fam"]["class"] = [{"calls": at % 3 * 0.6, "skip_worth": 0, "memory": 1 + at % 2} for at in range(len(names))]
+    site["fam"]["class"] = [{"calls": index % 3 * 0.6, "skip_worth": 0, "memory": 1 + index % 2} for index in range(len(names))]
 
 
-def plain(site):
+def make_plain(site):
+    """One handler, no tenants, and none of what is optional."""
     site["name"] = "plain"
     site["class"] = [{"name": "only", "share": 1, "work_ms": [500, 900], "dist": "exp", "aim_ms": 6000,
                       "deadline_ms": 20000, "worth": 1, "late_worth": 0.4, "effect": "safe"}]
@@ -57,42 +60,58 @@
     site["fam"]["class"] = [{"calls": 1, "skip_worth": 0, "memory": 1}]
 
 
-def text(value):
+def is_nested(value):
+    """Whether a value becomes a table of its own, or several."""
+    return isinstance(value, dict) or (isinstance(value, list) and bool(value) and isinstance(value[0], dict))
+
+
+def toml_value(value):
     if isinstance(value, bool):
         return str(value).lower()
     if isinstance(value, list):
-        return "[" + ", ".join(text(item) for item in value) + "]"
+        return "[" + ", ".join(toml_value(item) for item in value) + "]"
     return json.dumps(value, ensure_ascii=False)
 
 
-def write(table, path=()):
-    lines = [f"{key} = {text(value)}" for key, value in table.items() if not nested(value)]
+def toml_table(table, path=()):
+    """A table as TOML, plain values before nested tables."""
+    lines = [f"{key} = {toml_value(value)}" for key, value in table.items() if not is_nested(value)]
     for key, value in table.items():
+        inner_path = (*path, key)
+        name = ".".join(inner_path)
         if isinstance(value, dict):
-            lines += ["", f"[{'.'.join([*path, key])}]", write(value, (*path, key))]
-        elif nested(value):
+            lines += ["", f"[{name}]", toml_table(value, inner_path)]
+        elif is_nested(value):
             for entry in value:
-                lines += ["", f"[[{'.'.join([*path, key])}]]", write(entry, (*path, key))]
+                lines += ["", f"[[{name}]]", toml_table(entry, inner_path)]
     return "\n".join(lines)
 
 
-def nested(value):
-    return isinstance(value, dict) or (isinstance(value, list) and bool(value) and isinstance(value[0], dict))
+def write_site(site):
+    """Writes a site file with copies of the files that belong beside it; its path."""
+    folder = SITES_FOLDER / "made" / site["name"]
+    folder.mkdir(parents=True, exist_ok=True)
+    file = folder / f"{site['name']}.toml"
+    file.write_text(toml_table(site) + "\n")
+    for name in FILES_BESIDE_SITE:
+        target = folder / name
+        target.unlink(missing_ok=True)
+        shutil.copyfile(KIT_FOLDER / name, target)
+    return file
 
 
-if not kit.is_dir():
-    print(f"make sites: {kit} is not there, so there is nothing to make them from", file=sys.stderr)
-    sys.exit(2)
-base = tomllib.loads(next(kit.glob("*.toml")).read_text())
-base.pop("stock", None)  # days of their own
-for change in (crowded, plain):
-    site = copy.deepcopy(base)
-    change(site)
-    made = here / "made" / site["name"]
-    made.mkdir(parents=True, exist_ok=True)
-    (made / f"{site['name']}.toml").write_text(write(site) + "\n")
-    for name in beside:
-        target = made / name
-        target.unlink(missing_ok=True)
-        shutil.copyfile(kit / name, target)
-    print(made / f"{site['name']}.toml")
+def main():
+    if not KIT_FOLDER.is_dir():
+        print(f"make sites: {KIT_FOLDER} is not there, so there is nothing to make them from", file=sys.stderr)
+        return EXIT_NO_KIT
+    base = tomllib.loads(next(KIT_FOLDER.glob("*.toml")).read_text())
+    base.pop("stock", None)  # the made sites have days of their own
+    for change in (make_crowded, make_plain):
+        site = copy.deepcopy(base)
+        change(site)
+        print(write_site(site))
+    return 0
+
+
+if __name__ == "__main__":
+    sys.exit(main())
