--- a/src/test_doubles/open_loop_client.cpp
+++ b/src/test_doubles/open_loop_client.cpp
@@ -118,12 +118,12 @@
     const auto open = openRequests_.find(message.sequence);
     if (open != openRequests_.end() && message.kind != Kind::oneway) {
       RequestRecord& request = history_[open->second];
-      ++request.answers;
+      ++request.responseCount;
       request.latency = std::chrono::duration_cast<std::chrono::milliseconds>(Clock::now() - request.sentAt);
       request.isCompleted = isResult(message);
       openRequests_.erase(open);
     } else if (message.kind == Kind::reply) {
-      ++unrequestedAnswers_;
+      ++unexpectedResponses_;
     }
     received_.erase(0, frame->size);
   }
--- a/src/test_doubles/open_loop_client.h
+++ b/src/test_doubles/open_loop_client.h
@@ -31,7 +31,7 @@
   /// What became of a request.
   struct RequestRecord {
     Clock::time_point sentAt{};            ///< when it was handed to the socket
-    int answers = 0;                       ///< one is right
+    int responseCount = 0;                 ///< one is right
     bool isCompleted = false;              ///< whether it was answered with a result
     bool isConnectionLost = false;         ///< whether the connection was lost before the answer
     std::chrono::milliseconds latency{0};  ///< until the answer
@@ -45,7 +45,7 @@
   /// What became of each request, by its name.
   [[nodiscard]] std::map<std::string, RequestRecord> history() const;
   /// How many answers arrived that no open request had asked for, as where one is answered twice.
-  [[nodiscard]] int unrequestedAnswers() const { return unrequestedAnswers_; }
+  [[nodiscard]] int unexpectedResponses() const { return unexpectedResponses_; }
 
  private:
   void run(const std::stop_token& stop);
@@ -63,7 +63,7 @@
   std::map<std::int32_t, std::string> openRequests_;  // names by their sequence on this connection
   mutable std::mutex mutex_;
   std::map<std::string, RequestRecord> history_;  // guarded by mutex_
-  std::atomic<int> unrequestedAnswers_{0};
+  std::atomic<int> unexpectedResponses_{0};
   std::atomic<bool> isStopping_{false};
   std::jthread thread_;  // the last member: it ends before the others do
 };
--- a/tests/fleet/serve_test.cpp
+++ b/tests/fleet/serve_test.cpp
@@ -108,11 +108,11 @@
     for (std::size_t i = 0; i < clients.size(); ++i) {
       for (const auto& [name, request] : clients[i]->history()) {
         const bool isLate = request.latency > clientTimeout + answerGrace && i != pausedServer;
-        if (!request.isConnectionLost && (request.answers != 1 || isLate)) ++totals.unanswered;
+        if (!request.isConnectionLost && (request.responseCount != 1 || isLate)) ++totals.unanswered;
         if (request.isCompleted) ++totals.completed;
         ++totals.requests;
       }
-      totals.unanswered += static_cast<std::size_t>(clients[i]->unrequestedAnswers());
+      totals.unanswered += static_cast<std::size_t>(clients[i]->unexpectedResponses());
     }
     return totals;
   }
