--- a/src/server/configuration_reload.cpp
+++ b/src/server/configuration_reload.cpp
@@ -14,33 +14,34 @@
 
 }  // namespace
 
-void ConfigurationReload::apply(const ServerConfiguration& offered) {
+void ConfigurationReload::apply(const ServerConfiguration& newConfiguration) {
   ServerEndpoints& endpoints = current_.endpoints;
-  endpoints.engine = offered.endpoints.engine;
-  endpoints.downstream = offered.endpoints.downstream;
-  endpoints.registry = offered.endpoints.registry;
-  endpoints.shutdownTimeout = offered.endpoints.shutdownTimeout;
-  logReload(offered);
+  endpoints.engine = newConfiguration.endpoints.engine;
+  endpoints.downstream = newConfiguration.endpoints.downstream;
+  endpoints.registry = newConfiguration.endpoints.registry;
+  endpoints.shutdownTimeout = newConfiguration.endpoints.shutdownTimeout;
+  logReload(newConfiguration);
   engine_.setAddress(net::Connection::Address(endpoints.engine));
   downstream_.setAddress(optionalAddress(endpoints.downstream));
-  registration_.moveTo(optionalAddress(endpoints.registry));
+  registration_.setAddress(optionalAddress(endpoints.registry));
 }
 
 void ConfigurationReload::applyFile(const std::string& path) {
   try {
     apply(readConfigurationFile(path));
   } catch (const std::exception& error) {
-    log_.message(logging::LogCategory::start, "the new configuration is rejected: {}", error.what());
+    log_.message(logging::LogCategory::start, "configuration reload from {} failed: {}", path, error.what());
   }
 }
 
-void ConfigurationReload::logReload(const ServerConfiguration& offered) {
+void ConfigurationReload::logReload(const ServerConfiguration& newConfiguration) {
   const ServerEndpoints& endpoints = current_.endpoints;
-  const auto unchanged = restartRequiredChanges(current_, offered);
+  const auto restartRequired = restartRequiredChanges(current_, newConfiguration);
   log_.message(logging::LogCategory::start,
                "configuration reloaded: engine {}, downstream {}, registry {}{}{}", endpoints.engine,
                orNone(endpoints.downstream), orNone(endpoints.registry),
-               unchanged.empty() ? "" : "; unchanged until a restart: ", fmt::join(unchanged, ", "));
+               restartRequired.empty() ? "" : "; changed keys that take effect after a restart: ",
+               fmt::join(restartRequired, ", "));
 }
 
 }  // namespace rainhook::server
--- a/src/server/configuration_reload.h
+++ b/src/server/configuration_reload.h
@@ -1,5 +1,5 @@
 /// @file
-/// Taking a new configuration while the server runs.
+/// Applies a new configuration to a running server.
 #pragma once
 
 #include <string>
@@ -12,23 +12,24 @@
 
 namespace rainhook::server {
 
-/// Points the clients of the engine, the downstream service and the registry to new addresses, and takes the
-/// shutdown timeout. All other settings hold until a restart. Requests in flight and open calls go on. Used
-/// from the event loop's thread only.
+/// Changes the addresses at which the engine, the downstream service and the registry are reached, and the
+/// shutdown timeout. All other settings stay in effect until a restart. Requests in flight and open
+/// downstream calls continue. Must be used on the event-loop thread only.
 class ConfigurationReload {
  public:
-  /// The references must outlive this object; `current` is changed by a reload.
+  /// The referenced objects must outlive this object. A reload modifies `current`.
   ConfigurationReload(logging::Log& log, ServerConfiguration& current, peers::ExecutionEngineClient& engine,
                       peers::DownstreamClient& downstream, EndpointRegistration& registration)
       : log_(log), current_(current), engine_(engine), downstream_(downstream), registration_(registration) {}
 
-  /// Throws Poco::Exception where an address can't be resolved.
-  void apply(const ServerConfiguration& offered);
-  /// Reads the file first; where that fails, the log says why and nothing changes.
+  /// Applies the parts of `newConfiguration` that do not need a restart. Throws Poco::Exception if an address
+  /// cannot be resolved.
+  void apply(const ServerConfiguration& newConfiguration);
+  /// Reads the file and applies it. On failure, logs the error; if the file cannot be read, nothing changes.
   void applyFile(const std::string& path);
 
  private:
-  void logReload(const ServerConfiguration& offered);
+  void logReload(const ServerConfiguration& newConfiguration);
 
   logging::Log& log_;
   ServerConfiguration& current_;
--- a/src/server/deduplication_cache.cpp
+++ b/src/server/deduplication_cache.cpp
@@ -77,8 +77,8 @@
   CachedResult& entry = entries_.at(it->second);
   dropResult(entry);
   removeFromExpiryQueue(entry);
-  // This request was never executed, an earlier one may have been: duplicates of that time which are read
-  // late must not be executed.
+  // This request was never executed, but an earlier one with the same key may have been. A duplicate of the
+  // earlier one that is read late must not be executed.
   if (entry.earlierRetainedUntil > Time{}) {
     entry.retainedUntil = std::exchange(entry.earlierRetainedUntil, Time{});
     entry.state = OriginalState::failed;
--- a/src/server/deduplication_cache.h
+++ b/src/server/deduplication_cache.h
@@ -1,6 +1,6 @@
 /// @file
-/// Results retained for the deduplication of requests. The cache decides nothing: the admission policy says
-/// what is retained and for how long.
+/// Cache of results for the deduplication of requests. The cache makes no decisions: the admission policy
+/// determines which results are retained and for how long.
 #pragma once
 
 #include <chrono>
@@ -18,38 +18,38 @@
 
 namespace rainhook::server {
 
-/// Maps the key of a retained request (idempotency key, or resource of a shared read) to the request that was
-/// executed for it, the original, and to its result.
+/// Maps the key of a retained request (its idempotency key, or the resource of a shared read) to the
+/// original, which is the request that was executed for this key, and to the result of the original.
 ///
-/// Bounds: results take no more than `Limits::maxResultBytes`. The number of entries is bounded by the
-/// policy, which accounts for the memory of each retained key and asks for a `drop`. What was read in this
-/// event loop iteration is bounded by the requests in flight.
+/// Bounds: the results occupy at most `Limits::maxResultBytes`. The policy bounds the number of entries: it
+/// accounts for the memory of each retained key and requests a `drop`. The number of requests in flight
+/// bounds the requests that are registered during one event-loop iteration.
 ///
-/// Removal: `drop` and `expire` remove entries. A result goes when its retention ends; its key goes
-/// `Limits::maxReadDelay` later, since a duplicate that arrived in time may be read late.
+/// Removal: `drop` and `expire` remove entries. A result is removed when its retention ends; its key is
+/// removed `Limits::maxReadDelay` later, because a duplicate that arrived in time may be read late.
 ///
-/// Used from the event loop's thread only.
+/// Must be used on the event-loop thread only.
 class DeduplicationCache {
  public:
-  /// Keyed requests are identified by their idempotency key, shared reads by their resource.
+  /// Identifies a keyed request by its idempotency key and a shared read by its resource.
   struct Key {
-    HandlerId handler{};         ///< Keys of different handlers never match.
-    std::string idempotencyKey;  ///< Empty for shared reads.
-    ResourceKey resourceKey{};   ///< Zero for keyed requests.
+    HandlerId handler{};         ///< The handler; keys of different handlers never match.
+    std::string idempotencyKey;  ///< The idempotency key; empty for shared reads.
+    ResourceKey resourceKey{};   ///< The resource that is read; zero for keyed requests.
     /// Compares member by member.
     // NOLINTNEXTLINE(modernize-use-nullptr): false positive of clang-tidy 14 on defaulted comparisons
     auto operator<=>(const Key&) const = default;
   };
 
-  /// How far the original is.
+  /// The state of an original.
   enum class OriginalState {
-    pending,    ///< Queued or executing.
-    completed,  ///< Ended with a result, which is still cached.
-    failed      ///< Ended without a result, or its result is no longer cached.
+    pending,    ///< The original is queued or executing.
+    completed,  ///< The original ended with a result, which is still cached.
+    failed      ///< The original ended without a result, or its result is no longer cached.
   };
 
-  /// A 128-bit hash (XXH3) over what all attempts of one request have in common: tenant and body. Zero for
-  /// shared reads, which are identified by their resource alone.
+  /// A 128-bit hash (XXH3) of the parts that all attempts of one request have in common: tenant and body.
+  /// Zero for shared reads, which are identified by their resource alone.
   struct PayloadFingerprint {
     std::uint64_t high = 0;  ///< Upper half of the hash.
     std::uint64_t low = 0;   ///< Lower half of the hash.
@@ -57,79 +57,80 @@
     bool operator==(const PayloadFingerprint&) const = default;
   };
 
-  /// Times are those of the protocol, on the Unix clock, so that client and server agree on the ends of a
+  /// The Unix clock, which the protocol also uses, so that client and server agree on the end of a
   /// deduplication window.
   using Time = std::chrono::system_clock::time_point;
 
-  /// What the cache may hold, fixed at its construction.
+  /// The limits of the cache, fixed at its construction.
   struct Limits {
-    std::size_t maxResultBytes = 0;  ///< A duplicate of a request whose result had no room is failed.
-    Duration maxReadDelay{};         ///< How long after its arrival a duplicate may be read.
+    std::size_t maxResultBytes = 0;  ///< Bytes of all results; duplicates of a result beyond them are failed.
+    Duration maxReadDelay{};         ///< The longest time from the arrival of a duplicate until it is read.
     Duration sharingDuration{};      ///< How long after its end the result of a read may serve other reads.
   };
 
   /// One arrival of a request.
   struct Arrival {
     RequestId id{};    ///< The request that arrived.
-    Time arrivedAt{};  ///< When it reached the machine.
-    Time readAt{};     ///< When it was read.
+    Time arrivedAt{};  ///< The time at which it reached the machine.
+    Time readAt{};     ///< The time at which the server read it.
   };
 
-  /// What is known about the key of an arrival.
+  /// The result of a lookup by the key of an arrival.
   struct Lookup {
-    std::optional<RequestId> original;   ///< The request that this one duplicates.
-    bool hasConflictingPayload = false;  ///< The key is in use for a request with another payload.
+    std::optional<RequestId> original;   ///< The request that the arrival duplicates, if any.
+    bool hasConflictingPayload = false;  ///< Whether the key is in use for a request with another payload.
   };
 
   /// A retained request and, once it has completed, its result.
   struct CachedResult {
-    RequestId original{};                          ///< The request that was executed, or is to be.
-    PayloadFingerprint fingerprint;                ///< What its duplicates must match.
-    Time retainedUntil{};                          ///< End of the retention of its result.
-    Time endedAt{};                                ///< When its execution ended.
-    OriginalState state = OriginalState::pending;  ///< How far the original is.
+    RequestId original{};                          ///< The request that was or will be executed.
+    PayloadFingerprint fingerprint;                ///< The fingerprint that its duplicates must have.
+    Time retainedUntil{};                          ///< The end of the retention of its result.
+    Time endedAt{};                                ///< The time at which its execution ended.
+    OriginalState state = OriginalState::pending;  ///< The state of the original.
     std::string result;                            ///< Empty unless the original has completed.
-    /// End of the retention of an earlier request with this key, which may have been executed: what arrived
-    /// before it is still a duplicate.
+    /// The end of the retention of an earlier request with this key that may have been executed. A request
+    /// that arrived before this time is still a duplicate.
     Time earlierRetainedUntil{};
   };
 
   /// Creates an empty cache.
   explicit DeduplicationCache(const Limits& limits) : limits_(limits) {}
 
-  /// The key under which a request is deduplicated; none where its handler does not deduplicate it.
+  /// Returns the key under which a request is deduplicated, or none if its handler does not deduplicate it.
   static std::optional<Key> keyOf(const peers::IncomingRequest& request,
                                   const std::vector<HandlerPolicy>& handlers);
-  /// The fingerprint of tenant and body; zero where there is no idempotency key.
+  /// Returns the fingerprint of tenant and body, or zero if the request has no idempotency key.
   static PayloadFingerprint fingerprintOf(const peers::IncomingRequest& request);
 
-  /// Finds the original of an arrival: one that is retained, or one read earlier in the same iteration. Where
-  /// there is none, the arrival is registered as the original for the rest of the iteration. A read
-  /// duplicates only what is pending or completed no longer than the sharing duration ago.
+  /// Finds the original of an arrival: a retained request, or a request that was read earlier in the same
+  /// iteration. If there is none, registers the arrival as the original for the rest of the iteration. A
+  /// shared read is a duplicate only of a read that is pending or that completed within the sharing duration.
   [[nodiscard]] Lookup findOriginalOrRegister(const Key& key, const PayloadFingerprint& fingerprint,
                                               const Arrival& arrival);
 
-  /// Forgets what was registered in this iteration.
+  /// Removes the registrations of this iteration.
   void onIterationEnd() { registeredInIteration_.clear(); }
 
-  /// Retains the request under its key; one that is retained already gets a new end.
+  /// Retains the request under its key until the given time. If it is retained already, changes that time.
   void retain(const Key& key, const PayloadFingerprint& fingerprint, RequestId id, Time until);
 
-  /// Removes the request, which has had no effect: its key is free, unless an earlier request with this key
-  /// may have been executed.
+  /// Removes a request that had no effect. Its key becomes free unless an earlier request with this key may
+  /// have been executed.
   void drop(RequestId id);
 
-  /// Takes the result of a retained request; ignored for others.
+  /// Records the end of a retained request and its result. Does nothing for other requests.
   void onOriginalEnded(RequestId id, OriginalState state, Time at, const std::string& result);
 
-  /// Removes results and keys whose time has passed.
+  /// Removes expired results and keys.
   void expire(Time now);
 
-  /// The entry of a retained request, valid until the next change; null where it is not retained.
+  /// Returns the entry of a retained request, or null if it is not retained. The pointer is valid until the
+  /// next modification of the cache.
   const CachedResult* find(RequestId id) const;
-  /// Number of entries.
+  /// Returns the number of entries.
   std::size_t size() const { return entries_.size(); }
-  /// How many entries `expire` has visited so far.
+  /// Returns how many entries `expire` has visited so far.
   std::uint64_t entriesScanned() const { return entriesScanned_; }
 
  private:
@@ -148,7 +149,7 @@
   std::map<Key, CachedResult> entries_;
   std::map<RequestId, Key> keysById_;
   std::map<Key, RegisteredRequest> registeredInIteration_;
-  std::set<std::pair<Time, RequestId>> expiryQueue_;  // when each entry is to be visited next
+  std::set<std::pair<Time, RequestId>> expiryQueue_;  // ordered by the next time to visit each entry
   std::uint64_t entriesScanned_ = 0;
 };
 
--- a/src/server/endpoint_registration.cpp
+++ b/src/server/endpoint_registration.cpp
@@ -23,7 +23,7 @@
   if (client_) client_->setInService(isInService);
 }
 
-void EndpointRegistration::moveTo(const std::optional<net::Connection::Address>& address) {
+void EndpointRegistration::setAddress(const std::optional<net::Connection::Address>& address) {
   if (address && client_) {
     client_->setAddress(*address);
     return;
--- a/src/server/endpoint_registration.h
+++ b/src/server/endpoint_registration.h
@@ -1,5 +1,5 @@
 /// @file
-/// Whether this server is registered as in service, where the deployment has an endpoint registry.
+/// Registers this server as in service at the endpoint registry, if the deployment has one.
 #pragma once
 
 #include <cstdint>
@@ -14,21 +14,21 @@
 
 namespace rainhook::server {
 
-/// Keeps the registry client across reloads of the configuration: the registry may move, come or go. Used
-/// from the event loop's thread only.
+/// Owns the registry client and keeps the service state across reloads of the configuration, which may
+/// change, add or remove the address of the registry. Must be used on the event-loop thread only.
 class EndpointRegistration {
  public:
-  /// The references must outlive this object. `jitterSeed` spreads the reports of servers that start
-  /// together.
+  /// The referenced objects must outlive this object. `jitterSeed` spreads the reports of servers that start
+  /// at the same time.
   EndpointRegistration(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log,
                        std::string serverName, std::uint64_t jitterSeed,
                        const std::optional<net::Connection::Address>& address);
 
-  /// Reported at once and from then on.
+  /// Sets the service state, which is reported immediately and then periodically.
   void setInService(bool isInService);
-  /// The registry is reached there from now on; without an address there is none.
-  void moveTo(const std::optional<net::Connection::Address>& address);
-  /// Whether the registry has acknowledged the last state; true where there is no registry.
+  /// Sets the address of the registry; without an address, nothing is reported.
+  void setAddress(const std::optional<net::Connection::Address>& address);
+  /// Returns whether the registry has acknowledged the current state; true if there is no registry.
   bool isAcknowledged() const { return !client_ || client_->isAcknowledged(); }
 
  private:
--- a/src/server/engine_command_dispatcher.h
+++ b/src/server/engine_command_dispatcher.h
@@ -1,5 +1,5 @@
 /// @file
-/// Commands to the execution engine, and which of them may have been lost with a connection.
+/// Sends commands to the execution engine and finds those that may have been lost with a connection.
 #pragma once
 
 #include <vector>
@@ -10,23 +10,23 @@
 
 namespace rainhook::server {
 
-/// Sends commands to the engine and remembers the last one with its request, so that it can be sent again
-/// after a reconnect. Used from the event loop's thread only.
+/// Sends commands to the engine and records the last command of each request, so that it can be sent again
+/// after a reconnect. Must be used on the event-loop thread only.
 class EngineCommandDispatcher {
  public:
-  /// The references must outlive this object.
+  /// The referenced objects must outlive this object.
   EngineCommandDispatcher(peers::ExecutionEngineClient& engine, const DeploymentSettings& deployment)
       : engine_(engine), deployment_(deployment) {}
 
-  /// Sends a command and remembers it. Without a connection it is only remembered.
+  /// Records a command in the request and sends it if there is a connection to the engine.
   void send(InFlightRequest& request, EngineCommand command);
 
-  /// The requests whose last command the engine may not have read: it was not sent, or it went to a
-  /// connection that is lost and nothing shows that it was read.
+  /// Returns the requests whose last command the engine may not have read. Such a command was not sent, or it
+  /// was sent on a connection that has been lost and no later message shows that the engine read it.
   std::vector<RequestId> findUnconfirmed(const RequestTable& requests) const;
 
-  /// Sends an unconfirmed command again. False, and nothing is sent, for the start of an execution that must
-  /// not run twice and may have begun.
+  /// Sends an unconfirmed command again. Returns false without sending anything if the command starts an
+  /// execution that must not run twice and that may have started already.
   [[nodiscard]] bool resend(InFlightRequest& request);
 
  private:
--- a/src/server/graceful_shutdown.cpp
+++ b/src/server/graceful_shutdown.cpp
@@ -6,9 +6,9 @@
 
 Duration GracefulShutdown::begin(Duration timeout) {
   stopAt_ = net::Reactor::Clock::now() + timeout;
-  log_.message(logging::LogCategory::drain, "graceful shutdown within {} ms, {} requests in flight",
+  log_.message(logging::LogCategory::drain, "graceful shutdown started: timeout {} ms, {} requests in flight",
                std::chrono::duration_cast<std::chrono::milliseconds>(timeout).count(), requests_.size());
-  // The first step comes once the policy has been notified.
+  // Delays the first step until the policy has been notified.
   stepTimer_ = reactor_.after(stepInterval, [this] { step(); });
   return std::max(timeout - policyMargin, Duration::zero());
 }
@@ -16,22 +16,24 @@
 void GracefulShutdown::step() {
   stepTimer_ = reactor_.after(stepInterval, [this] { step(); });
   const Duration remaining = *stopAt_ - net::Reactor::Clock::now();
-  if (remaining <= drainConnectionsFrom && !isDraining_) {
+  if (remaining <= drainThreshold && !isDraining_) {
     isDraining_ = true;
     listener_.startDraining();
   }
   const bool isListening = !isDraining_ || !listener_.stopListening();
-  // By now the policy has given up all requests; only clients that do not close their connections remain.
-  const bool isNearEnd = remaining <= closeIdleConnectionsFrom;
+  // At this point the policy has answered all requests. The remaining connections belong to clients that have
+  // not closed them.
+  const bool isNearEnd = remaining <= closeIdleThreshold;
   if (isNearEnd) listener_.closeIdleConnections();
-  // While there is time, the registry has to know first.
+  // The server waits for the registry's acknowledgement unless the timeout is about to expire.
   const bool isRegistryInformed = registration_.isAcknowledged() || isNearEnd;
   const bool isDrained = !isListening && listener_.openConnections() == 0 && isRegistryInformed;
-  if (isDrained || remaining <= stopFrom) stopEventLoop();
+  if (isDrained || remaining <= stopThreshold) stopEventLoop();
 }
 
 void GracefulShutdown::stopEventLoop() {
-  log_.message(logging::LogCategory::drain, "shutdown complete with {} requests in flight, {} connections",
+  log_.message(logging::LogCategory::drain,
+               "graceful shutdown complete: {} requests in flight, {} client connections open",
                requests_.size(), listener_.openConnections());
   reactor_.stop();
 }
--- a/src/server/graceful_shutdown.h
+++ b/src/server/graceful_shutdown.h
@@ -1,5 +1,5 @@
 /// @file
-/// The steps of a graceful shutdown, by time.
+/// The sequence of steps of a graceful shutdown.
 #pragma once
 
 #include <chrono>
@@ -14,23 +14,24 @@
 
 namespace rainhook::server {
 
-/// Drains the connections of the clients and stops the event loop once all is answered, at the latest when
-/// the timeout ends.
+/// Drains the client connections and stops the event loop after all requests have been answered, at the
+/// latest when the timeout expires.
 ///
-/// The policy is told a somewhat shorter time than the timeout. Late in it clients are asked to close their
-/// connections and the listener ends; then idle connections are closed from our side. The event loop stops
-/// once no connection is left and the registry has acknowledged that the server is out of service. Used from
-/// the event loop's thread only.
+/// The policy receives a slightly shorter time than the timeout. Near the end of the timeout the clients are
+/// asked to close their connections and the listening socket is closed; after that, the server closes idle
+/// connections itself. The event loop stops when no connection is open and the registry has acknowledged that
+/// the server is out of service. Must be used on the event-loop thread only.
 class GracefulShutdown {
  public:
-  /// The references must outlive this object.
+  /// The referenced objects must outlive this object.
   GracefulShutdown(net::Reactor& reactor, logging::Log& log, peers::RequestListener& listener,
                    const EndpointRegistration& registration, const RequestTable& requests)
       : reactor_(reactor), log_(log), listener_(listener), registration_(registration), requests_(requests) {}
 
-  /// From `begin` on.
+  /// Returns whether `begin` has been called.
   bool isInProgress() const { return stopAt_.has_value(); }
-  /// Starts the shutdown, once. Returns the time within which the policy has to have all requests answered.
+  /// Starts the shutdown; must be called only once. Returns the time within which the policy must have
+  /// answered all requests.
   [[nodiscard]] Duration begin(Duration timeout);
 
  private:
@@ -39,10 +40,10 @@
 
   static constexpr Duration stepInterval = std::chrono::milliseconds(10);
   static constexpr Duration policyMargin = std::chrono::milliseconds(150);
-  // Before the end of the timeout.
-  static constexpr Duration drainConnectionsFrom = std::chrono::milliseconds(700);
-  static constexpr Duration closeIdleConnectionsFrom = std::chrono::milliseconds(200);
-  static constexpr Duration stopFrom = policyMargin / 2;
+  // Each step starts when no more than this time remains until the timeout expires.
+  static constexpr Duration drainThreshold = std::chrono::milliseconds(700);
+  static constexpr Duration closeIdleThreshold = std::chrono::milliseconds(200);
+  static constexpr Duration stopThreshold = policyMargin / 2;
 
   net::Reactor& reactor_;
   logging::Log& log_;
--- a/src/server/optional_address.h
+++ b/src/server/optional_address.h
@@ -1,5 +1,5 @@
 /// @file
-/// Addresses of peers that a deployment may lack.
+/// Parses the addresses of peers that are optional in a deployment.
 #pragma once
 
 #include <optional>
@@ -9,7 +9,8 @@
 
 namespace rainhook::server {
 
-/// Parses `host:port`; none where the text is empty. Throws Poco::Exception where it is no address.
+/// Parses `host:port`; returns none if the text is empty. Throws Poco::Exception if it is not a valid
+/// address.
 inline std::optional<net::Connection::Address> optionalAddress(const std::string& hostAndPort) {
   if (hostAndPort.empty()) return std::nullopt;
   return net::Connection::Address(hostAndPort);
--- a/src/server/policy_timers.h
+++ b/src/server/policy_timers.h
@@ -1,5 +1,5 @@
 /// @file
-/// Timers of the admission policy, which fire with a fresh sample of the engine's gauges.
+/// Timers of the admission policy, whose events contain a new sample of the engine's gauges.
 #pragma once
 
 #include <chrono>
@@ -15,22 +15,22 @@
 
 namespace rainhook::server {
 
-/// When a timer expires, the engine is asked for its gauges; the timer fires with the answer, or without one
-/// after a short wait.
+/// When a timer expires, PolicyTimers requests the engine's gauges. It reports the timer as fired when the
+/// gauges arrive, or without gauges after `maxGaugeWait`.
 ///
-/// Bounds: the policy keeps a fixed number of timers. Removal: a timer goes when it expires; its request for
-/// gauges goes when it is answered or `maxGaugeWait` has passed.
+/// Bounds: the policy has a fixed number of timers. Removal: a timer is removed when it expires; its gauge
+/// request is removed when the response arrives or `maxGaugeWait` has passed.
 ///
-/// Used from the event loop's thread only.
+/// Must be used on the event-loop thread only.
 class PolicyTimers {
  public:
-  /// The references must outlive this object.
+  /// The referenced objects must outlive this object.
   PolicyTimers(net::Reactor& reactor, peers::ExecutionEngineClient& engine,
                const DeploymentSettings& deployment, std::function<void(const TimerFired&)> onFired);
 
-  /// Fires once after `delay`, and then the wait for the gauges.
+  /// Starts a timer that fires once, after `delay` and the wait for the gauges.
   void start(TimerId timer, Duration delay);
-  /// The engine's answer to a request for gauges; ignored where it comes too late.
+  /// Processes the engine's response to a gauge request; a response after `maxGaugeWait` is ignored.
   void onGauges(std::uint64_t gaugeRequest, const std::vector<double>& values);
 
  private:
@@ -48,7 +48,7 @@
   const DeploymentSettings& deployment_;
   std::function<void(const TimerFired&)> onFired_;
   std::map<std::uint64_t, net::Reactor::Timer> running_;
-  std::map<std::uint64_t, AwaitingGauges> awaitingGauges_;  // by the request for gauges
+  std::map<std::uint64_t, AwaitingGauges> awaitingGauges_;  // by the id of the gauge request
   std::uint64_t lastTimerNumber_ = 0;
   std::uint64_t lastGaugeRequest_ = 0;
 };
--- a/src/server/request_server.cpp
+++ b/src/server/request_server.cpp
@@ -19,7 +19,8 @@
   return rules;
 }
 
-// A duplicate is read at the latest once nobody waits for it any more; older ones are rejected unread.
+// The longest time for which a duplicate can be unread and still be accepted. The request decoder rejects
+// requests whose client timeout expired more than `expiredRequestGrace` ago.
 Duration maxReadDelay(const DeploymentSettings& deployment) {
   Duration longest = peers::expiredRequestGrace;
   for (const HandlerPolicy& handler : deployment.handlerPolicies)
@@ -57,7 +58,7 @@
 
 RequestServer::~RequestServer() {
   reactor_.setIterationEndHandler({});
-  reactor_.releaseRetired();  // its connections hold buffers of our pool
+  reactor_.releaseRetired();  // the retired connections hold buffers of this server's pool
 }
 
 void RequestServer::open() {
@@ -66,19 +67,20 @@
   engineClient_.connect();
   registration_.setInService(true);
   statistics_.start();
-  log_.message(logging::LogCategory::start, "{} serves at {}", endpoints_.name, endpoints_.listen);
+  log_.message(logging::LogCategory::start, "server {} accepts requests at {}", endpoints_.name,
+               endpoints_.listen);
 }
 
 void RequestServer::shutDownGracefully() {
   if (shutdown_.isInProgress()) return;
   const Duration policyTime = shutdown_.begin(endpoints_.shutdownTimeout);
-  openPolicy(true, 0s);
-  notify(ShutdownNotice{policyTime});
+  createPolicyIfAbsent(true, 0s);
+  addEvent(ShutdownNotice{policyTime});
 }
 
 void RequestServer::setDownstreamQuota(double share) {
   downstreamQuota_ = share;
-  if (policy_) notify(DownstreamQuotaChanged{share});
+  if (policy_) addEvent(DownstreamQuotaChanged{share});
 }
 
 InFlightCounts RequestServer::inFlightCounts() const {
@@ -103,17 +105,17 @@
   return status;
 }
 
-// Differs between servers that were given the same seed.
+// Includes the server's name, so that servers with the same seed get different values.
 std::uint64_t RequestServer::jitterSeed() const {
   return static_cast<std::uint64_t>(endpoints_.seed) ^ std::hash<std::string>{}(endpoints_.name);
 }
 
-// The policy counts its time from the engine's start, since the engine is what is cold or warm. A request
-// that is read before the engine's handshake opens it, too; then a cold start is assumed until the engine
-// reports.
-void RequestServer::openPolicy(bool isColdStart, Duration engineAge) {
+// The time of the policy starts at the engine's start, because the caches that can be cold are the engine's.
+// A request that is read before the engine's handshake also creates the policy; in that case a cold start is
+// assumed until the engine reports how it started.
+void RequestServer::createPolicyIfAbsent(bool isColdStart, Duration engineAge) {
   if (policy_) return;
-  policyOrigin_ = net::Reactor::Clock::now() - engineAge;
+  policyEpoch_ = net::Reactor::Clock::now() - engineAge;
   MachineProfile machine = deployment_.machine;
   machine.coldStart = isColdStart;
   policy_ = makeAdmissionPolicy({.machine = machine,
@@ -124,11 +126,12 @@
                                  .sharing = deployment_.resultSharing,
                                  .fleet = deployment_.fleet});
   isPolicyNew_ = true;
-  if (downstreamQuota_ < 1) notify(DownstreamQuotaChanged{downstreamQuota_});
+  if (downstreamQuota_ < 1) addEvent(DownstreamQuotaChanged{downstreamQuota_});
 }
 
-// An event that comes after this iteration's batch must not wait for the next socket or timer.
-void RequestServer::notify(const Event& event) {
+// The timer wakes the event loop, so that an event added after the batch of this iteration does not wait for
+// the next socket event or timer.
+void RequestServer::addEvent(const Event& event) {
   if (pendingEvents_.empty()) wakeUpTimer_ = reactor_.after(0s, [] {});
   pendingEvents_.push_back(event);
 }
@@ -139,41 +142,43 @@
   deduplicationCache_.onIterationEnd();
   deduplicationCache_.expire(std::chrono::system_clock::now());
   const std::vector<Event> events = std::exchange(pendingEvents_, {});
-  const Duration now = net::Reactor::Clock::now() - policyOrigin_;
+  const Duration now = net::Reactor::Clock::now() - policyEpoch_;
   for (const Action& action : policy_->onEvents(now, events))
     std::visit([this](const auto& typedAction) { perform(typedAction); }, action);
   neverExecuted_.clear();
 }
 
-// Reports of the peers.
+// Callbacks of the peers.
 
 peers::AdmitResult RequestServer::onRequest(peers::IncomingRequest&& incoming) {
   if (requests_.size() >= budget_.maxRequestsInFlight) {
-    log_.message(logging::LogCategory::listener, "{} requests in flight: no more are accepted",
-                 requests_.size());
+    log_.message(logging::LogCategory::listener,
+                 "request {} rejected: {} requests in flight, the limit is {}", incoming.name,
+                 requests_.size(), budget_.maxRequestsInFlight);
     return peers::FailureReason::tooManyInFlight;
   }
   if (requests_.findByName(incoming.name)) {
-    log_.message(logging::LogCategory::listener, "a request whose name is already in flight: {}",
-                 incoming.name);
+    log_.message(logging::LogCategory::listener,
+                 "request {} rejected: a request with this name is already in flight", incoming.name);
     return peers::FailureReason::duplicateName;
   }
   const RequestId id{++lastRequestId_};
-  const DeduplicationCache::Lookup known = findOriginal(id, incoming);
-  if (known.hasConflictingPayload) {
-    log_.message(logging::LogCategory::listener, "a duplicate whose original had another payload: {}",
+  const DeduplicationCache::Lookup lookup = findOriginal(id, incoming);
+  if (lookup.hasConflictingPayload) {
+    log_.message(logging::LogCategory::listener,
+                 "request {} rejected: its idempotency key is in use for a request with another payload",
                  incoming.name);
     return peers::FailureReason::conflictingPayload;
   }
-  openPolicy(true, 0s);
+  createPolicyIfAbsent(true, 0s);
   statistics_.onRequestRead(incoming.readDelay);
   InFlightRequest& request = requests_.add(id, std::move(incoming));
-  request.duplicateOf = known.original;
-  notifyArrival(id, request);
+  request.duplicateOf = lookup.original;
+  addArrivalEvent(id, request);
   return id;
 }
 
-void RequestServer::notifyArrival(RequestId id, const InFlightRequest& request) {
+void RequestServer::addArrivalEvent(RequestId id, const InFlightRequest& request) {
   const peers::IncomingRequest& incoming = request.request;
   RequestArrived event;
   event.id = id;
@@ -188,25 +193,25 @@
   event.timeRemaining = incoming.timeRemaining;
   event.readDelay = incoming.readDelay;
   event.isWrite = incoming.resourceKey == ResourceKey{};
-  notify(event);
+  addEvent(event);
 }
 
 void RequestServer::onClientDisconnected(RequestId id) {
   InFlightRequest* request = requests_.find(id);
   if (request == nullptr) return;
   statistics_.onClientDisconnected();
-  notify(ClientDisconnected{id});
+  addEvent(ClientDisconnected{id});
   endResponse(id, *request);
 }
 
-void RequestServer::onEngineConnected(bool cold, Duration since) {
-  coldStartedAt_ = cold ? std::optional(net::Reactor::Clock::now() - since) : std::nullopt;
-  if (policy_) notify(ExecutionEngineStarted{cold, since});
-  openPolicy(cold, since);
+void RequestServer::onEngineConnected(bool isColdStart, Duration sinceStart) {
+  coldStartedAt_ = isColdStart ? std::optional(net::Reactor::Clock::now() - sinceStart) : std::nullopt;
+  if (policy_) addEvent(ExecutionEngineStarted{isColdStart, sinceStart});
+  createPolicyIfAbsent(isColdStart, sinceStart);
 }
 
-// After a reconnect, commands that the engine may not have read are sent again. An execution that must not
-// run twice and may have begun is failed instead: its client learns that it may have run.
+// After a reconnect, sends the commands again that the engine may not have read. An execution that must not
+// run twice and may have started is failed instead, which tells its client that it may have run.
 void RequestServer::onNotificationsCaughtUp() {
   const std::vector<RequestId> unconfirmed = engineCommands_.findUnconfirmed(requests_);
   for (const RequestId id : unconfirmed) {
@@ -215,13 +220,15 @@
   }
   if (!unconfirmed.empty())
     log_.message(logging::LogCategory::engine,
-                 "{} requests had unconfirmed engine commands: sent again or failed", unconfirmed.size());
+                 "engine connection restored: {} requests had commands that the engine may not have read; "
+                 "their commands were sent again or the requests failed",
+                 unconfirmed.size());
 }
 
-void RequestServer::onExecutionEnded(const std::string& name, Outcome outcome, Duration took,
+void RequestServer::onExecutionEnded(const std::string& name, Outcome outcome, Duration duration,
                                      std::string&& result) {
   const auto id = requests_.findByName(name);
-  if (id) endExecution(*id, *requests_.find(*id), outcome, took, result);
+  if (id) endExecution(*id, *requests_.find(*id), outcome, duration, result);
 }
 
 void RequestServer::onDownstreamCallRequested(const std::string& name, std::uint64_t notification,
@@ -229,22 +236,23 @@
   const auto id = requests_.findByName(name);
   if (!id) return;
   InFlightRequest& request = *requests_.find(*id);
-  if (!request.isWithEngine()) return;
-  request.state = RequestState::wantsDownstreamCall;
+  if (!request.hasOpenExecution()) return;
+  request.state = RequestState::downstreamCallRequested;
   request.lastCommand = EngineCommand::none;
   request.callNotificationId = notification;
   request.downstreamPayload = std::move(body);
-  notify(DownstreamCallRequested{*id});
+  addEvent(DownstreamCallRequested{*id});
 }
 
-void RequestServer::onDownstreamCallEnded(RequestId id, Outcome outcome, Duration took, std::string&& reply) {
+void RequestServer::onDownstreamCallEnded(RequestId id, Outcome outcome, Duration duration,
+                                          std::string&& reply) {
   InFlightRequest* request = requests_.find(id);
   if (request == nullptr || request->state != RequestState::callingDownstream) return;
   const bool isCompleted = outcome == Outcome::completed;
   if (isCompleted) statistics_.onDownstreamCallCompleted();
-  notify(DownstreamCallEnded{id, outcome, took});
+  addEvent(DownstreamCallEnded{id, outcome, duration});
   if (!isCompleted) {
-    request->state = RequestState::wantsDownstreamCall;
+    request->state = RequestState::downstreamCallRequested;
     return;
   }
   request->state = RequestState::executing;
@@ -258,36 +266,36 @@
 
 void RequestServer::onTimerFired(const TimerFired& event) {
   if (event.runnableTasks) engineRunnableTasks_ = event.runnableTasks;
-  notify(event);
+  addEvent(event);
 }
 
-// Nothing of this request is executed there any more. One whose start was rejected never began: no duplicate
-// must wait for what it never did.
+// After a rejected command the engine no longer executes the request. If its start was rejected, the
+// execution never began, so its duplicates must not wait for a result.
 void RequestServer::onCommandRejected(const std::string& name, peers::EngineCommandKind command) {
   const auto id = requests_.findByName(name);
   if (!id) return;
   InFlightRequest& request = *requests_.find(*id);
-  if (!request.isWithEngine()) return;
+  if (!request.hasOpenExecution()) return;
   if (command == peers::EngineCommandKind::startExecution) releaseDuplicates(*id);
   failExecution(*id, request);
 }
 
-// The life of a request.
+// End of executions and responses.
 
-void RequestServer::endExecution(RequestId id, InFlightRequest& request, Outcome outcome, Duration took,
+void RequestServer::endExecution(RequestId id, InFlightRequest& request, Outcome outcome, Duration duration,
                                  const std::string& result) {
-  if (!request.isWithEngine()) return;
+  if (!request.hasOpenExecution()) return;
   downstreamClient_.cancel(id);
   const bool wasResponsePending = request.isResponsePending;
   const bool isCancelled = outcome == Outcome::cancelled;
   if (!isCancelled) respond(request, outcome, result);
-  notify(ExecutionEnded{id, outcome, took});
+  addEvent(ExecutionEnded{id, outcome, duration});
   if (outcome == Outcome::superseded) releaseDuplicates(id);
   if (!isCancelled || !wasResponsePending) {
     const bool isCompleted = outcome == Outcome::completed;
-    originalEnded(id, isCompleted ? OriginalState::completed : OriginalState::failed, result);
+    endOriginal(id, isCompleted ? OriginalState::completed : OriginalState::failed, result);
   }
-  if (isCancelled && request.isResponsePending) {  // back in the admission queue
+  if (isCancelled && request.isResponsePending) {  // the request returns to the admission queue
     request.state = RequestState::queued;
     request.lastCommand = EngineCommand::none;
     return;
@@ -299,7 +307,8 @@
   endExecution(id, request, Outcome::failed, net::Reactor::Clock::now() - request.stateSince, {});
 }
 
-// An execution that never was ends a request that the engine takes for over; one response more does no harm.
+// Sends the response of an execution that has ended, unless no response is pending. An execution that was
+// superseded never ran, and the engine considers its request finished; the additional response does no harm.
 void RequestServer::respond(InFlightRequest& request, Outcome outcome, const std::string& result) {
   if (!std::exchange(request.isResponsePending, false)) return;
   if (outcome == Outcome::completed) {
@@ -311,14 +320,14 @@
   }
 }
 
-// No response is pending any more. A request that has not been started is over; one that waits for a
-// downstream call ends there.
+// Called when no response is pending any longer. A request without an open execution is removed. An execution
+// that waits for a downstream call ends at that call, which is cancelled here.
 void RequestServer::endResponse(RequestId id, InFlightRequest& request) {
   request.isResponsePending = false;
   downstreamClient_.cancel(id);
-  if (request.isWithEngine()) return;
+  if (request.hasOpenExecution()) return;
   if (!request.wasStarted) releaseDuplicates(id);
-  originalEnded(id, OriginalState::failed, {});
+  endOriginal(id, OriginalState::failed, {});
   requests_.remove(id);
 }
 
@@ -332,18 +341,19 @@
       {.id = id, .arrivedAt = request.readAt - request.readDelay, .readAt = request.readAt});
 }
 
-// What provably had no effect is nobody's original: its key is free, and the duplicates that waited for it
-// are admitted anew. The next of them that is executed is the original of the others.
+// A request that provably had no effect cannot be an original: its key becomes free, and the duplicates that
+// waited for it go through admission again. The first of them that is executed becomes the original of the
+// others.
 void RequestServer::releaseDuplicates(RequestId original) {
   if (!neverExecuted_.insert(original).second) return;
   deduplicationCache_.drop(original);
   for (const RequestId id : requests_.duplicatesAwaiting(original)) readmit(id);
 }
 
-// The policy decides on the request as on a new one, with what is left of its client's time.
+// Submits the request to the policy again as a new arrival with the time that remains to its client.
 void RequestServer::readmit(RequestId id) {
   InFlightRequest& request = *requests_.find(id);
-  notify(ExecutionEnded{id, Outcome::failed, net::Reactor::Clock::now() - request.stateSince});
+  addEvent(ExecutionEnded{id, Outcome::failed, net::Reactor::Clock::now() - request.stateSince});
   requests_.stopAwaitingOriginal(id, request);
 
   peers::IncomingRequest& incoming = request.request;
@@ -354,10 +364,10 @@
   if (incoming.timeRemaining)
     incoming.timeRemaining = std::max<Duration>(*incoming.timeRemaining - waited, 0s);
 
-  const DeduplicationCache::Lookup known = findOriginal(id, incoming);
-  request.duplicateOf = known.original;
-  if (!known.hasConflictingPayload) {
-    notifyArrival(id, request);
+  const DeduplicationCache::Lookup lookup = findOriginal(id, incoming);
+  request.duplicateOf = lookup.original;
+  if (!lookup.hasConflictingPayload) {
+    addArrivalEvent(id, request);
     return;
   }
   statistics_.onRequestFailed();
@@ -365,7 +375,7 @@
   requests_.remove(id);
 }
 
-void RequestServer::originalEnded(RequestId original, OriginalState state, const std::string& result) {
+void RequestServer::endOriginal(RequestId original, OriginalState state, const std::string& result) {
   deduplicationCache_.onOriginalEnded(original, state, std::chrono::system_clock::now(), result);
   for (const RequestId id : requests_.duplicatesAwaiting(original))
     answerDuplicate(id, *requests_.find(id), state, result);
@@ -381,8 +391,8 @@
     requestListener_.sendFailure(request.request.response, peers::FailureReason::originalFailed);
     statistics_.onRequestFailed();
   }
-  notify(ExecutionEnded{id, isCompleted ? Outcome::completed : Outcome::failed,
-                        net::Reactor::Clock::now() - request.stateSince});
+  addEvent(ExecutionEnded{id, isCompleted ? Outcome::completed : Outcome::failed,
+                          net::Reactor::Clock::now() - request.stateSince});
   requests_.remove(id);
 }
 
--- a/src/server/request_server.h
+++ b/src/server/request_server.h
@@ -1,5 +1,5 @@
 /// @file
-/// The server: wires its peers to the admission policy.
+/// The request server, which connects its peers to the admission policy.
 #pragma once
 
 #include <chrono>
@@ -31,74 +31,75 @@
 
 namespace rainhook::server {
 
-/// What a server is doing, for the other members of its fleet.
+/// The status of a server, for the other members of its fleet.
 struct ServerStatus {
-  bool isShuttingDown = false;          ///< From the shutdown notice on.
-  bool isEngineResponsive = false;      ///< Connected, and it answers in time.
-  double warmUpProgress = 1;            ///< Share of its full speed, 0 to 1.
-  double concurrencyLimit = 0;          ///< Requests that may execute.
-  std::size_t executing = 0;            ///< Downstream calls included.
-  std::size_t queued = 0;               ///< Or awaiting their originals.
-  std::uint64_t requestsRead = 0;       ///< Since the start.
-  std::uint64_t requestsCompleted = 0;  ///< Since the start.
+  bool isShuttingDown = false;          ///< True after the shutdown notice.
+  bool isEngineResponsive = false;      ///< Whether the engine is connected and answers in time.
+  double warmUpProgress = 1;            ///< The share of its warm-up time that has passed, 0 to 1.
+  double concurrencyLimit = 0;          ///< How many requests may execute at the same time.
+  std::size_t executing = 0;            ///< Executing requests, including those in downstream calls.
+  std::size_t queued = 0;               ///< Requests in the queue or awaiting their originals.
+  std::uint64_t requestsRead = 0;       ///< Requests read since the start.
+  std::uint64_t requestsCompleted = 0;  ///< Requests completed since the start.
 };
 
-/// One server process: what its peers report becomes events of the admission policy, and the policy's actions
-/// become messages to its peers. It decides nothing. All that was read in one iteration of the event loop is
-/// one batch of events.
+/// One server process. It translates the reports of its peers into events of the admission policy and the
+/// actions of the policy into messages to its peers; it makes no decisions. Everything that is read in one
+/// iteration of the event loop forms one batch of events.
 ///
-/// Bounds: requests in flight, output and cached results are bounded by ResourceBudget; pending events by
-/// what one iteration reads.
+/// Bounds: ResourceBudget bounds the requests in flight, the output and the cached results. The amount of
+/// data that one iteration reads bounds the pending events.
 ///
-/// Used from the event loop's thread only. The reactor and the log must outlive it.
+/// Must be used on the event-loop thread only. The reactor and the log must outlive it.
 class RequestServer final : peers::RequestListener::Listener,
                             peers::ExecutionEngineClient::Listener,
                             peers::DownstreamClient::Listener {
  public:
-  /// Throws Poco::Exception where an address can't be resolved.
+  /// Throws Poco::Exception if an address cannot be resolved.
   RequestServer(net::Reactor& reactor, logging::Log& log, ServerConfiguration configuration);
   ~RequestServer() override;
   RequestServer(const RequestServer&) = delete;
   RequestServer& operator=(const RequestServer&) = delete;
 
-  /// Binds its address and connects to its peers; throws Poco::Exception where the address can't be bound.
+  /// Binds the listening address and connects to the peers. Throws Poco::Exception if the address cannot be
+  /// bound.
   void open();
-  /// Where it listens, once it is open.
+  /// Returns the listening address; valid after open().
   Poco::Net::SocketAddress address() const { return requestListener_.address(); }
 
-  /// Takes what a new configuration may change while the server runs, see ConfigurationReload.
-  void reload(const ServerConfiguration& offered) { configurationReload_.apply(offered); }
-  /// The same from a file; where it can't be read, nothing changes.
+  /// Applies the parts of a new configuration that may change while the server runs, see ConfigurationReload.
+  void reload(const ServerConfiguration& newConfiguration) { configurationReload_.apply(newConfiguration); }
+  /// Applies a new configuration from a file. If the file cannot be read, nothing changes.
   void reloadFile(const std::string& path) { configurationReload_.applyFile(path); }
 
-  /// Starts a graceful shutdown, at whose end the reactor is stopped. Later calls do nothing.
+  /// Starts a graceful shutdown, at the end of which the reactor is stopped. Further calls do nothing.
   void shutDownGracefully();
 
-  /// How much of the configured quota of downstream calls it may use from now on, 0 to 1.
+  /// Sets the share, 0 to 1, of the configured quota of downstream calls that this server may use.
   void setDownstreamQuota(double share);
 
-  /// The requests in flight by state.
+  /// Returns the numbers of requests in flight by state.
   InFlightCounts inFlightCounts() const;
-  /// What the server is doing now.
+  /// Returns the current status.
   ServerStatus status() const;
-  /// How many connections were visited so far to make room for new ones.
+  /// Returns how many connections have been visited so far to find idle ones to evict.
   std::uint64_t connectionsScanned() const { return requestListener_.entriesScanned(); }
 
  private:
-  // Reports of the peers.
+  // Callbacks of the peers.
   peers::AdmitResult onRequest(peers::IncomingRequest&& incoming) override;
   void onClientDisconnected(RequestId id) override;
-  void onEngineConnected(bool cold, Duration since) override;
+  void onEngineConnected(bool isColdStart, Duration sinceStart) override;
   void onNotificationsCaughtUp() override;
-  void onExecutionEnded(const std::string& name, Outcome outcome, Duration took,
+  void onExecutionEnded(const std::string& name, Outcome outcome, Duration duration,
                         std::string&& result) override;
   void onDownstreamCallRequested(const std::string& name, std::uint64_t notification,
                                  std::string&& body) override;
   void onGauges(std::uint64_t gaugeRequest, const std::vector<double>& values) override;
   void onCommandRejected(const std::string& name, peers::EngineCommandKind command) override;
-  void onDownstreamCallEnded(RequestId id, Outcome outcome, Duration took, std::string&& reply) override;
+  void onDownstreamCallEnded(RequestId id, Outcome outcome, Duration duration, std::string&& reply) override;
 
-  // Actions of the policy, in request_server_actions.cpp.
+  // Actions of the policy, defined in request_server_actions.cpp.
   void perform(const StartExecution& action);
   void perform(const ShedRequest& action);
   void perform(const FailRequest& action);
@@ -114,15 +115,15 @@
   void perform(const SetTimer& action);
   void perform(const DiagnosticMessage& action);
 
-  // The policy.
-  void openPolicy(bool isColdStart, Duration engineAge);
+  // Creation of the policy and its events.
+  void createPolicyIfAbsent(bool isColdStart, Duration engineAge);
   void onIterationEnd();
-  void notify(const Event& event);
-  void notifyArrival(RequestId id, const InFlightRequest& request);
+  void addEvent(const Event& event);
+  void addArrivalEvent(RequestId id, const InFlightRequest& request);
   void onTimerFired(const TimerFired& event);
 
-  // The life of a request.
-  void endExecution(RequestId id, InFlightRequest& request, Outcome outcome, Duration took,
+  // End of executions and responses.
+  void endExecution(RequestId id, InFlightRequest& request, Outcome outcome, Duration duration,
                     const std::string& result);
   void failExecution(RequestId id, InFlightRequest& request);
   void respond(InFlightRequest& request, Outcome outcome, const std::string& result);
@@ -132,7 +133,7 @@
   DeduplicationCache::Lookup findOriginal(RequestId id, const peers::IncomingRequest& request);
   void releaseDuplicates(RequestId original);
   void readmit(RequestId id);
-  void originalEnded(RequestId original, DeduplicationCache::OriginalState state, const std::string& result);
+  void endOriginal(RequestId original, DeduplicationCache::OriginalState state, const std::string& result);
   void answerDuplicate(RequestId id, InFlightRequest& request, DeduplicationCache::OriginalState state,
                        const std::string& result);
 
@@ -140,7 +141,7 @@
 
   net::Reactor& reactor_;
   logging::Log& log_;
-  ServerConfiguration configuration_;  // a reload changes its endpoints, never the deployment
+  ServerConfiguration configuration_;  // a reload changes its endpoints but not its deployment
   const ServerEndpoints& endpoints_ = configuration_.endpoints;
   const DeploymentSettings& deployment_ = configuration_.deployment;
   const ResourceBudget budget_ = divideResources(endpoints_.maxDescriptors, endpoints_.memoryMb);
@@ -160,15 +161,15 @@
   GracefulShutdown shutdown_;
 
   std::unique_ptr<AdmissionPolicy> policy_;
-  Moment policyOrigin_{};       // the start of the engine, from which the policy counts its time
-  bool isPolicyNew_ = false;    // it has not been asked yet
-  double downstreamQuota_ = 1;  // share of the configured one
+  Moment policyEpoch_{};        // the start of the engine, which is time zero of the policy
+  bool isPolicyNew_ = false;    // makes the next iteration call the policy even without events
+  double downstreamQuota_ = 1;  // share of the configured quota
   std::vector<Event> pendingEvents_;
-  std::set<RequestId> neverExecuted_;  // in this iteration: they are nobody's originals
+  std::set<RequestId> neverExecuted_;  // requests of this iteration that cannot be originals of others
   net::Reactor::Timer wakeUpTimer_;
   std::uint32_t lastRequestId_ = 0;
-  std::optional<Moment> coldStartedAt_;        // the engine's start, where that was a cold one
-  std::optional<double> engineRunnableTasks_;  // as its gauges said last
+  std::optional<Moment> coldStartedAt_;        // the engine's start, if it was a cold start
+  std::optional<double> engineRunnableTasks_;  // from the last sample of gauges that contained it
 };
 
 }  // namespace rainhook::server
--- a/src/server/request_server_actions.cpp
+++ b/src/server/request_server_actions.cpp
@@ -1,4 +1,4 @@
-// What RequestServer does for each action of the admission policy.
+// The part of RequestServer that performs the actions of the admission policy.
 #include "server/request_server.h"
 
 namespace rainhook::server {
@@ -33,13 +33,13 @@
   endResponse(action.id, *request);
 }
 
-// The engine's protocol cannot cancel an execution, so one that is no longer wanted goes on until it ends or
-// reaches its next downstream call. One that is cancelled there all the same comes back as cancelled.
+// The engine's protocol cannot cancel an execution, so a cancelled one continues until it ends or reaches its
+// next downstream call. If the engine itself cancels an execution, it reports the outcome `cancelled`.
 void RequestServer::perform(const CancelExecution&) {}
 
 void RequestServer::perform(const CallDownstream& action) {
   InFlightRequest* request = requests_.find(action.id);
-  if (request == nullptr || request->state != RequestState::wantsDownstreamCall) return;
+  if (request == nullptr || request->state != RequestState::downstreamCallRequested) return;
   request->state = RequestState::callingDownstream;
   statistics_.onDownstreamCallStarted();
   downstreamClient_.call(action.id, request->request.name, action.timeout, request->downstreamPayload);
@@ -47,7 +47,7 @@
 
 void RequestServer::perform(const SkipDownstreamCall& action) {
   InFlightRequest* request = requests_.find(action.id);
-  if (request == nullptr || request->state != RequestState::wantsDownstreamCall) return;
+  if (request == nullptr || request->state != RequestState::downstreamCallRequested) return;
   request->state = RequestState::executing;
   engineCommands_.send(*request, EngineCommand::continueWithoutReply);
 }
--- a/src/server/request_statistics.cpp
+++ b/src/server/request_statistics.cpp
@@ -8,7 +8,7 @@
 InFlightCounts countInFlight(const RequestTable& requests, std::size_t openDownstreamCalls) {
   InFlightCounts counts;
   for (const auto& [id, request] : requests.all()) {
-    if (!request.isWithEngine())
+    if (!request.hasOpenExecution())
       ++counts.queued;
     else if (request.state == RequestState::executing)
       ++counts.executing;
@@ -33,8 +33,8 @@
 
 void RequestStatistics::report() {
   reportTimer_ = reactor_.after(reportInterval, [this] { report(); });
-  readBefore_ += interval_.read;
-  completedBefore_ += interval_.completed;
+  readEarlier_ += interval_.read;
+  completedEarlier_ += interval_.completed;
   const Counts counts = std::exchange(interval_, {});
   if (counts.read + counts.shed + counts.failed > 0) logCounts(counts);
 }
@@ -44,15 +44,16 @@
   const Snapshot now = takeSnapshot_();
   const auto totalDelayMs = std::chrono::duration_cast<std::chrono::milliseconds>(counts.readDelay).count();
   const auto meanDelayMs = totalDelayMs / static_cast<std::int64_t>(std::max<std::uint64_t>(counts.read, 1));
-  log_.message(logging::LogCategory::start,
-               "in {} s: requests read {} (read delay {} ms), completed {}, shed {}, failed {}, clients "
-               "disconnected {}; "
-               "downstream calls {}, completed {}; now queued {}, executing {} (the engine counts {:.0f}), "
-               "in downstream calls {}, abandoned {}; connections {}",
-               reportInterval.count(), counts.read, meanDelayMs, counts.completed, counts.shed, counts.failed,
-               counts.clientsDisconnected, counts.downstreamCalls, counts.downstreamCallsCompleted,
-               now.inFlight.queued, now.inFlight.executing, now.engineRunnableTasks.value_or(unknown),
-               now.inFlight.inDownstreamCalls, now.inFlight.abandoned, now.openConnections);
+  log_.message(
+      logging::LogCategory::start,
+      "statistics of the last {} s: requests read {} (mean read delay {} ms), completed {}, shed {}, "
+      "failed {}, client disconnected {}; downstream calls started {}, completed {}; "
+      "requests in flight now: queued {}, executing {} (runnable tasks at the engine {:.0f}), "
+      "in downstream calls {}, abandoned {}; open client connections {}",
+      reportInterval.count(), counts.read, meanDelayMs, counts.completed, counts.shed, counts.failed,
+      counts.clientsDisconnected, counts.downstreamCalls, counts.downstreamCallsCompleted,
+      now.inFlight.queued, now.inFlight.executing, now.engineRunnableTasks.value_or(unknown),
+      now.inFlight.inDownstreamCalls, now.inFlight.abandoned, now.openConnections);
 }
 
 }  // namespace rainhook::server
--- a/src/server/request_statistics.h
+++ b/src/server/request_statistics.h
@@ -1,5 +1,5 @@
 /// @file
-/// Counts of requests, for the log and for the fleet.
+/// Counts requests for the log and for the other members of the fleet.
 #pragma once
 
 #include <chrono>
@@ -16,13 +16,13 @@
 
 namespace rainhook::server {
 
-/// The requests in flight by their state, to be held against the gauges of the engine.
+/// Numbers of requests in flight by state, for comparison with the gauges of the engine.
 struct InFlightCounts {
-  std::size_t queued = 0;               ///< Or awaiting their originals.
-  std::size_t executing = 0;            ///< Outside downstream calls.
-  std::size_t inDownstreamCalls = 0;    ///< Wanting a downstream call, or in one.
-  std::size_t abandoned = 0;            ///< No response is pending any more, the execution goes on.
-  std::size_t openDownstreamCalls = 0;  ///< As the client of the downstream service counts them.
+  std::size_t queued = 0;               ///< Requests in the queue or awaiting their originals.
+  std::size_t executing = 0;            ///< Requests that are executing, outside downstream calls.
+  std::size_t inDownstreamCalls = 0;    ///< Requests whose downstream call is requested or open.
+  std::size_t abandoned = 0;            ///< Requests without a pending response that are still executing.
+  std::size_t openDownstreamCalls = 0;  ///< Open downstream calls as counted by DownstreamClient.
   /// Compares member by member.
   // NOLINTNEXTLINE(modernize-use-nullptr): false positive of clang-tidy 14 on defaulted comparisons
   auto operator<=>(const InFlightCounts&) const = default;
@@ -31,35 +31,42 @@
 /// Counts the requests of the table by their state.
 InFlightCounts countInFlight(const RequestTable& requests, std::size_t openDownstreamCalls);
 
-/// Counts what happens to requests and logs the counts of every interval in which there were any. Used from
-/// the event loop's thread only.
+/// Counts the events of requests and logs the counts of each interval that has any. Must be used on the
+/// event-loop thread only.
 class RequestStatistics {
  public:
-  /// What is logged beside the counts.
+  /// The current values that are logged with the counts.
   struct Snapshot {
     InFlightCounts inFlight;                    ///< The requests in flight by state.
-    std::optional<double> engineRunnableTasks;  ///< As the engine's gauges said last.
-    std::size_t openConnections = 0;            ///< Of clients.
+    std::optional<double> engineRunnableTasks;  ///< The runnable tasks in the last sample of engine gauges.
+    std::size_t openConnections = 0;            ///< The number of open client connections.
   };
 
-  /// The references must outlive this object.
+  /// The referenced objects must outlive this object.
   RequestStatistics(net::Reactor& reactor, logging::Log& log, std::function<Snapshot()> takeSnapshot);
 
   /// Starts the periodic report.
   void start();
 
-  void onRequestRead(Duration readDelay);               ///< `readDelay`: for how long it stood unread.
-  void onRequestCompleted() { ++interval_.completed; }  ///< Answered with a result.
-  void onRequestShed() { ++interval_.shed; }            ///< Rejected by the policy before it was executed.
-  void onRequestFailed() { ++interval_.failed; }        ///< Answered with a failure.
-  void onClientDisconnected() { ++interval_.clientsDisconnected; }  ///< Before its request was answered.
-  void onDownstreamCallStarted() { ++interval_.downstreamCalls; }   ///< Retries included.
-  void onDownstreamCallCompleted() { ++interval_.downstreamCallsCompleted; }  ///< With a reply.
+  /// Counts a request that was read; `readDelay` is the time from its arrival until then.
+  void onRequestRead(Duration readDelay);
+  /// Counts a request that was answered with a result.
+  void onRequestCompleted() { ++interval_.completed; }
+  /// Counts a request that the policy shed.
+  void onRequestShed() { ++interval_.shed; }
+  /// Counts a request that was answered with a failure.
+  void onRequestFailed() { ++interval_.failed; }
+  /// Counts a request whose client disconnected before the response.
+  void onClientDisconnected() { ++interval_.clientsDisconnected; }
+  /// Counts an attempt of a downstream call, including retries.
+  void onDownstreamCallStarted() { ++interval_.downstreamCalls; }
+  /// Counts a downstream call that ended with a reply.
+  void onDownstreamCallCompleted() { ++interval_.downstreamCallsCompleted; }
 
-  /// Since the start.
-  std::uint64_t requestsRead() const { return readBefore_ + interval_.read; }
-  /// Since the start.
-  std::uint64_t requestsCompleted() const { return completedBefore_ + interval_.completed; }
+  /// Returns the number of requests read since the start.
+  std::uint64_t requestsRead() const { return readEarlier_ + interval_.read; }
+  /// Returns the number of requests completed since the start.
+  std::uint64_t requestsCompleted() const { return completedEarlier_ + interval_.completed; }
 
  private:
   struct Counts {
@@ -82,8 +89,8 @@
   logging::Log& log_;
   std::function<Snapshot()> takeSnapshot_;
   Counts interval_;
-  std::uint64_t readBefore_ = 0;  // until this interval
-  std::uint64_t completedBefore_ = 0;
+  std::uint64_t readEarlier_ = 0;       // requests read before the current interval
+  std::uint64_t completedEarlier_ = 0;  // requests completed before the current interval
   net::Reactor::Timer reportTimer_;
 };
 
--- a/src/server/request_table.h
+++ b/src/server/request_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// The requests in flight. The table decides nothing.
+/// The table of requests in flight. It makes no decisions.
 #pragma once
 
 #include <chrono>
@@ -18,73 +18,74 @@
 
 namespace rainhook::server {
 
-/// A point of the steady clock.
+/// A point in time on the steady clock.
 using Moment = net::Reactor::Clock::time_point;
 
-/// Where a request stands. The order matters: from `executing` on, the engine has it.
+/// The state of a request. The order matters: in `executing` and all later states, the engine executes it.
 enum class RequestState {
-  queued,               ///< In the admission queue.
-  awaitingOriginal,     ///< A duplicate that is answered with the result of its original.
-  executing,            ///< Started at the engine.
-  wantsDownstreamCall,  ///< Executing; asked for a downstream call that was not made yet.
-  callingDownstream     ///< Executing; its downstream call is open.
+  queued,                   ///< The request is in the admission queue.
+  awaitingOriginal,         ///< A duplicate that will be answered with the result of its original.
+  executing,                ///< The execution was started at the engine.
+  downstreamCallRequested,  ///< Executing; it requested a downstream call that has not been made yet.
+  callingDownstream         ///< Executing; its downstream call is open.
 };
 
 /// A command to the execution engine for one request.
 enum class EngineCommand { none, startExecution, deliverReply, continueWithoutReply };
 
-/// One request from its arrival until it is answered and its execution has ended.
+/// A request from its arrival until it has been answered and its execution has ended.
 struct InFlightRequest {
-  peers::IncomingRequest request;  ///< As it was read.
-  bool isResponsePending = true;   ///< False once it is answered or its client is gone.
-  bool wasStarted = false;         ///< The engine may have it: it was told at least once to execute it.
-  RequestState state = RequestState::queued;  ///< Where it stands.
+  peers::IncomingRequest request;  ///< The request as it was read.
+  bool isResponsePending = true;   ///< False after the response was sent or the client disconnected.
+  bool wasStarted = false;         ///< Whether a start command was issued, so that the engine may execute it.
+  RequestState state = RequestState::queued;  ///< The current state.
   Moment stateSince{};                        ///< Start of the execution, or of the wait for the original.
 
-  EngineCommand lastCommand = EngineCommand::none;  ///< None where there is nothing to send again.
-  Moment lastCommandAt{};                           ///< When it was sent or tried.
-  bool wasCommandSent = false;                      ///< False where there was no connection to the engine.
+  EngineCommand lastCommand = EngineCommand::none;  ///< The command to send again after a reconnect, if any.
+  Moment lastCommandAt{};                           ///< When the last command was sent or could not be sent.
+  bool wasCommandSent = false;                      ///< False if there was no connection to the engine.
 
-  std::optional<RequestId> duplicateOf;  ///< Its original, where it has one.
-  std::string downstreamPayload;         ///< Body of the requested call, later its reply.
-  std::uint64_t callNotificationId = 0;  ///< The engine's notification that asked for the call.
+  std::optional<RequestId> duplicateOf;  ///< The original, if the request is a duplicate.
+  std::string downstreamPayload;         ///< The body of the requested downstream call, later its reply.
+  std::uint64_t callNotificationId = 0;  ///< The engine's notification that requested the call.
 
-  /// Whether its execution was started and has not ended.
-  bool isWithEngine() const { return state >= RequestState::executing; }
+  /// Returns whether its execution was started and has not ended.
+  bool hasOpenExecution() const { return state >= RequestState::executing; }
 };
 
 /// All requests in flight, by id and by name, and the duplicates that await their originals.
 ///
-/// Bounds: RequestServer adds no request beyond a quarter of the memory limit; duplicates are requests in
-/// flight themselves.
+/// Bounds: RequestServer limits the requests in flight to a quarter of the memory limit. Duplicates are
+/// requests in flight too.
 ///
-/// Removal: `remove` removes a request when its response and its execution have both ended.
+/// Removal: `remove` is called when a request has been answered and its execution has ended.
 ///
-/// Used from the event loop's thread only.
+/// Must be used on the event-loop thread only.
 class RequestTable {
  public:
-  /// The name must not be in flight. The reference is valid until the request is removed.
+  /// Adds a request, whose name must not be in flight. The reference is valid until the request is removed.
   InFlightRequest& add(RequestId id, peers::IncomingRequest&& request);
 
-  /// Null where no such request is in flight.
+  /// Returns the request, or null if it is not in flight.
   InFlightRequest* find(RequestId id);
-  /// The id of the request that the engine and the downstream service know by this name.
+  /// Returns the id of the request with this name, which the engine and the downstream service use to
+  /// identify it, or none if it is not in flight.
   std::optional<RequestId> findByName(const std::string& name) const;
-  /// Ignored where no such request is in flight.
+  /// Removes the request. Does nothing if it is not in flight.
   void remove(RequestId id);
 
   /// Registers a duplicate whose state is `awaitingOriginal`.
   void awaitOriginal(RequestId original, RequestId duplicate) {
     awaitingOriginal_.emplace(original, duplicate);
   }
-  /// Puts a duplicate that awaits its original back to `queued`.
+  /// Changes the state of a duplicate that awaits its original back to `queued`.
   void stopAwaitingOriginal(RequestId id, InFlightRequest& request);
-  /// The duplicates that await this original, by id.
+  /// Returns the duplicates that await this original, ordered by id.
   std::vector<RequestId> duplicatesAwaiting(RequestId original) const;
 
-  /// Number of requests in flight.
+  /// Returns the number of requests in flight.
   std::size_t size() const { return requests_.size(); }
-  /// All requests in flight, by id.
+  /// Returns all requests in flight, by id.
   const std::map<RequestId, InFlightRequest>& all() const { return requests_; }
 
  private:
--- a/src/server/resource_budget.h
+++ b/src/server/resource_budget.h
@@ -1,27 +1,28 @@
 /// @file
-/// How the descriptors and the memory of the process are divided.
+/// Divides the file descriptors and the memory of the process among their uses.
 #pragma once
 
 #include <cstddef>
 
 namespace rainhook::server {
 
-/// Upper bounds that follow from the limits of the process.
+/// Upper bounds that are derived from the limits of the process.
 struct ResourceBudget {
-  std::size_t maxClientConnections = 0;  ///< Open at once.
-  std::size_t maxDownstreamCalls = 0;    ///< Open at once.
-  std::size_t maxRequestsInFlight = 0;   ///< What comes beyond is failed.
-  std::size_t maxOutputBytes = 0;        ///< Waiting to be sent, over all client connections.
-  std::size_t maxResultBytes = 0;        ///< Cached for duplicates.
+  std::size_t maxClientConnections = 0;  ///< Client connections that are open at the same time.
+  std::size_t maxDownstreamCalls = 0;    ///< Downstream calls that are open at the same time.
+  std::size_t maxRequestsInFlight = 0;   ///< Requests in flight; further requests are failed.
+  std::size_t maxOutputBytes = 0;        ///< Bytes waiting to be sent, over all client connections.
+  std::size_t maxResultBytes = 0;        ///< Bytes of results that are cached for duplicates.
 };
 
-/// Divides the limits.
+/// Divides the limits of the process.
 ///
-/// Descriptors: half of them are the clients' to open, a sixteenth more is for connections that they have
-/// closed and we have not yet; some are for the listener, the links to other peers, signals and the log; all
-/// others are for downstream calls.
+/// Descriptors: clients may open half of them; another sixteenth is for connections that a client has closed
+/// and the server has not yet closed. Some are for the listener, the connections to other peers, signals and
+/// the log. The rest is for downstream calls.
 ///
-/// Memory: a quarter for requests in flight, an eighth for what waits to be sent, and one for cached results.
+/// Memory: a quarter is for requests in flight, an eighth for output that waits to be sent, and an eighth for
+/// cached results.
 ResourceBudget divideResources(std::size_t maxDescriptors, int memoryMb);
 
 }  // namespace rainhook::server
