--- a/src/peers/client_connections.cpp
+++ b/src/peers/client_connections.cpp
@@ -10,16 +10,17 @@
 
 using namespace std::chrono_literals;
 
-/// Output that may wait on a connection before it is no longer read.
+/// The amount of pending output above which the connection is no longer read.
 constexpr std::size_t maxBacklogBytes = 32 * 1024;
-/// How long a client may keep an idle connection after it was asked to close it.
+/// How long a client may keep an idle connection open after it was asked to close it.
 constexpr Duration closeRequestTimeout = 1s;
-/// The same for one that never sent a message: by the protocol it heeds the request within 50 ms.
+/// The same for a connection that never sent a message: the protocol requires its client to react within 50
+/// ms.
 constexpr Duration closeRequestTimeoutWhenNeverUsed = 150ms;
-/// How long a client's side is waited for after ours has been shut down.
-constexpr Duration lingerTimeout = 500ms;
-/// How long a new connection may be silent, and a partial message may get no bytes.
-constexpr Duration silenceTimeout = 2s;
+/// How long the server waits for the client to close its side after it has shut down its own.
+constexpr Duration peerCloseTimeout = 500ms;
+/// How long a new connection may send no message, and a partial message may receive no further bytes.
+constexpr Duration inactivityTimeout = 2s;
 
 }  // namespace
 
@@ -32,7 +33,7 @@
     : log_(log),
       listener_(listener),
       limits_(limits),
-      maxMessageDuration_(silenceTimeout + longestClientTimeout.value_or(silenceTimeout)) {}
+      maxMessageDuration_(inactivityTimeout + longestClientTimeout.value_or(inactivityTimeout)) {}
 
 void ClientConnections::add(ConnectionId id, std::shared_ptr<net::Connection> connection) {
   ClientConnection& client = connections_[id];
@@ -51,9 +52,9 @@
 }
 
 std::vector<ConnectionId> ClientConnections::allIds() const {
-  std::vector<ConnectionId> out;
-  for (const auto& [id, client] : connections_) out.push_back(id);
-  return out;
+  std::vector<ConnectionId> ids;
+  for (const auto& [id, client] : connections_) ids.push_back(id);
+  return ids;
 }
 
 void ClientConnections::markUsed(ClientConnection& client) {
@@ -86,13 +87,14 @@
 
 bool ClientConnections::evictIdle() { return evictIdleFrom(neverUsed_) || evictIdleFrom(used_); }
 
-// Those passed over are in use and go behind the others, so that many new connections at once do not scan all
-// that are open for each.
+// A connection that is in use is moved to the end of the list, so that many simultaneous new connections do
+// not each scan all open connections.
 bool ClientConnections::evictIdleFrom(LeastRecentlyUsedList& candidates) {
   for (std::size_t remaining = candidates.size(); remaining > 0 && !candidates.empty(); --remaining) {
     const ConnectionId id = candidates.front();
     ++entriesScanned_;
-    // Its place is wanted now: what it has sent is read first, but its end is not waited for.
+    // Reads what the client has already sent before deciding. The eviction does not wait for the client to
+    // close its side, because a new connection needs the place now.
     if (const auto& client = connections_.at(id); client.isIdle()) client.connection->readNow();
     const ClientConnection* client = find(id);
     if (!client) return true;
@@ -121,10 +123,12 @@
   for (const ConnectionId id : allIds()) closeGracefully(id);
 }
 
-// The one way in which a connection is ended that the client has not ended and that is not broken. All that
-// the client has sent is read first, since a close over unread bytes is a reset that drops responses under
-// way; a request among it is served and the connection stays. Then our side is shut down, what still comes is
-// not served, and the socket is closed when the client has ended its side, or has not for `lingerTimeout`.
+// The regular way to close a connection that the client has not closed and that is not broken; only an
+// eviction and the output limit close such a connection at once. The server first reads everything that the
+// client has sent, because closing a socket with unread input resets the connection and drops responses that
+// are in transit. If this input contains a request, the request is served and the connection stays open.
+// Otherwise the server shuts down its sending side and serves no further requests. The socket is closed when
+// the client closes its side or after `peerCloseTimeout`.
 void ClientConnections::closeGracefully(ConnectionId id) {
   const ClientConnection* before = find(id);
   if (!before || before->shutdownAt) return;
@@ -137,7 +141,7 @@
   client->connection->shutdownSend();
 }
 
-// Clients that do not read what they are sent give way, the furthest behind first.
+// Closes the connections with the most pending output until the total is within its limit.
 void ClientConnections::limitPendingOutput() {
   std::size_t pendingBytes = 0;
   for (const auto& [id, client] : connections_) pendingBytes += client.connection->pendingBytes();
@@ -149,7 +153,9 @@
     const std::size_t backlogBytes = slowest->second.connection->pendingBytes();
     pendingBytes -= backlogBytes;
     log_.message(logging::LogCategory::listener,
-                 "connection closed: the client does not read, {} bytes of output pending", backlogBytes);
+                 "client connection closed: the client does not read its responses, {} bytes of output are "
+                 "pending; the limit for all clients is {} bytes",
+                 backlogBytes, limits_.pendingOutputBytes);
     remove(slowest->first);
   }
 }
@@ -157,11 +163,12 @@
 ClientConnections::SweepAction ClientConnections::sweepActionFor(const ClientConnection& client,
                                                                  ClientConnection::TimePoint now) const {
   if (client.shutdownAt)
-    return now - *client.shutdownAt > lingerTimeout ? SweepAction::remove : SweepAction::none;
+    return now - *client.shutdownAt > peerCloseTimeout ? SweepAction::remove : SweepAction::none;
   if (!client.isIdle()) return SweepAction::none;
-  // Slow is not stuck: a message may take as long as anybody waits for it, while bytes come.
+  // A slow message is allowed: as long as bytes arrive, it may take as long as its client waits for the
+  // response.
   const bool isMessageStuck =
-      client.partialMessageSince && (now - *client.lastPartialBytesAt > silenceTimeout ||
+      client.partialMessageSince && (now - *client.lastPartialBytesAt > inactivityTimeout ||
                                      now - *client.partialMessageSince > maxMessageDuration_);
   const bool ignoresCloseRequest =
       client.closeRequestedAt && !client.partialMessageSince &&
@@ -170,9 +177,10 @@
   if (isMessageStuck || client.isHalfClosed || client.hasViolatedProtocol || ignoresCloseRequest)
     return SweepAction::closeGracefully;
   const auto idleFor = now - client.lastUsedAt;
-  const bool isSilent = !client.hasSentMessage && !client.partialMessageSince && idleFor > silenceTimeout;
+  const bool isInactive =
+      !client.hasSentMessage && !client.partialMessageSince && idleFor > inactivityTimeout;
   const bool isIdleTooLong = idleTimeout_ && idleFor > *idleTimeout_;
-  return isSilent || isIdleTooLong || isDraining_ ? SweepAction::requestClose : SweepAction::none;
+  return isInactive || isIdleTooLong || isDraining_ ? SweepAction::requestClose : SweepAction::none;
 }
 
 void ClientConnections::sweep() {
--- a/src/peers/client_connections.h
+++ b/src/peers/client_connections.h
@@ -1,5 +1,6 @@
 /// @file
-/// The open connections of the clients: which of them are idle, slow or misbehaving, and which gives way.
+/// The open client connections: tracks which of them are idle, slow or in violation of the protocol, and
+/// selects those to close or evict.
 #pragma once
 
 #include <cstddef>
@@ -20,100 +21,106 @@
 
 /// One accepted connection and the requests that are open on it.
 struct ClientConnection {
-  /// A steady time.
+  /// A point in time on the steady clock.
   using TimePoint = net::Reactor::Clock::time_point;
 
-  /// Never null.
+  /// The connection; never null.
   std::shared_ptr<net::Connection> connection;
-  /// By sequence number. A request leaves when it is answered, cancelled, or the connection ends.
+  /// The open requests by sequence number. A request is removed when it is answered or cancelled, or when the
+  /// connection ends.
   std::map<std::int32_t, RequestId> openRequests;
-  /// When it was opened, a message came, or a response was given.
+  /// The time of the accept, the last received message or the last response, whichever is latest.
   TimePoint lastUsedAt;
-  /// When the client was asked to close it.
+  /// The time at which the client was asked to close the connection.
   std::optional<TimePoint> closeRequestedAt;
-  /// Since when the beginning of a message has been there without its end.
+  /// The time since which a message has been received only in part.
   std::optional<TimePoint> partialMessageSince;
-  /// When the last bytes of a partial message came.
+  /// The time at which the last bytes of a partial message arrived.
   std::optional<TimePoint> lastPartialBytesAt;
-  /// When our side was shut down; the client's may still be open.
+  /// The time at which the server shut down its sending side; the client's side may still be open.
   std::optional<TimePoint> shutdownAt;
-  /// The client has shut down its side, and may still read responses.
+  /// Whether the client has shut down its sending side. It may still read responses.
   bool isHalfClosed = false;
-  /// Whether a whole message has come from the client.
+  /// Whether the client has sent a complete message.
   bool hasSentMessage = false;
-  /// Its open requests are answered; nothing more is read.
+  /// Whether the client has violated the protocol. Its open requests are answered, but no more input is read.
   bool hasViolatedProtocol = false;
-  /// Its place in the list of those that were used longest ago.
+  /// The position of the connection in its list of least recently used connections.
   std::list<ConnectionId>::iterator leastRecentlyUsedPosition;
 
-  /// Whether no request is open on it and no response waits to be sent.
+  /// Returns whether no request is open and no output waits to be sent.
   [[nodiscard]] bool isIdle() const;
-  /// Whether so much output waits that it is not read until the client has read some of it.
+  /// Returns whether so much output waits to be sent that reading is paused until the client has read some of
+  /// it.
   [[nodiscard]] bool hasFullBacklog() const;
 };
 
-/// Owns the connections, and decides which is asked to close, closed, or evicted. Used on the reactor's
-/// thread only.
+/// Owns the client connections and decides which of them are asked to close, closed or evicted. Must be used
+/// on the reactor's thread only.
 class ClientConnections {
  public:
-  /// Is told of every connection that ends, for whatever reason.
+  /// Receives a notification of every connection that ends, whatever the reason.
   struct Listener {
     virtual ~Listener() = default;
-    /// The connection is closed and no longer among the others.
+    /// Called after the connection was closed and removed.
     virtual void onConnectionRemoved(const ClientConnection& client) = 0;
   };
 
-  /// What all connections together may use.
+  /// The limits of all connections together.
   struct Limits {
-    /// Open at once.
+    /// The number of connections that may be open at the same time.
     std::size_t connections = 0;
-    /// Bytes that wait to be sent, over all connections.
+    /// The number of bytes that may wait to be sent, over all connections.
     std::size_t pendingOutputBytes = 0;
   };
 
-  /// No message may take much longer to arrive than `longestClientTimeout`, since nobody waits for it any
-  /// more; none where no handler is known. The log and the listener must outlive the connections.
+  /// A message may take only slightly longer than `longestClientTimeout` to arrive, because after that time
+  /// its client no longer waits for a response; none if no handler is known. The log and the listener must
+  /// outlive this object.
   ClientConnections(logging::Log& log, Listener& listener, Limits limits,
                     std::optional<Duration> longestClientTimeout);
 
-  /// Adds a connection that was just accepted; its id must be new.
+  /// Adds a newly accepted connection, whose id must not have been used before.
   void add(ConnectionId id, std::shared_ptr<net::Connection> connection);
-  /// @return null where the connection has ended.
+  /// @return the connection, or null if it has ended.
   [[nodiscard]] ClientConnection* find(ConnectionId id);
-  /// @throws std::out_of_range where the connection has ended.
+  /// @return the connection.
+  /// @throws std::out_of_range if the connection has ended.
   [[nodiscard]] ClientConnection& at(ConnectionId id) { return connections_.at(id); }
-  /// How many are open.
+  /// @return the number of open connections.
   [[nodiscard]] std::size_t size() const { return connections_.size(); }
-  /// Whether no more may be added.
+  /// @return whether the limit of connections is reached.
   [[nodiscard]] bool isFull() const { return connections_.size() >= limits_.connections; }
-  /// Whether evictIdle() may find one.
+  /// @return whether a connection is idle, so that evictIdle() may succeed.
   [[nodiscard]] bool hasIdle() const;
 
-  /// A message came, or a response was given.
+  /// Records that a message was received or a response was sent.
   void markUsed(ClientConnection& client);
-  /// The client has shut down its side. It may still read responses, so only an idle connection ends by it.
+  /// Records that the client has shut down its sending side. An idle connection is closed; on any other the
+  /// client may still read responses.
   void onHalfClosed(ConnectionId id);
-  /// Reads on where reading was paused for a backlog that has been sent since.
+  /// Resumes reading if it was paused because of a full backlog and the backlog has been sent.
   void resumeReading(ConnectionId id);
-  /// Closes the connection and tells the listener; does nothing where it has ended already.
+  /// Closes the connection and notifies the listener. Does nothing if the connection has ended.
   void remove(ConnectionId id);
 
-  /// Closes the idle connection that was used longest ago, first among those that never sent a message.
-  /// @return false where none is idle.
+  /// Closes the least recently used idle connection. Connections that never sent a message are evicted before
+  /// all others.
+  /// @return false if no connection is idle.
   bool evictIdle();
-  /// From now on every client is asked to close its connection once it has its responses.
+  /// Asks every client, including those that connect later, to close its connection after its last response.
   void startDraining();
-  /// Closes idle connections without waiting for the clients to do it.
+  /// Closes idle connections without waiting for the clients to close them.
   void closeIdle();
-  /// None: idle connections stay open.
+  /// Sets how long a connection may be idle; without a timeout, idle connections stay open.
   void setIdleTimeout(std::optional<Duration> timeout) { idleTimeout_ = timeout; }
-  /// To be called every `sweepInterval`: closes what is overdue, asks idle clients to close, bounds the
-  /// output and resumes paused connections.
+  /// Closes overdue connections, asks idle clients to close, enforces the output limit and resumes paused
+  /// connections. Must be called every `sweepInterval`.
   void sweep();
   /// The time between two calls of sweep().
   static constexpr Duration sweepInterval = std::chrono::milliseconds(100);
 
-  /// How many connections were looked at so far by evictIdle().
+  /// @return how many connections evictIdle() has visited so far.
   [[nodiscard]] std::uint64_t entriesScanned() const { return entriesScanned_; }
 
  private:
@@ -133,7 +140,8 @@
   const Limits limits_;
   const Duration maxMessageDuration_;
   std::map<ConnectionId, ClientConnection> connections_;
-  /// Least recently used first; each connection is in one of the two.
+  /// The connections in order of their last use, least recent first. Each connection is in one of the two
+  /// lists.
   LeastRecentlyUsedList neverUsed_, used_;
   bool isDraining_ = false;
   std::optional<Duration> idleTimeout_;
--- a/src/peers/downstream_client.cpp
+++ b/src/peers/downstream_client.cpp
@@ -11,11 +11,11 @@
 
 using namespace std::chrono_literals;
 
-/// The service's names.
+/// The names in the protocol of the downstream service.
 constexpr std::string_view callPath = "/rpc/call";
 constexpr std::string_view requestNameHeader = "Parent-Call";
 constexpr std::string_view deadlineHeader = "Deadline-Ms";
-/// "1" where the service did not begin the call.
+/// Has the value "1" if the service did not start the call.
 constexpr const char* notExecutedHeader = "turned-away";
 
 constexpr int statusOk = 200;
@@ -60,8 +60,9 @@
   call.startedAt = net::Reactor::Clock::now();
   const bool isFull = openCalls() > maxOpenCalls_;
   if (isFull)
-    log_.message(logging::LogCategory::downstream, "all {} downstream connections in use: call not made",
-                 maxOpenCalls_);
+    log_.message(logging::LogCategory::downstream,
+                 "downstream call of request {} not made: all {} downstream connections are in use",
+                 requestName, maxOpenCalls_);
   if (!address_ || isFull) {
     call.timeoutTimer = reactor_.after(0s, [this, id] { finish(id, Outcome::unreachable, {}); });
     return;
@@ -97,14 +98,15 @@
 void DownstreamClient::onConnectionClosed(RequestId id, net::CloseReason reason, const std::string& detail) {
   const auto it = calls_.find(id);
   if (it == calls_.end()) return;
-  // A call of which nothing was sent has surely not been executed; any other loss proves nothing.
+  // If nothing was sent, the service cannot have executed the call. In all other cases it may have.
   const bool wasNeverSent = reason == net::CloseReason::unreachable || !it->second.connection->hasSentData();
-  log_.message(logging::LogCategory::downstream, "downstream call {}: {}",
-               wasNeverSent ? "found the service unreachable" : "lost its connection", detail);
+  log_.message(logging::LogCategory::downstream, "downstream call failed, {}: {}",
+               wasNeverSent ? "service unreachable" : "connection lost", detail);
   finish(id, wasNeverSent ? Outcome::unreachable : Outcome::connectionLost, {});
 }
 
-// A reply that came in time may lie unread, after a pause of the machine or in a long iteration of the loop.
+// Reads once more before the call times out: a reply that arrived in time may be unread because the machine
+// was paused or the current iteration of the event loop is long.
 void DownstreamClient::onTimeout(RequestId id) {
   const auto connection = calls_.at(id).connection;
   connection->readNow();
--- a/src/peers/downstream_client.h
+++ b/src/peers/downstream_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// Calls of the downstream service over HTTP.
+/// Calls the downstream service over HTTP.
 #pragma once
 
 #include <cstddef>
@@ -16,38 +16,39 @@
 
 namespace rainhook::peers {
 
-/// Makes each call on a connection of its own, which is closed with it. A kept connection may bring late
-/// bytes of the previous reply, or may have been forgotten by the peer while idle, which can't be told from a
-/// call that was executed; a new one can't. Used on the reactor's thread only; the reactor, the pool, the log
-/// and the listener must outlive it.
+/// Opens a separate connection for each call and closes it when the call ends. On a reused connection, late
+/// bytes of the previous reply may arrive, or the peer may have dropped the connection while it was idle; the
+/// latter cannot be distinguished from a call that was executed. Neither can happen on a new connection. Must
+/// be used on the reactor's thread only. The reactor, the pool, the log and the listener must outlive this
+/// object.
 class DownstreamClient {
  public:
-  /// Is told how calls end.
+  /// Receives the outcomes of calls.
   struct Listener {
     virtual ~Listener() = default;
-    /// The call has ended, `duration` after it began; `reply` is empty where the service did not answer.
+    /// Called when a call has ended, `duration` after its start. `reply` is empty if the service sent none.
     virtual void onDownstreamCallEnded(RequestId id, Outcome outcome, Duration duration,
                                        std::string&& reply) = 0;
   };
 
-  /// Without an address, where there is no downstream service, every call is unreachable; so are calls beyond
-  /// `maxOpenCalls`.
+  /// If there is no address, because the deployment has no downstream service, every call ends with the
+  /// outcome `unreachable`. So does every call beyond `maxOpenCalls`.
   DownstreamClient(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log, Listener& listener,
                    std::optional<net::Connection::Address> address, std::size_t maxOpenCalls);
 
-  /// Begins a call; its end comes to the listener, never from within this function. Cancels the request's
-  /// previous call.
+  /// Starts a call after cancelling the previous call of the request. The listener receives the outcome
+  /// later, never during this function.
   void call(RequestId id, const std::string& requestName, Duration timeout, std::string_view body);
-  /// The call, if there is one, ends without the listener being told.
+  /// Ends the open call of the request, if any, without notifying the listener.
   void cancel(RequestId id);
-  /// Calls from now on go there; open ones end where they are.
+  /// Sets the address for subsequent calls. Open calls keep their connections.
   void setAddress(std::optional<net::Connection::Address> address) { address_ = std::move(address); }
-  /// How many calls have not ended.
+  /// Returns the number of open calls.
   std::size_t openCalls() const { return calls_.size(); }
 
  private:
   struct Call {
-    /// Null where the call could not be made.
+    /// The connection, or null if the call could not be made.
     std::shared_ptr<net::Connection> connection;
     net::Reactor::Clock::time_point startedAt;
     net::Reactor::Timer timeoutTimer;
@@ -65,7 +66,7 @@
   Listener& listener_;
   std::optional<net::Connection::Address> address_;
   const std::size_t maxOpenCalls_;
-  /// A call leaves when it ends or is cancelled.
+  /// The open calls. A call is removed when it ends or is cancelled.
   std::map<RequestId, Call> calls_;
 };
 
--- a/src/peers/execution_engine_client.cpp
+++ b/src/peers/execution_engine_client.cpp
@@ -1,5 +1,7 @@
 #include "peers/execution_engine_client.h"
 
+#include <fmt/format.h>
+
 #include <utility>
 
 #include "codec/json_lines.h"
@@ -11,15 +13,20 @@
 using namespace std::chrono_literals;
 
 constexpr net::Reactor::Wait reconnectDelay = 50ms;
-/// How long the handshake, or any message after a gauge request, is waited for.
+/// How long the client waits for the handshake, or for any message after a gauge request, before it
+/// reconnects.
 constexpr net::Reactor::Wait responseTimeout = 3s;
-/// How long a gauge request may be open while the engine still counts as responsive.
-constexpr net::Reactor::Wait responsiveWithin = 1s;
-/// Output that may wait before further commands are held back.
+/// How long a gauge request may be unanswered while the engine still counts as responsive.
+constexpr net::Reactor::Wait responsiveTimeout = 1s;
+/// The amount of pending output above which commands are not sent.
 constexpr std::size_t maxPendingBytes = 1 << 20;
-/// How much of an unknown message's kind goes into the log.
+/// The maximum length of an unknown message's kind in the log.
 constexpr std::size_t loggedKindLength = 40;
 
+std::int64_t milliseconds(net::Reactor::Wait wait) {
+  return std::chrono::duration_cast<std::chrono::milliseconds>(wait).count();
+}
+
 }  // namespace
 
 ExecutionEngineClient::ExecutionEngineClient(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log,
@@ -32,10 +39,11 @@
   callbacks.onClosed = [this](net::CloseReason, const std::string& detail) { onConnectionLost(detail); };
   isHandshakeDone_ = false;
   unansweredSince_.reset();
-  // A connection that nobody serves any more at its other end never gets a handshake; the next one replaces
-  // it.
+  // A connection whose other end is no longer served never receives a handshake, so it is replaced by a new
+  // one.
   handshakeTimer_ = reactor_.after(responseTimeout, [this] {
-    if (holdsAfterReading([this] { return !isHandshakeDone_; })) reconnect("no handshake");
+    if (isTrueAfterReading([this] { return !isHandshakeDone_; }))
+      reconnect(fmt::format("no handshake within {} ms", milliseconds(responseTimeout)));
   });
   connection_ = net::Connection::connectTo(address_, reactor_, pool_, std::move(callbacks));
   connection_->write(encodeSubscription(lastNotification_));
@@ -56,7 +64,8 @@
 void ExecutionEngineClient::onConnectionLost(const std::string& detail) {
   handshakeTimer_.cancel();
   if (!std::exchange(isLossLogged_, true))
-    log_.message(logging::LogCategory::engine, "connection to the execution engine lost: {}", detail);
+    log_.message(logging::LogCategory::engine, "connection to the execution engine lost: {}; reconnecting",
+                 detail);
   isHandshakeDone_ = false;
   connection_.reset();
   reconnectTimer_ = reactor_.after(reconnectDelay, [this] { connect(); });
@@ -86,7 +95,9 @@
   const auto isOverdue = [&] {
     return isHandshakeDone_ && unansweredSince_ && now - *unansweredSince_ > responseTimeout;
   };
-  if (isOverdue() && holdsAfterReading(isOverdue)) return reconnect("gauge requests are not answered");
+  if (isOverdue() && isTrueAfterReading(isOverdue))
+    return reconnect(
+        fmt::format("no response to gauge requests within {} ms", milliseconds(responseTimeout)));
   lastGaugeRequest_ = requestId;
   lastGaugeRequestAt_ = now;
   if (!unansweredSince_) unansweredSince_ = now;
@@ -95,24 +106,26 @@
 
 bool ExecutionEngineClient::isResponsive() const {
   const bool isOverdue =
-      unansweredSince_ && net::Reactor::Clock::now() - *unansweredSince_ > responsiveWithin;
+      unansweredSince_ && net::Reactor::Clock::now() - *unansweredSince_ > responsiveTimeout;
   return isHandshakeDone_ && !isOverdue;
 }
 
-// What came in time may lie unread after the machine was paused: it is read before the connection is judged.
-bool ExecutionEngineClient::holdsAfterReading(const std::function<bool()>& condition) {
+// Reads all available input before it evaluates the condition, because messages that arrived in time may be
+// unread after the machine was paused. Returns false if the connection was replaced meanwhile.
+bool ExecutionEngineClient::isTrueAfterReading(const std::function<bool()>& condition) {
   const auto connection = connection_;
   connection->readNow();
   return connection == connection_ && condition();
 }
 
-/// @return false where the notification had been taken already.
+/// @return false if the notification has been processed before.
 bool ExecutionEngineClient::acknowledge(NotificationNumber number) {
-  if (!number) throw codec::ProtocolError("a notification without its number");
+  if (!number) throw codec::ProtocolError("notification of the execution engine without a valid number");
   if (*number <= lastNotification_) return false;
   if (*number > lastNotification_ + 1)
-    log_.message(logging::LogCategory::engine, "notifications {} to {} of the execution engine are missing",
-                 lastNotification_ + 1, *number - 1);
+    log_.message(logging::LogCategory::engine,
+                 "notifications {} to {} of the execution engine were not received; continuing with {}",
+                 lastNotification_ + 1, *number - 1, *number);
   lastNotification_ = *number;
   return true;
 }
@@ -132,16 +145,17 @@
   handshakeTimer_.cancel();
   isLossLogged_ = false;
   connectedAt_ = net::Reactor::Clock::now();
-  log_.message(logging::LogCategory::engine, "connected to the execution engine; it was {} when it started",
-               message.startState);
+  log_.message(logging::LogCategory::engine,
+               "connected to the execution engine, whose state at its start was {}", message.startState);
   listener_.onEngineConnected(message.wasColdStart, message.sinceStart);
   send(encodeCatchUpRequest());
 }
 
 void ExecutionEngineClient::handle(EngineExecutionEnded& message) {
   if (message.unknownOutcome)
-    log_.message(logging::LogCategory::engine, "execution ended with an unknown outcome: {}",
-                 *message.unknownOutcome);
+    log_.message(logging::LogCategory::engine,
+                 "execution of request {} ended with the unknown outcome {}; treated as failed",
+                 message.requestName, *message.unknownOutcome);
   if (acknowledge(message.number))
     listener_.onExecutionEnded(message.requestName, message.outcome, message.duration,
                                std::move(message.result));
@@ -167,13 +181,13 @@
 }
 
 void ExecutionEngineClient::handle(const EngineCommandRejected& message) {
-  log_.message(logging::LogCategory::engine, "execution engine rejected {} for {}", message.command,
-               message.requestName);
+  log_.message(logging::LogCategory::engine, "execution engine rejected command {} for request {}",
+               message.command, message.requestName);
   listener_.onCommandRejected(message.requestName, message.kind);
 }
 
 void ExecutionEngineClient::handle(const EngineUnknownMessage& message) {
-  log_.message(logging::LogCategory::engine, "unknown message from the execution engine: {}",
+  log_.message(logging::LogCategory::engine, "message of unknown kind {} from the execution engine ignored",
                message.kind.substr(0, loggedKindLength));
   if (message.isNotification) acknowledge(message.number);
 }
--- a/src/peers/execution_engine_client.h
+++ b/src/peers/execution_engine_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// The connection to the execution engine, the agent that owns the cores and executes requests.
+/// The connection to the execution engine, the process that owns the cores and executes requests.
 #pragma once
 
 #include <cstdint>
@@ -18,63 +18,65 @@
 
 namespace rainhook::peers {
 
-/// Sends commands to the engine and takes its notifications, each once, by their numbers. The connection is
-/// made again whenever it breaks. Used on the reactor's thread only; the reactor, the pool, the log and the
-/// listener must outlive it.
+/// Sends commands to the engine and processes its notifications, each of them once, identified by their
+/// numbers. Reconnects whenever the connection is lost. Must be used on the reactor's thread only. The
+/// reactor, the pool, the log and the listener must outlive this object.
 class ExecutionEngineClient {
  public:
-  /// Is told what the engine says.
+  /// Receives the messages of the engine.
   struct Listener {
     virtual ~Listener() = default;
-    /// After each handshake: the engine started `sinceStart` ago, with cold caches or not.
+    /// Called after each handshake. The engine started `sinceStart` ago; `isColdStart` states whether its
+    /// caches were cold then.
     virtual void onEngineConnected(bool isColdStart, Duration sinceStart) = 0;
-    /// After each onEngineConnected(): every notification that had been missed has been taken.
+    /// Called after each onEngineConnected(), when all missed notifications have been processed.
     virtual void onNotificationsCaughtUp() = 0;
-    /// An execution has ended; `duration` is the engine's own measure.
+    /// Called when an execution has ended. The engine measured `duration`.
     virtual void onExecutionEnded(const std::string& name, Outcome outcome, Duration duration,
                                   std::string&& result) = 0;
-    /// An execution waits for the reply to a downstream call; `notification` is the number to give to
-    /// continueWithoutReply().
+    /// Called when an execution waits for the reply to a downstream call. `notification` is the number to
+    /// pass to continueWithoutReply().
     virtual void onDownstreamCallRequested(const std::string& name, std::uint64_t notification,
                                            std::string&& body) = 0;
-    /// The answer to requestGauges() of the same id; the values are in the order that the settings state.
+    /// Called with the response to the requestGauges() call of the same id. The values are in the order of
+    /// the gauges in the settings.
     virtual void onGauges(std::uint64_t requestId, const std::vector<double>& values) = 0;
-    /// A command for this request was not carried out: the engine knows no such request, or does not allow
-    /// it.
+    /// Called when the engine did not execute a command, because it does not know the request or does not
+    /// allow the command.
     virtual void onCommandRejected(const std::string& name, EngineCommandKind command) = 0;
   };
 
-  /// Does not connect yet.
+  /// Does not connect; see connect().
   ExecutionEngineClient(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log, Listener& listener,
                         const net::Connection::Address& address);
 
-  /// Begins to connect; to be called once.
+  /// Starts to connect. Must be called once.
   void connect();
-  /// The engine is reached there from now on; its executions and notifications go on.
+  /// Changes the address of the engine and reconnects if it differs. Executions and notifications continue.
   void setAddress(const net::Connection::Address& address);
 
   /// @name Commands
-  /// They return false where there is no connection to send them on; whoever gave them gives them again after
-  /// onNotificationsCaughtUp() where they still hold.
+  /// Each returns false if it could not be sent because there is no connection or too much output is pending.
+  /// The caller sends it again after onNotificationsCaughtUp() if it is still needed.
   /// @{
 
-  /// The engine executes the request with the body as input.
+  /// Makes the engine execute the request with the body as input.
   [[nodiscard]] bool startExecution(const std::string& name, const std::string& handler,
                                     std::string_view body);
   /// Continues an execution that waits for this reply.
   [[nodiscard]] bool deliverReply(const std::string& name, std::string_view reply);
-  /// Continues an execution without the reply that it asked for by this notification.
+  /// Continues an execution without the reply that it requested by the notification of this number.
   [[nodiscard]] bool continueWithoutReply(const std::string& name, std::uint64_t notification);
 
   /// @}
 
-  /// The answer comes by Listener::onGauges(), or never.
+  /// Requests the engine's gauges. Listener::onGauges() receives the response, if one arrives.
   void requestGauges(std::uint64_t requestId);
-  /// Whether the handshake is done and no gauge request has gone unanswered for a second: an engine that
-  /// hangs keeps its connection.
+  /// Returns whether the handshake is done and no gauge request has been unanswered for more than a second.
+  /// The state of the connection is not sufficient, because an engine that hangs keeps its connection.
   [[nodiscard]] bool isResponsive() const;
-  /// Whether what was sent at that time may never have been read: it went to a connection that is gone, and
-  /// no gauge request made later has been answered.
+  /// Returns whether the engine may not have read a message that was sent at that time: the connection has
+  /// been lost since, and no gauge request that was sent after the message has been answered.
   [[nodiscard]] bool mayBeLost(net::Reactor::Clock::time_point sentAt) const {
     return sentAt < connectedAt_ && sentAt >= readByEngineUntil_;
   }
@@ -93,7 +95,7 @@
   bool send(std::string_view message);
   void onConnectionLost(const std::string& detail);
   void reconnect(const std::string& reason);
-  bool holdsAfterReading(const std::function<bool()>& condition);
+  bool isTrueAfterReading(const std::function<bool()>& condition);
 
   net::Reactor& reactor_;
   net::BufferPool& pool_;
@@ -107,10 +109,11 @@
   std::uint64_t lastNotification_ = 0;
   std::uint64_t lastGaugeRequest_ = 0;
   net::Reactor::Clock::time_point lastGaugeRequestAt_{};
-  /// What was sent before this time has been read by the engine.
+  /// The engine has read all messages that were sent before this time.
   net::Reactor::Clock::time_point readByEngineUntil_{};
   net::Reactor::Clock::time_point connectedAt_{};
-  /// When the first gauge request was made after the engine last sent anything.
+  /// The time of the first gauge request after the last message from the engine; none if there was no such
+  /// request.
   std::optional<net::Reactor::Clock::time_point> unansweredSince_;
   net::Reactor::Timer reconnectTimer_;
   net::Reactor::Timer handshakeTimer_;
--- a/src/peers/execution_engine_protocol.cpp
+++ b/src/peers/execution_engine_protocol.cpp
@@ -15,11 +15,11 @@
 using codec::jsonLines::writeLine;
 using nlohmann::json;
 
-/// Members of the messages.
+/// Names of the message members.
 constexpr const char* kindMember = "msg";
 constexpr const char* requestNameMember = "call";
 constexpr const char* numberMember = "serial";
-constexpr const char* wordMember = "how";
+constexpr const char* statusMember = "how";
 constexpr const char* durationMember = "duration";
 constexpr const char* payloadMember = "blob";
 constexpr const char* gaugeRequestMember = "cookie";
@@ -31,10 +31,10 @@
 constexpr std::string_view deliverReplyKind = "deliver";
 constexpr std::string_view continueWithoutReplyKind = "forgo";
 
-/// Distinguishes the gauge request that marks the end of catching up.
+/// The id of the gauge request whose response marks the end of the missed notifications.
 constexpr std::string_view catchUpId = "catch-up";
 
-/// Keeps the conversion to nanoseconds within 64 bits: some thirty years.
+/// An upper bound of about thirty years, which keeps the conversion to nanoseconds within 64 bits.
 constexpr double maxDurationMs = 1e12;
 
 std::string textOf(const json& line, const char* name) {
@@ -63,44 +63,44 @@
   return it->get<std::uint64_t>();
 }
 
-std::optional<Outcome> outcomeOf(std::string_view word) {
-  if (word == "ok") return Outcome::completed;
-  if (word == "halted") return Outcome::cancelled;
-  if (word == "void") return Outcome::superseded;
-  if (word == "failed") return Outcome::failed;
+std::optional<Outcome> outcomeOf(std::string_view status) {
+  if (status == "ok") return Outcome::completed;
+  if (status == "halted") return Outcome::cancelled;
+  if (status == "void") return Outcome::superseded;
+  if (status == "failed") return Outcome::failed;
   return std::nullopt;
 }
 
-EngineCommandKind commandOf(std::string_view word) {
-  if (word == startExecutionKind) return EngineCommandKind::startExecution;
-  if (word == deliverReplyKind) return EngineCommandKind::deliverReply;
-  if (word == continueWithoutReplyKind) return EngineCommandKind::continueWithoutReply;
+EngineCommandKind commandKindOf(std::string_view command) {
+  if (command == startExecutionKind) return EngineCommandKind::startExecution;
+  if (command == deliverReplyKind) return EngineCommandKind::deliverReply;
+  if (command == continueWithoutReplyKind) return EngineCommandKind::continueWithoutReply;
   return EngineCommandKind::unknown;
 }
 
 EngineExecutionEnded decodeExecutionEnded(const json& line) {
-  EngineExecutionEnded out;
-  out.number = numberOf(line);
-  out.requestName = textOf(line, requestNameMember);
-  out.duration = durationOf(line);
-  const std::string word = textOf(line, wordMember);
-  const auto outcome = outcomeOf(word);
-  if (!outcome) out.unknownOutcome = word;
-  out.outcome = outcome.value_or(Outcome::failed);
+  EngineExecutionEnded message;
+  message.number = numberOf(line);
+  message.requestName = textOf(line, requestNameMember);
+  message.duration = durationOf(line);
+  const std::string status = textOf(line, statusMember);
+  const auto outcome = outcomeOf(status);
+  if (!outcome) message.unknownOutcome = status;
+  message.outcome = outcome.value_or(Outcome::failed);
   auto result = payloadOf(line);
-  if (!result && out.outcome == Outcome::completed) out.outcome = Outcome::failed;
-  out.result = std::move(result).value_or("");
-  return out;
+  if (!result && message.outcome == Outcome::completed) message.outcome = Outcome::failed;
+  message.result = std::move(result).value_or("");
+  return message;
 }
 
 EngineMessage decodeGauges(const json& line) {
   const std::string id = textOf(line, gaugeRequestMember);
   if (id == catchUpId) return EngineCaughtUp{};
-  EngineGauges out;
-  std::from_chars(id.data(), id.data() + id.size(), out.requestId);
+  EngineGauges gauges;
+  std::from_chars(id.data(), id.data() + id.size(), gauges.requestId);
   if (const auto values = line.find(gaugesMember); values != line.end() && values->is_array())
-    for (const auto& value : *values) out.values.push_back(value.is_number() ? value.get<double>() : 0);
-  return out;
+    for (const auto& value : *values) gauges.values.push_back(value.is_number() ? value.get<double>() : 0);
+  return gauges;
 }
 
 }  // namespace
@@ -113,12 +113,12 @@
   if (kind == "aside") return EngineInformation{numberOf(line)};
   if (kind == "sampled") return decodeGauges(line);
   if (kind == "greeting") {
-    const std::string word = textOf(line, wordMember);
-    return EngineHandshake{word, word == "cold", durationOf(line)};
+    const std::string startState = textOf(line, statusMember);
+    return EngineHandshake{startState, startState == "cold", durationOf(line)};
   }
   if (kind == "refusal") {
-    const std::string word = textOf(line, wordMember);
-    return EngineCommandRejected{textOf(line, requestNameMember), commandOf(word), word};
+    const std::string command = textOf(line, statusMember);
+    return EngineCommandRejected{textOf(line, requestNameMember), commandKindOf(command), command};
   }
   return EngineUnknownMessage{kind, line.contains(numberMember), numberOf(line)};
 }
--- a/src/peers/execution_engine_protocol.h
+++ b/src/peers/execution_engine_protocol.h
@@ -1,6 +1,7 @@
 /// @file
-/// The execution engine's protocol: JSON lines to typed messages, typed commands to JSON lines. Pure; every
-/// name of that protocol is in execution_engine_protocol.cpp.
+/// The protocol of the execution engine: decodes JSON lines to typed messages and encodes commands as JSON
+/// lines. The functions have no side effects. execution_engine_protocol.cpp contains all names of the
+/// protocol.
 #pragma once
 
 #include <cstdint>
@@ -15,112 +16,112 @@
 
 namespace rainhook::peers {
 
-/// What the engine is told to do for a request.
+/// The kind of a command to the engine.
 enum class EngineCommandKind {
-  startExecution,        ///< Begin to execute the request.
-  deliverReply,          ///< Go on with the reply to its downstream call.
-  continueWithoutReply,  ///< Go on without that reply.
-  unknown,               ///< A command that is not ours.
+  startExecution,        ///< Start the execution of a request.
+  deliverReply,          ///< Continue with the reply to the downstream call of the request.
+  continueWithoutReply,  ///< Continue without that reply.
+  unknown,               ///< A command that this server does not send.
 };
 
-/// Notifications are numbered from 1 on and sent again on a new connection until a later number is
-/// acknowledged; none where the engine gave no valid number.
+/// The number of a notification, or none if the engine sent no valid number. Numbers start at 1. On a new
+/// connection the engine repeats all notifications after the last acknowledged number.
 using NotificationNumber = std::optional<std::uint64_t>;
 
 /// The first message on a connection.
 struct EngineHandshake {
-  /// The engine's own word for the state in which it started.
+  /// The state in which the engine started, in the engine's wording.
   std::string startState;
-  /// Whether its caches were cold then.
+  /// Whether its caches were cold at its start.
   bool wasColdStart = false;
-  /// How long ago the engine started.
+  /// The time since the engine started.
   Duration sinceStart{};
 };
 
-/// An execution came to its end.
+/// Reports the end of an execution.
 struct EngineExecutionEnded {
-  /// By which it is taken once.
+  /// Identifies the notification, so that it is processed only once.
   NotificationNumber number;
   /// IncomingRequest::name.
   std::string requestName;
-  /// How it ended.
+  /// The outcome of the execution.
   Outcome outcome = Outcome::failed;
-  /// The engine's word for an outcome that we do not know; it is taken for a failure.
+  /// The outcome in the engine's wording, if it is unknown to this server and therefore treated as a failure.
   std::optional<std::string> unknownOutcome;
-  /// How long it took, by the engine.
+  /// The duration of the execution as measured by the engine.
   Duration duration{};
-  /// What the client gets; empty where the execution did not complete.
+  /// The result for the client; empty if the execution did not complete.
   std::string result;
 };
 
-/// An execution waits for the reply to a downstream call.
+/// Reports that an execution waits for the reply to a downstream call.
 struct EngineDownstreamCallRequested {
-  /// By which it is taken once.
+  /// Identifies the notification, so that it is processed only once.
   NotificationNumber number;
   /// IncomingRequest::name.
   std::string requestName;
-  /// None where the engine sent no valid base64.
+  /// The body of the call, or none if the engine did not send valid base64.
   std::optional<std::string> body;
 };
 
-/// A notification that asks for nothing.
+/// A notification that requires no action.
 struct EngineInformation {
-  /// By which it is taken once.
+  /// Identifies the notification, so that it is processed only once.
   NotificationNumber number;
 };
 
-/// The answer to encodeCatchUpRequest(): all notifications that had been missed were sent before it.
+/// The response to encodeCatchUpRequest(). The engine sends it after all missed notifications.
 struct EngineCaughtUp {};
 
-/// The answer to encodeGaugeRequest().
+/// The response to encodeGaugeRequest().
 struct EngineGauges {
-  /// As given with the request; 0 where it is no number.
+  /// The id of the gauge request; 0 if it is not a number.
   std::uint64_t requestId = 0;
-  /// In the order that the settings state; 0 for what is no number.
+  /// The values in the order of the gauges in the settings; 0 for a value that is not a number.
   std::vector<double> values;
 };
 
-/// A command was not carried out.
+/// Reports that the engine did not execute a command.
 struct EngineCommandRejected {
   /// IncomingRequest::name.
   std::string requestName;
-  /// The command, where it is one of ours.
+  /// The kind of the command, if this server knows it.
   EngineCommandKind kind = EngineCommandKind::unknown;
-  /// The engine's own word for the command.
+  /// The command in the engine's wording.
   std::string command;
 };
 
-/// A message of a kind that we do not know.
+/// A message of a kind that is unknown to this server.
 struct EngineUnknownMessage {
-  /// The engine's own word.
+  /// The kind in the engine's wording.
   std::string kind;
-  /// Whether it has a number, valid or not.
+  /// Whether the message has a number, valid or not.
   bool isNotification = false;
-  /// By which it is taken once.
+  /// Identifies the notification, so that it is processed only once.
   NotificationNumber number;
 };
 
-/// All that the engine sends.
+/// Any message from the engine.
 using EngineMessage =
     std::variant<EngineHandshake, EngineExecutionEnded, EngineDownstreamCallRequested, EngineInformation,
                  EngineCaughtUp, EngineGauges, EngineCommandRejected, EngineUnknownMessage>;
 
-/// Decodes one line. Missing or ill-formed members get their defaults: a numbered notification that was
-/// thrown away would come again on each new connection, for ever.
+/// Decodes one line. Missing or malformed members get default values, because a numbered notification that
+/// was discarded would be sent again on each new connection indefinitely.
 [[nodiscard]] EngineMessage decodeEngineMessage(const nlohmann::json& line);
 
-/// Asks for all notifications after the given one.
+/// Requests all notifications after the given one.
 std::string encodeSubscription(std::uint64_t lastNotification);
-/// Starts the execution of a request, which the engine knows by its name from then on.
+/// Starts the execution of a request. Later messages identify the execution by the request's name.
 std::string encodeStartExecution(const std::string& requestName, const std::string& handler,
                                  std::string_view body);
 /// Continues an execution that waits for the reply to its downstream call.
 std::string encodeDeliverReply(const std::string& requestName, std::string_view reply);
-/// Continues an execution without the reply that it asked for by the notification of this number.
+/// Continues an execution without the reply that it requested by the notification of this number.
 std::string encodeContinueWithoutReply(const std::string& requestName, std::uint64_t notification);
-/// Asks for the gauges now; the answer carries the same id.
+/// Requests the current gauges; the response has the same id.
 std::string encodeGaugeRequest(std::uint64_t requestId);
-/// Asks to be told once all notifications so far were sent.
+/// Requests a response after all missed notifications have been sent.
 std::string encodeCatchUpRequest();
 
 }  // namespace rainhook::peers
--- a/src/peers/incoming_request.h
+++ b/src/peers/incoming_request.h
@@ -1,5 +1,5 @@
 /// @file
-/// A request as a client sent it, in the terms of the decision module.
+/// A request from a client, in the terms of the decision module.
 #pragma once
 
 #include <chrono>
@@ -14,10 +14,10 @@
 /// Identifies an accepted connection; never reused while the server runs.
 enum class ConnectionId : std::uint32_t {};
 
-/// Where the response to a request goes. It stays valid after the connection has closed; a response sent by
-/// it is then dropped.
+/// Identifies the destination of a response. It stays valid after the connection has closed; a response that
+/// is sent through it is then dropped.
 struct ResponseHandle {
-  /// The connection on which the request came.
+  /// The connection on which the request arrived.
   ConnectionId connection{};
   /// The number of the call on its connection, chosen by the client.
   std::int32_t sequenceNumber = 0;
@@ -25,33 +25,35 @@
 
 /// A request that has passed validation.
 struct IncomingRequest {
-  /// Where its response goes.
+  /// The destination of its response.
   ResponseHandle response;
-  /// By which the execution engine and the downstream service know the request: 16 hexadecimal digits.
+  /// The name by which the execution engine and the downstream service identify the request: 16 hexadecimal
+  /// digits.
   std::string name;
-  /// What it asks for.
+  /// The handler that the request calls.
   HandlerId handler{};
-  /// On whose account; the first tenant where the settings name none.
+  /// The tenant of the request; the first tenant if the settings contain none.
   TenantId tenant{};
-  /// Who sent it.
+  /// The client that sent it.
   ClientId client{};
-  /// What it reads; the default where it names nothing.
+  /// The resource that it reads; the default value if it names none.
   ResourceKey resourceKey{};
-  /// Empty where the client gave none.
+  /// The idempotency key; empty if the client sent none.
   std::string idempotencyKey;
   /// Priority within its handler, from 0 up to but excluding 1.
   double rank = 0;
   /// Memory that the request occupies while it is queued, in KiB.
   double queuedMemoryKb = 0;
-  /// The client's estimate of the core time; none where it gave none.
+  /// The client's estimate of the required core time; none if it sent none.
   std::optional<Duration> estimatedWork;
-  /// When the server read the request, by the wall clock.
+  /// The wall-clock time at which the server read the request.
   std::chrono::system_clock::time_point readAt{};
-  /// How long the request had been under way before it was read.
+  /// The time from the start of the request's transmission until it was read.
   Duration readDelay{};
-  /// What is left of the client's deadline; none where the settings say that clients do not send it.
+  /// The time that remains until the client's deadline; none if clients do not send it according to the
+  /// settings.
   std::optional<Duration> timeRemaining;
-  /// Input of the execution, 2 KiB at most.
+  /// The input of the execution, at most 2 KiB.
   std::string body;
 };
 
--- a/src/peers/registry_client.cpp
+++ b/src/peers/registry_client.cpp
@@ -1,5 +1,7 @@
 #include "peers/registry_client.h"
 
+#include <fmt/format.h>
+
 #include <utility>
 
 #include "codec/http.h"
@@ -10,17 +12,18 @@
 using namespace std::chrono_literals;
 
 constexpr net::Reactor::Wait reportInterval = 800ms;
-/// Between reports while the last one failed, or while an older one may still be read after the newest.
+/// The interval after a failed report, and while the registry may still read an older report after the newest
+/// one.
 constexpr net::Reactor::Wait retryInterval = 250ms;
 constexpr net::Reactor::Wait reportTimeout = 2500ms;
-/// A registry that takes connections and answers none must not use up the descriptors that are set aside. At
-/// the ordinary interval there are never more.
+/// A registry that accepts connections but never responds must not exhaust the reserved descriptors. At the
+/// regular interval, no more reports than this are open at the same time.
 constexpr std::size_t maxOpenReports = 5;
-/// The part of an interval that jitter may take off, as a divisor, and the number of steps in it.
+/// Jitter shortens an interval by at most the interval divided by `jitterDivisor`, in `jitterSteps` steps.
 constexpr int jitterDivisor = 4;
 constexpr std::uint32_t jitterSteps = 256;
 
-/// The registry's names.
+/// The names in the protocol of the registry.
 constexpr std::string_view reportPathPrefix = "/roster/";
 constexpr std::string_view inServiceBody = R"({"duty":"on"})";
 constexpr std::string_view outOfServiceBody = R"({"duty":"off"})";
@@ -39,15 +42,15 @@
       randomSource_(randomSeed) {}
 
 void RegistryClient::setInService(bool isInService) {
-  const bool isNews = std::exchange(isInService_, isInService) != isInService;
-  if (isNews || lastReportNumber_ == 0) restart();
+  const bool hasChanged = std::exchange(isInService_, isInService) != isInService;
+  if (hasChanged || lastReportNumber_ == 0) restart();
 }
 
 void RegistryClient::setAddress(const net::Connection::Address& address) {
   if (address != std::exchange(address_, address)) restart();
 }
 
-// News does not wait, and what was reported before it is not to arrive after it.
+// Reports a change immediately and closes the open reports, so that they do not arrive after it.
 void RegistryClient::restart() {
   for (auto& [number, report] : openReports_) report.connection->close();
   openReports_.clear();
@@ -57,20 +60,23 @@
 }
 
 void RegistryClient::sendReport() {
-  // A report whose connection was closed may have been read all the same, and count after the one that
-  // replaced it: for as long as that may be, the news is repeated soon.
+  // The registry may still process a report whose connection was closed, and may do so after the report that
+  // replaced it. While that is possible, the new state is repeated at the shorter interval.
   const bool isRecentChange =
       lastReportNumber_ > 0 && net::Reactor::Clock::now() - changedAt_ < reportTimeout;
   nextReportTimer_ =
       reactor_.after(jittered(isRecentChange ? retryInterval : reportInterval), [this] { sendReport(); });
-  if (openReports_.size() >= maxOpenReports) return;  // these say the same, and may still be answered
+  if (openReports_.size() >= maxOpenReports) return;  // the open reports contain the same state
   const auto number = ++lastReportNumber_;
   Report& report = openReports_[number];
   report.connection = net::Connection::connectTo(address_, reactor_, pool_, callbacksFor(number));
   report.connection->write(codec::http::encodeRequest(
       "PUT", std::string(reportPathPrefix) + codec::http::encodePathSegment(serverName_), address_.toString(),
       {}, isInService_ ? inServiceBody : outOfServiceBody));
-  report.timeoutTimer = reactor_.after(reportTimeout, [this, number] { finishReport(number, "no answer"); });
+  report.timeoutTimer = reactor_.after(reportTimeout, [this, number] {
+    const auto timeoutMs = std::chrono::duration_cast<std::chrono::milliseconds>(reportTimeout).count();
+    finishReport(number, fmt::format("no response within {} ms", timeoutMs));
+  });
 }
 
 net::ConnectionCallbacks RegistryClient::callbacksFor(std::uint64_t number) {
@@ -81,7 +87,7 @@
     if (response->status == acceptedStatus)
       finishReport(number, std::nullopt);
     else
-      finishReport(number, "status " + std::to_string(response->status));
+      finishReport(number, fmt::format("HTTP status {}, expected {}", response->status, acceptedStatus));
     return response->size;
   };
   callbacks.onClosed = [this, number](net::CloseReason, const std::string& detail) {
@@ -90,7 +96,7 @@
   return callbacks;
 }
 
-/// From three quarters of the wait to all of it.
+/// @return a random duration from three quarters of `wait` to all of it.
 net::Reactor::Wait RegistryClient::jittered(net::Reactor::Wait wait) {
   const auto steps = static_cast<net::Reactor::Wait::rep>(randomSource_(jitterSteps));
   return wait - wait / jitterDivisor * steps / jitterSteps;
@@ -102,13 +108,14 @@
   it->second.connection->close();
   openReports_.erase(it);
   if (failure && isReachable_)
-    log_.message(logging::LogCategory::registry, "registry did not accept a report: {}", *failure);
+    log_.message(logging::LogCategory::registry,
+                 "endpoint registry did not accept a report: {}; reporting continues", *failure);
   if (!failure && !isReachable_)
-    log_.message(logging::LogCategory::registry, "registry accepts reports again");
+    log_.message(logging::LogCategory::registry, "endpoint registry accepts reports again");
   isReachable_ = !failure;
   isAcknowledged_ = isAcknowledged_ || !failure;
-  // A failed report is repeated soon; one that was never answered may have been accepted, and the next is on
-  // its way.
+  // Repeats a failed report at the shorter interval if it is the newest. An older report that got no response
+  // may have been accepted, and a newer report has been sent already.
   if (failure && number == lastReportNumber_)
     nextReportTimer_ = reactor_.after(jittered(retryInterval), [this] { sendReport(); });
 }
--- a/src/peers/registry_client.h
+++ b/src/peers/registry_client.h
@@ -15,21 +15,22 @@
 
 namespace rainhook::peers {
 
-/// Reports periodically, and at once on a change. Each report has a connection of its own, so one that is
-/// answered late, or never, delays none of the next. Used on the reactor's thread only; the reactor, the pool
-/// and the log must outlive it.
+/// Sends reports periodically, and immediately after a change. Each report uses a separate connection, so
+/// that a late or missing response does not delay the next report. Must be used on the reactor's thread only.
+/// The reactor, the pool and the log must outlive this object.
 class RegistryClient {
  public:
-  /// The registry knows this server by `serverName`. `randomSeed` is for the jitter between reports, so that
-  /// servers that started together, or lost the registry together, do not report in step.
+  /// `serverName` identifies this server in the registry. `randomSeed` determines the jitter between reports,
+  /// so that servers that started or lost the registry at the same time do not report at the same time.
   RegistryClient(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log,
                  const net::Connection::Address& address, std::string serverName, std::uint64_t randomSeed);
 
-  /// Reported at once where it is news, and periodically from then on.
+  /// Sets the service state, reports it immediately if it changed or was never reported, and then reports it
+  /// periodically.
   void setInService(bool isInService);
-  /// Reported there at once, and from then on.
+  /// Sets the address of the registry. If it changed, reports to the new address immediately.
   void setAddress(const net::Connection::Address& address);
-  /// Whether the registry has accepted a report since the last change.
+  /// Returns whether the registry has accepted a report since the last change.
   [[nodiscard]] bool isAcknowledged() const { return isAcknowledged_; }
 
  private:
@@ -42,7 +43,7 @@
   void sendReport();
   net::ConnectionCallbacks callbacksFor(std::uint64_t number);
   net::Reactor::Wait jittered(net::Reactor::Wait wait);
-  /// @param failure why the report was not accepted; none where it was.
+  /// @param failure the reason why the report was not accepted; none if it was accepted.
   void finishReport(std::uint64_t number, const std::optional<std::string>& failure);
 
   net::Reactor& reactor_;
@@ -54,7 +55,7 @@
   /// Whether the last report that ended was accepted.
   bool isReachable_ = true;
   bool isAcknowledged_ = false;
-  /// By number. A report leaves when it is answered, fails or times out.
+  /// The open reports by number. A report is removed when it is answered, fails or times out.
   std::map<std::uint64_t, Report> openReports_;
   std::uint64_t lastReportNumber_ = 0;
   pcg32 randomSource_;
--- a/src/peers/request_decoder.cpp
+++ b/src/peers/request_decoder.cpp
@@ -22,15 +22,15 @@
 constexpr double maxQueuedMemoryKb = 2000;
 constexpr std::int64_t maxTimeRemainingMs = 24 * 60 * 60 * 1000;
 constexpr double maxEstimatedWorkMs = 24 * 60 * 60 * 1000;
-/// Still fits in 64 bits when counted in nanoseconds.
+/// Fits in 64 bits when converted to nanoseconds.
 constexpr std::int64_t maxArrivalTimeMs = 4'000'000'000'000;
-/// By how much the client's clock may be ahead of ours.
+/// How far the client's clock may be ahead of the server's clock.
 constexpr Duration maxClockSkew = 5s;
-/// How much of an unexpected method's name goes into the log.
+/// The maximum length of an unexpected method's name in the log.
 constexpr std::size_t loggedNameLength = 40;
 constexpr int hexadecimal = 16;
 
-/// The number that `text` holds from its first character to its last; none where it holds anything else.
+/// @return the number if all of `text` is a valid number, none otherwise.
 template <typename T>
 std::optional<T> parseNumber(std::string_view text, int base) {
   T value{};
@@ -47,13 +47,13 @@
 }
 
 CancelMessage decodeCancel(std::string_view body) {
-  CancelMessage out;
+  CancelMessage message;
   Reader(body).readStruct([&](std::int16_t id, Type type, Reader& in) {
     if (id != protocol::cancelSequenceNumber || type != Type::i32) return false;
-    out.sequenceNumber = in.i32();
+    message.sequenceNumber = in.i32();
     return true;
   });
-  return out;
+  return message;
 }
 
 }  // namespace
@@ -63,19 +63,20 @@
   if (message.kind == Kind::call && message.name == protocol::callMethod)
     return CallMessage{message.sequence, message.body};
   if (message.kind == Kind::call && message.name == protocol::healthMethod) {
-    // The client may ask for real work in the check, for which the engine's protocol has no command: both
-    // kinds get the same response, so the body is only checked for its form.
+    // A client may request a check that includes an execution, but the engine's protocol has no command for
+    // it. Both kinds of checks get the same response, so the body is only checked for its format.
     Reader(message.body).readStruct([](auto, auto, auto&) { return false; });
     return HealthCheckMessage{message.sequence};
   }
   if (message.kind == Kind::oneway && message.name == protocol::cancelMethod)
     return decodeCancel(message.body);
   if (message.kind != Kind::call)
-    throw codec::ProtocolError("an unexpected message: " + message.name.substr(0, loggedNameLength));
+    throw codec::ProtocolError("expected a call or a one-way cancel message, got another message named \"" +
+                               message.name.substr(0, loggedNameLength) + "\"");
   return UnknownMethodMessage{message.name, message.sequence};
 }
 
-/// The fields of one call, each read and checked once; the first fault is kept.
+/// Reads and checks the fields of one call, and records the first fault.
 class RequestDecoder::FieldReader {
  public:
   explicit FieldReader(const codec::thrift::Fields& fields) : fields_(fields) {}
@@ -85,7 +86,8 @@
     return it == fields_.end() ? std::string_view{} : it->second;
   }
 
-  /// A number from `min` to `max`, both included; `min` where the field is at fault.
+  /// @return the number in the field, from `min` to `max` inclusive; `min` if the field is missing or
+  /// invalid.
   template <typename T>
   T number(std::string_view name, T min, T max, int base = 10) {
     const auto value = parseNumber<T>(text(name), base);
@@ -94,7 +96,7 @@
     return min;
   }
 
-  /// The place of the field's text among `known`.
+  /// @return the index of the field's text in `known`; the size of `known` if the text is not in it.
   std::size_t indexIn(const std::vector<std::string>& known, std::string_view name) {
     const auto it = std::find(known.begin(), known.end(), text(name));
     if (it == known.end()) reject(name);
@@ -103,9 +105,9 @@
 
   void reject(std::string_view name) {
     if (fault_) return;
-    const bool isGiven = fields_.contains(std::string(name));
+    const bool isPresent = fields_.contains(std::string(name));
     fault_ = InvalidRequest{
-        isGiven ? InvalidRequest::Reason::fieldInvalid : InvalidRequest::Reason::fieldMissing, name};
+        isPresent ? InvalidRequest::Reason::fieldInvalid : InvalidRequest::Reason::fieldMissing, name};
   }
 
   const std::optional<InvalidRequest>& fault() const { return fault_; }
@@ -126,8 +128,8 @@
       ClientId{fields.number<std::uint64_t>(protocol::client, 0, std::numeric_limits<std::uint64_t>::max())};
 }
 
-// A request that nobody has waited for since long ago, or one from the future, would only mislead about the
-// load.
+// Rejects requests whose client stopped waiting long ago and requests from the future, because they would
+// distort the measured load.
 void RequestDecoder::decodeTiming(FieldReader& fields, std::chrono::system_clock::time_point now,
                                   std::chrono::milliseconds arrivalTime, IncomingRequest& request) const {
   const Duration clientTimeout =
@@ -145,10 +147,10 @@
 std::variant<IncomingRequest, InvalidRequest> RequestDecoder::decode(
     std::string_view body, std::chrono::system_clock::time_point now) const {
   IncomingRequest request;
-  codec::thrift::Fields given;
+  codec::thrift::Fields receivedFields;
   Reader(body).readStruct([&](std::int16_t id, Type type, Reader& in) {
     if (id == protocol::callFields && type == Type::map) {
-      given = in.fields();
+      receivedFields = in.fields();
       return true;
     }
     if (id == protocol::callBody && type == Type::text) {
@@ -157,7 +159,7 @@
     }
     return false;
   });
-  FieldReader fields(given);
+  FieldReader fields(receivedFields);
   decodeIdentity(fields, request);
   const std::chrono::milliseconds arrivalTime(
       fields.number<std::int64_t>(protocol::arrivalTime, 0, maxArrivalTimeMs));
@@ -172,7 +174,8 @@
   if (!fields.text(protocol::resourceKey).empty())
     request.resourceKey = ResourceKey{fields.number<std::uint64_t>(
         protocol::resourceKey, 0, std::numeric_limits<std::uint64_t>::max(), hexadecimal)};
-  // Sites with keyed handlers and load signals send these two; the protocol's own table leaves both out.
+  // Deployments with keyed handlers and load signals send the next two fields, which are not in the table of
+  // fields in the protocol's specification.
   request.idempotencyKey = fields.text(protocol::idempotencyKey);
   if (!fields.text(protocol::estimatedWork).empty())
     request.estimatedWork = Duration(std::chrono::microseconds(static_cast<std::int64_t>(
--- a/src/peers/request_decoder.h
+++ b/src/peers/request_decoder.h
@@ -1,5 +1,6 @@
 /// @file
-/// From the clients' messages to requests. Pure: bytes, rules and the time go in, values come out.
+/// Decodes the clients' messages into requests. The functions have no side effects: their results depend only
+/// on the bytes, the rules and the time that are passed in.
 #pragma once
 
 #include <chrono>
@@ -14,76 +15,76 @@
 
 namespace rainhook::peers {
 
-/// What the deployment settings say about requests.
+/// The rules of the deployment settings that requests are validated against.
 struct RequestRules {
-  /// In the order of their ids.
+  /// The names of the handlers in the order of their ids.
   std::vector<std::string> handlers;
-  /// In the order of their ids; where there are none, a request names none.
+  /// The names of the tenants in the order of their ids; if there are none, requests name no tenant.
   std::vector<std::string> tenants;
   /// How long a client waits for a response, by handler.
   std::vector<Duration> clientTimeouts;
-  /// Whether requests state how much of the client's deadline is left.
+  /// Whether requests state how much time remains until the client's deadline.
   bool clientsSendTimeRemaining = true;
 };
 
-/// A request whose client's deadline passed longer ago than this is invalid.
+/// A request is invalid if its client's deadline passed longer ago than this.
 inline constexpr Duration expiredRequestGrace = std::chrono::seconds(10);
 
-/// Why a request is not taken.
+/// Describes why a request is invalid.
 struct InvalidRequest {
-  /// What is wrong.
+  /// The kinds of faults.
   enum class Reason {
-    fieldMissing,         ///< A required field is not there.
-    fieldInvalid,         ///< A field holds what it must not.
+    fieldMissing,         ///< A required field is missing.
+    fieldInvalid,         ///< A field has an invalid value.
     bodyTooLarge,         ///< The body is longer than 2 KiB.
     tooManyOpenRequests,  ///< As many requests as the protocol allows are open on the connection.
   };
-  /// What is wrong.
+  /// The kind of fault.
   Reason reason{};
-  /// The field's name in the protocol, where the reason is about a field.
+  /// The name of the field in the protocol, if the reason concerns a field.
   std::string_view field;
 };
 
-/// A call to be admitted; its body is decoded by RequestDecoder.
+/// A call to be admitted. RequestDecoder decodes its body.
 struct CallMessage {
-  /// Chosen by the client.
+  /// The number that the client chose for the call.
   std::int32_t sequenceNumber = 0;
-  /// Points into the bytes that were decoded.
+  /// The encoded body, a view of the bytes that were passed to decodeClientMessage().
   std::string_view body;
 };
-/// The client asks whether the server is healthy.
+/// A request for the health of the server.
 struct HealthCheckMessage {
-  /// Chosen by the client.
+  /// The number that the client chose for the health check.
   std::int32_t sequenceNumber = 0;
 };
-/// The client no longer waits for the call of this number.
+/// Reports that the client no longer waits for the response to a call.
 struct CancelMessage {
-  /// That of the call.
+  /// The number of the call.
   std::int32_t sequenceNumber = 0;
 };
 /// A call of a method that the service does not have.
 struct UnknownMethodMessage {
-  /// As the client named it.
+  /// The name of the method in the message.
   std::string method;
-  /// Chosen by the client.
+  /// The number that the client chose for the call.
   std::int32_t sequenceNumber = 0;
 };
-/// All that a client may send.
+/// Any message that a client may send.
 using ClientMessage = std::variant<CallMessage, HealthCheckMessage, CancelMessage, UnknownMethodMessage>;
 
 /// Decodes the content of one frame.
-/// @throws codec::ProtocolError where it is no message that a client may send.
+/// @throws codec::ProtocolError if it is not a message that a client may send.
 [[nodiscard]] ClientMessage decodeClientMessage(std::string_view frameContent);
 
 /// Decodes and validates the body of a call.
 class RequestDecoder {
  public:
-  /// The rules hold for all calls.
+  /// Creates a decoder that applies the rules to all calls.
   explicit RequestDecoder(RequestRules rules) : rules_(std::move(rules)) {}
 
-  /// Decodes a call's body that was read at the wall-clock time `now`.
-  /// @return the request, but for its response handle, or the first thing that is wrong with it.
-  /// @throws codec::ProtocolError where the body can't be read at all.
+  /// Decodes the body of a call that was read at the wall-clock time `now`.
+  /// @return the request without its response handle, or the first fault that was found.
+  /// @throws codec::ProtocolError if the body is not a valid Thrift structure.
   [[nodiscard]] std::variant<IncomingRequest, InvalidRequest> decode(
       std::string_view body, std::chrono::system_clock::time_point now) const;
 
--- a/src/peers/request_listener.cpp
+++ b/src/peers/request_listener.cpp
@@ -16,7 +16,7 @@
 constexpr std::size_t maxOpenRequestsPerConnection = 32;
 constexpr int listenBacklog = 512;
 constexpr int maxAcceptsPerIteration = 64;
-/// Of the system's buffers for each direction of a connection.
+/// The size of the operating system's buffer for each direction of a connection.
 constexpr int socketBufferBytes = 64 * 1024;
 
 std::optional<Duration> longestClientTimeout(const RequestRules& rules) {
@@ -52,25 +52,29 @@
     reactor_.removeEventHandler(serverSocket_, acceptObserver_);
 }
 
-// Where descriptors run out an idle connection gives way, or accepting pauses until the next sweep.
+// When the descriptors are exhausted, evicts an idle connection. If none is idle, pauses accepting until a
+// connection ends or a sweep finds an idle one.
 void RequestListener::acceptPending() {
   try {
     for (int i = 0; i < maxAcceptsPerIteration; ++i) {
       if (!serverSocket_.poll(Poco::Timespan(0), Poco::Net::Socket::SELECT_READ)) return;
       if (connections_.isFull() && !connections_.evictIdle()) {
-        log_.message(logging::LogCategory::listener, "{} connections open, none idle: accepting is paused",
+        log_.message(logging::LogCategory::listener,
+                     "{} client connections are open and none is idle: accepting connections is paused",
                      connections_.size());
         return setAccepting(false);
       }
       openConnection(serverSocket_.acceptConnection());
     }
   } catch (const Poco::Exception& error) {
-    log_.message(logging::LogCategory::listener, "cannot accept a connection: {}", error.displayText());
+    log_.message(logging::LogCategory::listener, "accepting a client connection failed: {}",
+                 error.displayText());
     if (!connections_.evictIdle()) setAccepting(false);
   }
 }
 
-// The socket is set up before the connection is added: where the system refuses the set-up, nothing stays.
+// Configures the socket before it adds the connection, so that nothing remains if the operating system
+// rejects the configuration.
 void RequestListener::openConnection(Poco::Net::StreamSocket socket) {
   const ConnectionId id{++lastConnectionId_};
   socket.setSendBufferSize(socketBufferBytes);
@@ -92,7 +96,7 @@
 void RequestListener::onConnectionClosed(ConnectionId id, net::CloseReason reason,
                                          const std::string& detail) {
   if (reason == net::CloseReason::protocolError && connections_.find(id))
-    log_.message(logging::LogCategory::listener, "connection closed: {}", detail);
+    log_.message(logging::LogCategory::listener, "client connection closed: {}", detail);
   connections_.remove(id);
 }
 
@@ -124,8 +128,10 @@
   try {
     return handleFrame(id, bytes);
   } catch (const codec::ProtocolError& error) {
-    // Requests that came whole before it are still answered; the rest of what the client sends is discarded.
-    log_.message(logging::LogCategory::listener, "connection closed: {}", error.what());
+    // Complete requests before the invalid message are still answered; all further input is discarded.
+    log_.message(logging::LogCategory::listener,
+                 "invalid message from a client: {}; closing its connection after its open requests",
+                 error.what());
     ClientConnection& client = connections_.at(id);
     client.hasViolatedProtocol = true;
     client.partialMessageSince.reset();
@@ -136,7 +142,7 @@
 
 std::size_t RequestListener::handleFrame(ConnectionId id, std::string_view bytes) {
   ClientConnection& client = connections_.at(id);
-  // A client that does not read its responses is not read until it does.
+  // Pauses reading from a client that does not read its responses.
   if (client.hasFullBacklog()) {
     client.connection->pauseReading();
     return 0;
@@ -161,7 +167,7 @@
 void RequestListener::handle(ConnectionId id, const CancelMessage& message) {
   auto& openRequests = connections_.at(id).openRequests;
   const auto it = openRequests.find(message.sequenceNumber);
-  if (it == openRequests.end()) return;  // answered already, or never sent
+  if (it == openRequests.end()) return;  // the request was answered or never sent
   const RequestId request = it->second;
   openRequests.erase(it);
   listener_.onClientDisconnected(request);
@@ -173,10 +179,12 @@
 
 void RequestListener::handle(ConnectionId id, const CallMessage& message) {
   ClientConnection& client = connections_.at(id);
-  // Any response under this number would be taken for the open request's, so the connection ends without one:
-  // not a ProtocolError, after which open requests would still be answered.
+  // The client would interpret any response with this number as the response to the open request, so the
+  // connection is closed without one. This is not a ProtocolError, after which open requests would still be
+  // answered.
   if (client.openRequests.contains(message.sequenceNumber))
-    throw std::invalid_argument("a sequence number that is in use");
+    throw std::invalid_argument("sequence number " + std::to_string(message.sequenceNumber) +
+                                " belongs to a request that is still open");
   if (client.openRequests.size() >= maxOpenRequestsPerConnection)
     return rejectInvalid(id, message.sequenceNumber, {InvalidRequest::Reason::tooManyOpenRequests, {}});
   auto decoded = decoder_.decode(message.body, std::chrono::system_clock::now());
@@ -186,7 +194,7 @@
   auto& request = std::get<IncomingRequest>(decoded);
   const ResponseHandle handle{id, message.sequenceNumber};
   request.response = handle;
-  // Entered first, so that a response given at once finds it.
+  // Registers the request before the listener is called, because the listener may respond during the call.
   client.openRequests.emplace(message.sequenceNumber, RequestId{});
   const AdmitResult result = listener_.onRequest(std::move(request));
   if (const auto* admitted = std::get_if<RequestId>(&result))
--- a/src/peers/request_listener.h
+++ b/src/peers/request_listener.h
@@ -1,6 +1,6 @@
 /// @file
-/// The server's front: accepts the clients' connections, hands their requests to a listener, and sends the
-/// responses. Framed Thrift; the protocol's names are in request_protocol.h.
+/// Accepts client connections, passes their requests to a listener and sends the responses. The protocol is
+/// framed Thrift; request_protocol.h contains its names.
 #pragma once
 
 #include <Poco/Net/ServerSocket.h>
@@ -22,69 +22,73 @@
 
 namespace rainhook::peers {
 
-/// The id under which a request was admitted to the server, or why it was not.
+/// The id of an admitted request, or the reason why it was not admitted.
 using AdmitResult = std::variant<RequestId, FailureReason>;
 
-/// Accepts connections and requests. Used on the reactor's thread only. The reactor, the pool, the log and
-/// the listener must outlive it.
+/// Accepts connections and requests. Must be used on the reactor's thread only. The reactor, the pool, the
+/// log and the listener must outlive this object.
 class RequestListener : private ClientConnections::Listener {
  public:
-  /// Is told of requests and of clients that no longer wait for them.
+  /// Receives requests and notifications of clients that no longer wait for a response.
   struct Listener {
     virtual ~Listener() = default;
-    /// A valid request came. May send its response at once. Where a reason is returned, the request is
-    /// answered as failed for that reason.
+    /// Called when a valid request has arrived. The listener may send the response during this call. If it
+    /// returns a reason, the request is answered as failed for that reason.
     virtual AdmitResult onRequest(IncomingRequest&& request) = 0;
-    /// The client has cancelled the request or its connection has ended; a response would go nowhere.
+    /// Called when the client has cancelled the request or its connection has ended. A response to the
+    /// request would be dropped.
     virtual void onClientDisconnected(RequestId id) = 0;
   };
-  /// What all connections together may use.
+  /// The limits of all connections together.
   using Limits = ClientConnections::Limits;
 
-  /// Does not listen yet.
+  /// Does not listen; see listen().
   RequestListener(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log, Listener& listener,
                   RequestRules rules, Limits limits);
 
-  /// Binds the address and accepts from now on.
-  /// @throws Poco::Exception where the address can't be bound.
+  /// Binds the address and starts to accept connections.
+  /// @throws Poco::Exception if the address cannot be bound.
   void listen(const Poco::Net::SocketAddress& address);
-  /// Where it listens; the port is the real one where 0 was asked for.
+  /// Returns the bound address, including the port that the system chose if port 0 was requested.
   Poco::Net::SocketAddress address() const { return serverSocket_.address(); }
 
   /// @name Responses
-  /// The first for a request is sent, further ones are dropped, as are those for a connection that has ended.
+  /// Only the first response to a request is sent. Further responses, and those for a connection that has
+  /// ended, are dropped.
   /// @{
 
-  /// The request has completed.
+  /// Sends the result of a completed request.
   void sendResult(ResponseHandle handle, std::string_view result);
-  /// The request was shed: the client is to send nothing for `retryAfter`, and to make no further attempt for
-  /// this request where `discourageRetry` is set.
+  /// Reports that the request was shed. The client should send nothing for `retryAfter`, and should make no
+  /// further attempt for this request if `discourageRetry` is set.
   void sendShed(ResponseHandle handle, Duration retryAfter, bool discourageRetry);
-  /// The request has failed.
+  /// Reports that the request failed.
   void sendFailure(ResponseHandle handle, FailureReason reason);
 
   /// @}
 
-  /// What responses and health checks tell from now on.
+  /// Sets the health that responses and health checks report.
   void setHealth(bool isHealthy) { status_.isHealthy = isHealthy; }
-  /// As set last; true from the start.
+  /// Returns the health that was set last; initially true.
   bool isHealthy() const { return status_.isHealthy; }
-  /// Sent with every response from now on.
+  /// Sets the load signal that is sent with every response.
   void setLoadSignal(double value) { status_.loadSignal = value; }
-  /// Clients are asked to close connections that were idle for this long.
+  /// Sets the idle time after which a client is asked to close its connection.
   void setIdleTimeout(Duration timeout) { connections_.setIdleTimeout(timeout); }
 
-  /// Connection draining: every client is asked to close its connection once it has its responses. New
-  /// connections are still accepted, since a client may be on its way.
+  /// Starts connection draining: asks every client to close its connection after its last response. New
+  /// connections are still accepted, because a client may already be connecting.
   void startDraining() { connections_.startDraining(); }
-  /// Closes the listening socket once all that the system accepted has been taken.
-  /// @return false while there is more to take; to be called again then.
+  /// Accepts the connections that are in the operating system's accept queue and closes the listening socket
+  /// when the queue is empty.
+  /// @return false if the queue may not be empty; the function must then be called again.
   [[nodiscard]] bool stopListening();
-  /// Closes connections on which nothing is open, without waiting for the clients to do it.
+  /// Closes connections without open requests or pending output, without waiting for the clients to close
+  /// them.
   void closeIdleConnections() { connections_.closeIdle(); }
-  /// How many clients are connected.
+  /// Returns the number of open client connections.
   std::size_t openConnections() const { return connections_.size(); }
-  /// How many connections were looked at so far to make room for others.
+  /// Returns how many connections have been visited so far to find idle ones to evict.
   std::uint64_t entriesScanned() const { return connections_.entriesScanned(); }
 
  private:
--- a/src/peers/request_protocol.h
+++ b/src/peers/request_protocol.h
@@ -1,6 +1,6 @@
 /// @file
-/// Every name that the clients' protocol (framed Thrift, strict binary) has for our terms. Only the request
-/// decoder and the response encoder use them.
+/// The names in the clients' protocol (framed Thrift, strict binary encoding). Only the request decoder and
+/// the response encoder use them.
 #pragma once
 
 #include <cstdint>
@@ -11,13 +11,13 @@
 /// @name Methods
 /// @{
 
-/// A request to be executed.
+/// Submits a request for execution.
 inline constexpr std::string_view callMethod = "call";
-/// A health check.
+/// Checks the health of the server.
 inline constexpr std::string_view healthMethod = "health";
-/// One-way, from the client: it no longer waits for a call.
+/// One-way message from the client: it no longer waits for the response to a call.
 inline constexpr std::string_view cancelMethod = "cancel";
-/// One-way, to the client: it is asked to close its connection once it has its responses.
+/// One-way message to the client: asks it to close its connection after its last response.
 inline constexpr std::string_view closingMethod = "closing";
 
 /// @}
@@ -25,34 +25,34 @@
 /// @name Members of the structs, by number
 /// @{
 
-/// Of a call: its map of fields.
+/// Call: the map of fields.
 inline constexpr std::int16_t callFields = 1;
-/// Of a call: the input of its execution.
+/// Call: the input of the execution.
 inline constexpr std::int16_t callBody = 2;
-/// Of a cancellation: the number of the call.
+/// Cancellation: the sequence number of the call.
 inline constexpr std::int16_t cancelSequenceNumber = 1;
-/// Of a reply: the struct of a completed call.
+/// Reply: the struct for a completed call.
 inline constexpr std::int16_t replySuccess = 0;
-/// Of a reply: the exception of a call that was shed.
+/// Reply: the exception for a call that was shed.
 inline constexpr std::int16_t replyOverloaded = 1;
-/// Of a reply: the exception of a call that failed.
+/// Reply: the exception for a call that failed.
 inline constexpr std::int16_t replyInternalError = 2;
-/// Of a success: what the execution returned.
+/// Success struct: the result of the execution.
 inline constexpr std::int16_t successResult = 1;
-/// Of a success: its map of fields.
+/// Success struct: the map of fields.
 inline constexpr std::int16_t successFields = 2;
-/// Of a success: whether the server is healthy.
+/// Success struct: whether the server is healthy.
 inline constexpr std::int16_t successHealth = 3;
-/// Of either exception: its map of fields.
+/// Both declared exceptions: the map of fields.
 inline constexpr std::int16_t declaredExceptionFields = 1;
-/// Of Thrift's own exception: what was wrong.
+/// Thrift application exception: the error text.
 inline constexpr std::int16_t applicationExceptionText = 1;
-/// Of Thrift's own exception: its type.
+/// Thrift application exception: the type.
 inline constexpr std::int16_t applicationExceptionType = 2;
 
 /// @}
 
-/// @name Types of Thrift's application exception
+/// @name Types of the Thrift application exception
 /// @{
 
 /// The service has no such method.
@@ -71,9 +71,9 @@
 inline constexpr std::string_view handler = "method";
 /// The name of the tenant.
 inline constexpr std::string_view tenant = "acct";
-/// The client's number.
+/// The number of the client.
 inline constexpr std::string_view client = "peer";
-/// When the request began its way to this server, in milliseconds since the epoch.
+/// The time at which the transmission of the request to this server started, in milliseconds since the epoch.
 inline constexpr std::string_view arrivalTime = "t0";
 /// Milliseconds from the arrival time to the client's deadline.
 inline constexpr std::string_view timeRemaining = "budget";
@@ -81,9 +81,9 @@
 inline constexpr std::string_view queuedMemoryKb = "mem";
 /// IncomingRequest::rank.
 inline constexpr std::string_view rank = "prio";
-/// The resource key, in hexadecimal; left out where there is none.
+/// The resource key in hexadecimal; omitted if there is none.
 inline constexpr std::string_view resourceKey = "obj";
-/// The idempotency key; left out where there is none.
+/// The idempotency key; omitted if there is none.
 inline constexpr std::string_view idempotencyKey = "token";
 /// The client's estimate of the work, in milliseconds.
 inline constexpr std::string_view estimatedWork = "est";
@@ -93,11 +93,11 @@
 /// @name Fields of a response
 /// @{
 
-/// The load signal, with four decimals.
+/// The load signal with four decimal places.
 inline constexpr std::string_view loadSignal = "hint";
-/// Milliseconds for which the client is to send nothing more.
+/// The number of milliseconds for which the client should send no requests.
 inline constexpr std::string_view retryAfter = "backoff";
-/// "1" where the client is to make no further attempt for this request.
+/// "1" if the client should make no further attempt for this request.
 inline constexpr std::string_view discourageRetry = "final";
 /// The text of a FailureReason.
 inline constexpr std::string_view failureReason = "why";
--- a/src/peers/response_encoder.cpp
+++ b/src/peers/response_encoder.cpp
@@ -36,7 +36,7 @@
       .finish();
 }
 
-/// One of the exceptions that the service declares.
+/// Encodes one of the exceptions that the service declares.
 std::string encodeDeclaredException(std::int32_t sequenceNumber, std::int16_t exception,
                                     const Fields& fields) {
   return Writer(Kind::reply, protocol::callMethod, sequenceNumber)
@@ -48,7 +48,7 @@
       .finish();
 }
 
-/// Thrift's own exception, which every service may answer with.
+/// Encodes the Thrift application exception, which any service may send in place of a reply.
 std::string encodeApplicationException(std::string_view method, std::int32_t sequenceNumber,
                                        std::string_view text, std::int32_t type) {
   return Writer(Kind::exception, method, sequenceNumber)
--- a/src/peers/response_encoder.h
+++ b/src/peers/response_encoder.h
@@ -1,5 +1,5 @@
 /// @file
-/// From our terms to the responses of the clients' protocol. Pure: values go in, framed bytes come out.
+/// Encodes responses as framed messages of the clients' protocol. The functions have no side effects.
 #pragma once
 
 #include <cstdint>
@@ -12,44 +12,45 @@
 
 namespace rainhook::peers {
 
-/// What each response tells beside its own content.
+/// The server status that each response includes.
 struct ServerStatus {
-  /// Whether the client should go on sending requests.
+  /// Whether the client should continue to send requests.
   bool isHealthy = true;
-  /// None as long as the decision module has published none.
+  /// The load signal; none until the decision module publishes the first one.
   std::optional<double> loadSignal;
 };
 
-/// Why a request that was well formed ends without a result.
+/// The reason why a valid request ends without a result.
 enum class FailureReason {
-  tooManyInFlight,     ///< The server holds as many requests as its memory allows.
-  duplicateName,       ///< A request of this name is in flight already.
-  conflictingPayload,  ///< The original of its idempotency key came with another payload.
-  executionFailed,     ///< The execution failed, or may have run without its end being known.
-  abandoned,           ///< The decision module gave up on it.
-  originalFailed,      ///< It awaited the original of its idempotency key, which failed.
+  tooManyInFlight,     ///< The number of requests in flight has reached the limit that the memory allows.
+  duplicateName,       ///< A request with this name is already in flight.
+  conflictingPayload,  ///< The original of its idempotency key has another payload.
+  executionFailed,     ///< The execution failed, or may have run although its end is not known.
+  abandoned,           ///< The decision module abandoned the request.
+  originalFailed,      ///< The request awaited the original of its idempotency key, which failed.
 };
 
-/// The text of a reason in the protocol.
+/// Returns the text of a reason in the protocol.
 std::string_view describe(FailureReason reason);
-/// The text in the protocol and in the log.
+/// Returns the text of a fault in the protocol and in the log.
 std::string describe(const InvalidRequest& fault);
 
-/// The answer to a health check.
+/// Encodes the response to a health check.
 std::string encodeHealth(std::int32_t sequenceNumber, const ServerStatus& status);
-/// A request has completed.
+/// Encodes the response to a completed request.
 std::string encodeResult(std::int32_t sequenceNumber, std::string_view result, const ServerStatus& status);
-/// A request was shed. The client is to send nothing more for `retryAfter`, which is left out where it rounds
-/// to 0 ms, and is to make no further attempt for this request where `discourageRetry` is set.
+/// Encodes the response to a request that was shed. The client should send no requests for `retryAfter`,
+/// which is omitted if it rounds to 0 ms, and should make no further attempt for this request if
+/// `discourageRetry` is set.
 std::string encodeShed(std::int32_t sequenceNumber, Duration retryAfter, bool discourageRetry,
                        const ServerStatus& status);
-/// A request has failed.
+/// Encodes the response to a failed request.
 std::string encodeFailure(std::int32_t sequenceNumber, FailureReason reason, const ServerStatus& status);
-/// A call was no valid request.
+/// Encodes the response to a call that is not a valid request.
 std::string encodeInvalidRequest(std::int32_t sequenceNumber, const InvalidRequest& fault);
-/// A call was of a method that the service does not have.
+/// Encodes the response to a call of a method that the service does not have.
 std::string encodeUnknownMethod(const UnknownMethodMessage& message);
-/// Asks the client to close its connection once it has its responses.
+/// Encodes a message that asks the client to close its connection after its last response.
 std::string encodeCloseRequest();
 
 }  // namespace rainhook::peers
