--- a/tests/deduplication_cache_test.cpp
+++ b/tests/deduplication_cache_test.cpp
@@ -19,7 +19,9 @@
   return {HandlerId{1}, idempotencyKey, {}};
 }
 
-TEST(DeduplicationCache, FailsResultThatExceedsItsCapacityUntilRoomIsFreed) {
+// Guards against results beyond the capacity of the cache, and against capacity that stays occupied after a
+// removal.
+TEST(DeduplicationCache, FailsRequestWhenItsResultExceedsCapacity) {
   DeduplicationCache cache({.maxResultBytes = 10, .maxReadDelay = 10s, .sharingDuration = 0s});
   const std::string eightBytes = "eight by";
   cache.retain(keyNamed("a"), {}, RequestId{1}, epoch + 5s);
@@ -34,7 +36,8 @@
   EXPECT_EQ(cache.find(RequestId{2})->result, eightBytes);
 }
 
-TEST(DeduplicationCache, ExpiresEachEntryByTimeAndScansItOnlyThen) {
+// Guards against entries that remain after their expiry, and against scans of entries that have not expired.
+TEST(DeduplicationCache, ScansEntryOnlyWhenItExpires) {
   DeduplicationCache cache({.maxResultBytes = ampleBytes, .maxReadDelay = 10s, .sharingDuration = 0s});
   std::size_t maxSize = 0;
   for (std::uint32_t i = 1; i <= 5000; ++i) {
@@ -45,9 +48,9 @@
     if (i % 3 == 1) cache.onOriginalEnded(RequestId{i}, OriginalState::completed, now, "result");
     maxSize = std::max(maxSize, cache.size());
   }
-  // Two in three of the entries of 11 s: 1 s of retention and 10 s in which a duplicate may be read late.
+  // Two thirds of the entries of 11 s: 1 s of retention and 10 s during which a duplicate may be read late.
   EXPECT_LE(maxSize, 2 * 1100u / 3 + 1);
-  // The retention of this one has ended, its key is still known.
+  // The retention of this entry has ended, but its key is still in the cache.
   EXPECT_EQ(cache.find(RequestId{4801})->state, OriginalState::failed);
   EXPECT_EQ(cache.find(RequestId{4999})->result, "result");
   EXPECT_LE(cache.entriesScanned(), 2 * 5000u);
@@ -57,7 +60,7 @@
   EXPECT_LE(cache.entriesScanned(), 2 * 5000u);
 }
 
-TEST(DeduplicationCache, DropsResultThatArrivesAfterItsRetentionEnded) {
+TEST(DeduplicationCache, DropsResultWhenItArrivesAfterItsRetention) {
   DeduplicationCache cache({.maxResultBytes = ampleBytes, .maxReadDelay = 10s, .sharingDuration = 0s});
   cache.retain(keyNamed("a"), {}, RequestId{1}, epoch + 1s);
   cache.expire(epoch + 2s);
@@ -65,8 +68,9 @@
   EXPECT_EQ(cache.find(RequestId{1})->result, "");
 }
 
-// A newer attempt after the window that is never executed must not hide that an older one was.
-TEST(DeduplicationCache, StillKnowsOlderOriginalAfterNewerOneIsDropped) {
+// Guards against the execution of a late duplicate of a request that was executed, after a newer request with
+// the same key was retained and then dropped without an execution.
+TEST(DeduplicationCache, FindsOlderOriginalWhenNewerOneWasDropped) {
   DeduplicationCache cache({.maxResultBytes = ampleBytes, .maxReadDelay = 10s, .sharingDuration = 0s});
   const DeduplicationCache::Time start{1h};
   const auto key = keyNamed("k");
@@ -78,7 +82,8 @@
 
   cache.retain(key, {}, RequestId{2}, start + 3s);
   cache.drop(RequestId{2});
-  // Arrived within the window of the first, read late.
+  // Request 3 arrived within the window of the first request and is read late; request 4 arrived after the
+  // window.
   EXPECT_TRUE(cache.findOriginalOrRegister(key, {}, {RequestId{3}, start + 900ms, start + 2s}).original);
   EXPECT_FALSE(cache.findOriginalOrRegister(key, {}, {RequestId{4}, start + 1s, start + 2s}).original);
 
--- a/tests/request_decoder_test.cpp
+++ b/tests/request_decoder_test.cpp
@@ -1,4 +1,4 @@
-// Calls of the clients' protocol are decoded and checked without a connection.
+// Tests of the decoding and validation of the clients' messages, without a connection.
 #include "peers/request_decoder.h"
 
 #include <gtest/gtest.h>
@@ -22,7 +22,7 @@
           {"t0", "1699999999900"},     {"budget", "400"},  {"mem", "12.5"},   {"prio", "0.25"}};
 }
 
-/// The content of a framed message, which starts after its length.
+/// Returns the content of a framed message, without the length at its start.
 std::string contentOf(const std::string& framed) {
   return std::string(codec::thrift::readFrame(framed, framed.size())->content);
 }
@@ -52,7 +52,7 @@
   RequestRules rules{{"read", "write"}, {"acme", "other"}, {500ms, 900ms}, true};
 };
 
-TEST_F(RequestDecoderTest, MapsAllFieldsOfAValidCall) {
+TEST_F(RequestDecoderTest, DecodesAllFieldsWhenCallIsValid) {
   auto fields = validFields();
   fields.insert({{"obj", "ff"}, {"token", "key"}, {"est", "1.5"}});
   const auto decoded = decode(fields);
@@ -73,7 +73,7 @@
   EXPECT_EQ(request.body, "body");
 }
 
-TEST_F(RequestDecoderTest, LeavesTimeRemainingOutWhereClientsDoNotSendIt) {
+TEST_F(RequestDecoderTest, OmitsTimeRemainingWhenClientsDoNotSendIt) {
   rules.clientsSendTimeRemaining = false;
   auto fields = validFields();
   fields.erase("budget");
@@ -82,7 +82,7 @@
   EXPECT_FALSE(std::get<IncomingRequest>(decoded).timeRemaining.has_value());
 }
 
-TEST_F(RequestDecoderTest, NamesTheFirstFaultInTheOrderOfTheFields) {
+TEST_F(RequestDecoderTest, ReportsFirstInvalidFieldWhenSeveralAreInvalid) {
   auto fields = validFields();
   fields["prio"] = "1";
   EXPECT_EQ(faultOf(fields), "field prio: impossible");
@@ -90,7 +90,7 @@
   EXPECT_EQ(faultOf(fields), "field peer: missing");
 }
 
-TEST_F(RequestDecoderTest, NamesTheBodyBeforeAnyField) {
+TEST_F(RequestDecoderTest, ReportsBodyBeforeFieldsWhenBodyIsTooLarge) {
   EXPECT_EQ(faultOf(validFields(), std::string(2049, 'x')), "a body over 2 KiB");
   EXPECT_EQ(faultOf({}, std::string(2049, 'x')), "a body over 2 KiB");
   EXPECT_EQ(faultOf(validFields(), std::string(2048, 'x')), "");
@@ -102,7 +102,7 @@
 };
 class RequestDecoderFieldTest : public RequestDecoderTest, public testing::WithParamInterface<FieldCase> {};
 
-TEST_P(RequestDecoderFieldTest, RejectsAValueOutOfRange) {
+TEST_P(RequestDecoderFieldTest, RejectsCallWhenValueIsOutOfRange) {
   auto fields = validFields();
   fields[GetParam().name] = GetParam().value;
   EXPECT_EQ(faultOf(fields), std::string("field ") + GetParam().name + ": impossible");
@@ -114,10 +114,10 @@
                     FieldCase{"method", "none"}, FieldCase{"acct", "none"}, FieldCase{"peer", "-1"},
                     FieldCase{"budget", "86400001"}, FieldCase{"mem", "0"}, FieldCase{"mem", "2000"},
                     FieldCase{"prio", "nan"}, FieldCase{"obj", "xyz"}, FieldCase{"est", "1e99"},
-                    // The client's deadline and ten seconds more have passed, or its clock is far ahead.
+                    // The client's deadline passed more than ten seconds ago, or its clock is too far ahead.
                     FieldCase{"t0", "1699999989599"}, FieldCase{"t0", "1700000005001"}));
 
-TEST_F(RequestDecoderTest, AcceptsArrivalTimesUpToTheirLimits) {
+TEST_F(RequestDecoderTest, AcceptsArrivalTimeWhenItIsAtItsLimit) {
   auto fields = validFields();
   for (const char* limit : {"1699999989600", "1700000005000"}) {
     fields["t0"] = limit;
@@ -125,7 +125,7 @@
   }
 }
 
-TEST(ClientMessageDecoder, TellsTheMessagesApart) {
+TEST(ClientMessageDecoder, DecodesEachKindOfMessage) {
   const auto health = contentOf(Writer(Kind::call, "health", 3).stop().finish());
   EXPECT_EQ(std::get<HealthCheckMessage>(decodeClientMessage(health)).sequenceNumber, 3);
   const auto cancel = contentOf(Writer(Kind::oneway, "cancel", 9).field(1, Type::i32).i32(4).stop().finish());
@@ -134,7 +134,7 @@
   EXPECT_EQ(std::get<UnknownMethodMessage>(decodeClientMessage(unknown)).method, "dance");
 }
 
-TEST(ClientMessageDecoder, RejectsMessagesThatOnlyServersSend) {
+TEST(ClientMessageDecoder, RejectsMessageWhenOnlyServersMaySendIt) {
   const auto reply = contentOf(Writer(Kind::reply, "call", 3).stop().finish());
   EXPECT_THROW((void)decodeClientMessage(reply), codec::ProtocolError);
 }
--- a/tests/request_table_test.cpp
+++ b/tests/request_table_test.cpp
@@ -9,22 +9,24 @@
 namespace rainhook::server {
 namespace {
 
-InFlightRequest& addNamed(RequestTable& table, std::uint32_t number) {
-  peers::IncomingRequest arrived;
-  arrived.name = std::to_string(number);
-  return table.add(RequestId{number}, std::move(arrived));
+InFlightRequest& addRequest(RequestTable& table, std::uint32_t number) {
+  peers::IncomingRequest incoming;
+  incoming.name = std::to_string(number);
+  return table.add(RequestId{number}, std::move(incoming));
 }
 
 void addDuplicate(RequestTable& table, std::uint32_t number, RequestId original) {
-  InFlightRequest& duplicate = addNamed(table, number);
+  InFlightRequest& duplicate = addRequest(table, number);
   duplicate.state = RequestState::awaitingOriginal;
   duplicate.duplicateOf = original;
   table.awaitOriginal(original, RequestId{number});
 }
 
-TEST(RequestTable, RemovesOneDuplicateAndKeepsTheOthersAwaitingTheirOriginals) {
+// Guards against the removal of one duplicate that also removes others, either those of the same original or
+// those that await the removed one.
+TEST(RequestTable, KeepsOtherDuplicatesAwaitingWhenOneIsRemoved) {
   RequestTable table;
-  addNamed(table, 1);
+  addRequest(table, 1);
   addDuplicate(table, 2, RequestId{1});
   addDuplicate(table, 3, RequestId{1});
   addDuplicate(table, 4, RequestId{2});
--- a/tests/server_client_test.cpp
+++ b/tests/server_client_test.cpp
@@ -9,7 +9,8 @@
 
 class ServerClientConnection : public ServerTest {};
 
-TEST_F(ServerClientConnection, IsClosedAloneWhenItSendsInvalidBytes) {
+// Guards against invalid bytes on one connection that end the requests of other connections.
+TEST_F(ServerClientConnection, IsClosedWithoutAffectingOthersWhenItSendsInvalidBytes) {
   server.start();
   auto client = server.connectBalancer();
   client.sendRequest(1, FakeBalancer::requestFields(requestA));
@@ -26,6 +27,8 @@
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::completed);
 }
 
+// Guards against a connection that is closed for a request with an invalid field: only that request is
+// rejected.
 TEST_F(ServerClientConnection, StaysOpenWhenRequestIsInvalid) {
   server.start();
   auto client = server.connectBalancer();
@@ -56,7 +59,7 @@
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::exception);
   client.sendRequest(61, FakeBalancer::requestFields(requestA), std::string(2048, 'x'));
   EXPECT_EQ(engine.nextStartedRequest(), requestA);
-  client.sendRequest(62, FakeBalancer::requestFields(requestA));  // a name that is in flight
+  client.sendRequest(62, FakeBalancer::requestFields(requestA));  // the name is already in flight
   EXPECT_EQ(client.receiveResponse().sequenceNumber, 62);
   engine.endExecution(requestA);
   EXPECT_EQ(client.receiveResponse().sequenceNumber, 61);
@@ -64,8 +67,8 @@
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::healthy);
 }
 
-// Balancers that restart come with new client numbers, however high.
-TEST_F(ServerClientConnection, MayBelongToAnyClientNumber) {
+// A balancer uses a new client number after each restart. Guards against an upper bound below 64 bits.
+TEST_F(ServerClientConnection, IsServedWhenClientNumberIsLarge) {
   server.start();
   auto client = server.connectBalancer();
   std::int32_t number = 0;
@@ -77,8 +80,8 @@
   }
 }
 
-// An arrival time that is far off must mislead neither the load estimate nor the deadline.
-TEST_F(ServerClientConnection, GetsExceptionWhenArrivalTimeIsFarOff) {
+// Guards against an arrival time far in the past or future that distorts the load estimate or the deadline.
+TEST_F(ServerClientConnection, GetsExceptionWhenArrivalTimeIsImplausible) {
   server.start();
   auto client = server.connectBalancer();
   const auto now = std::stoll(FakeBalancer::requestFields(requestA)["t0"]);
@@ -92,37 +95,39 @@
   client.sendRequest(++number, FakeBalancer::requestFields(requestA));
   EXPECT_EQ(engine.nextStartedRequest(), requestA);
   engine.endExecution(requestA);
-  EXPECT_EQ(client.receiveResponse().fields.at("hint"), "1.0000");  // none of them counted as load
+  EXPECT_EQ(client.receiveResponse().fields.at("hint"), "1.0000");  // no rejected request counted as load
 }
 
-// A connection that is silent or stops within a message is closed in time; one with an open request is not.
-TEST_F(ServerClientConnection, IsClosedWhenSilentOrWithinAMessage) {
+// Guards against connections that occupy descriptors although their clients send nothing or stop within a
+// message. A connection with an open request must not be closed.
+TEST_F(ServerClientConnection, IsClosedWhenItSendsNothingOrOnlyPartOfAMessage) {
   server.start();
-  const auto began = std::chrono::steady_clock::now();
-  auto silent = server.connectBalancer();
-  auto half = server.connectBalancer();
+  const auto startedAt = std::chrono::steady_clock::now();
+  auto inactive = server.connectBalancer();
+  auto incomplete = server.connectBalancer();
   auto client = server.connectBalancer();
-  half.sendHealthCheck();
-  EXPECT_EQ(half.receiveResponse().kind, ResponseKind::healthy);
-  half.send(FakeBalancer::encodeRequest(1, FakeBalancer::requestFields(requestB), "x").substr(0, 40));
+  incomplete.sendHealthCheck();
+  EXPECT_EQ(incomplete.receiveResponse().kind, ResponseKind::healthy);
+  incomplete.send(FakeBalancer::encodeRequest(1, FakeBalancer::requestFields(requestB), "x").substr(0, 40));
   client.sendRequest(1, FakeBalancer::requestFields(requestA));
   EXPECT_EQ(engine.nextStartedRequest(), requestA);
-  EXPECT_TRUE(silent.waitUntilClosed());
-  EXPECT_TRUE(half.waitUntilClosed());
-  EXPECT_LT(std::chrono::steady_clock::now() - began, 2700ms);
+  EXPECT_TRUE(inactive.waitUntilClosed());
+  EXPECT_TRUE(incomplete.waitUntilClosed());
+  EXPECT_LT(std::chrono::steady_clock::now() - startedAt, 2700ms);
   client.sendHealthCheck();
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::healthy);
 }
 
-// The protocol allows 32 open requests on a connection; what exceeds them is rejected at once.
-TEST_F(ServerClientConnection, GetsExceptionsBeyondProtocolLimitOfOpenRequests) {
+// The protocol allows 32 open requests on a connection. Guards against further requests that are admitted or
+// left without a response.
+TEST_F(ServerClientConnection, GetsExceptionsWhenOpenRequestsExceedProtocolLimit) {
   server.start();
   auto client = server.connectBalancer();
-  std::string all;
+  std::string requests;
   for (std::int32_t i = 1; i <= 100; ++i)
-    all += FakeBalancer::encodeRequest(
+    requests += FakeBalancer::encodeRequest(
         i, FakeBalancer::requestFields("00000000000001" + std::to_string(10 + i % 90)), "x");
-  client.send(all);
+  client.send(requests);
   std::vector<std::int32_t> rejected;
   for (Response response = client.receiveResponse(); response.sequenceNumber != 100;
        response = client.receiveResponse())
@@ -131,7 +136,8 @@
   EXPECT_EQ(rejected.front(), 33);
 }
 
-// A second request with an open sequence number would take the response of the first for its own.
+// Guards against a second request with the sequence number of an open one: the client could not tell which of
+// them a response belongs to.
 TEST_F(ServerClientConnection, IsClosedWhenItReusesAnOpenSequenceNumber) {
   server.start();
   auto client = server.connectBalancer();
@@ -146,12 +152,13 @@
   EXPECT_EQ(other.receiveResponse().kind, ResponseKind::completed);
 }
 
-// A request that was sent before the client read `closing` is still answered, and then the connection ends.
-TEST_F(ServerClientConnection, IsAskedToCloseWhenIdleAndStillServed) {
+// Guards against the loss of a request that a client sent before it read `closing`: the server answers it
+// before the connection ends.
+TEST_F(ServerClientConnection, IsStillServedWhenAskedToCloseBecauseIdle) {
   server.start();
   std::thread engineThread([&] {
     EXPECT_EQ(engine.nextStartedRequest(), requestA);
-  });  // and answers the requests for gauges meanwhile
+  });  // this thread also answers the gauge requests until then
   auto client = server.connectBalancer();
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::closing);
   client.sendRequest(1, FakeBalancer::requestFields(requestA));
@@ -161,7 +168,8 @@
   EXPECT_TRUE(client.waitUntilClosed());
 }
 
-TEST_F(ServerClientConnection, GetsItsResponseAfterHalfClose) {
+// Guards against a response that is dropped because the client shut down its sending side after the request.
+TEST_F(ServerClientConnection, GetsItsResponseWhenHalfClosed) {
   server.start();
   auto client = server.connectBalancer();
   client.sendRequest(1, FakeBalancer::requestFields(requestA));
@@ -172,23 +180,24 @@
   EXPECT_TRUE(client.waitUntilClosed());
 }
 
-// A client that does not read its responses is not read either, so that what waits for it stays bounded.
-TEST_F(ServerClientConnection, IsNotReadWhileItDoesNotReadResponses) {
+// Guards against unbounded output for a client that sends requests but does not read the responses: the
+// server stops reading from it.
+TEST_F(ServerClientConnection, IsNotReadWhenItDoesNotReadResponses) {
   server.start();
   auto slow = server.connectBalancer();
   auto client = server.connectBalancer();
   slow.socket().setReceiveBufferSize(64 << 10);
   slow.socket().setSendBufferSize(64 << 10);
   slow.socket().setBlocking(false);
-  const auto bad = FakeBalancer::encodeRequest(1, {}, "");
+  const auto invalidRequest = FakeBalancer::encodeRequest(1, {}, "");
   std::size_t sent = 0;
   constexpr std::size_t maxBytes = 16 << 20;
   for (int idle = 0; idle < 20 && sent < maxBytes; ++idle) {
     try {
-      const auto rest = std::string_view(bad).substr(sent % bad.size());
+      const auto rest = std::string_view(invalidRequest).substr(sent % invalidRequest.size());
       sent += static_cast<std::size_t>(slow.socket().sendBytes(rest.data(), static_cast<int>(rest.size())));
       idle = 0;
-    } catch (const Poco::Exception&) {  // it takes no more for now
+    } catch (const Poco::Exception&) {  // the socket buffers are full
       std::this_thread::sleep_for(10ms);
     }
   }
@@ -196,12 +205,13 @@
   client.sendHealthCheck();
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::healthy);
   slow.socket().setBlocking(true);
-  ASSERT_GT(sent, bad.size());
-  for (std::size_t i = 0; i < sent / bad.size(); ++i)
+  ASSERT_GT(sent, invalidRequest.size());
+  for (std::size_t i = 0; i < sent / invalidRequest.size(); ++i)
     ASSERT_EQ(slow.receiveResponse().kind, ResponseKind::exception) << i;
 }
 
-TEST_F(ServerClientConnection, GivesWayWhenIdleAndDescriptorsAreUsedUp) {
+// Guards against new clients that cannot connect because idle connections occupy all descriptors.
+TEST_F(ServerClientConnection, IsEvictedWhenIdleAndDescriptorsAreExhausted) {
   server.endpoints.maxDescriptors = 32;  // 18 for clients
   server.start();
   std::vector<FakeBalancer> clients;
@@ -211,24 +221,24 @@
     EXPECT_EQ(clients.back().receiveResponse().kind, ResponseKind::healthy) << i;
   }
   EXPECT_TRUE(clients.front().waitUntilClosed());
-  // Silent connections do not displace one that was used.
-  auto known = std::move(clients.back());
+  // Connections that never sent a message do not displace one that did.
+  auto usedClient = std::move(clients.back());
   clients.clear();
   for (int i = 0; i < 60; ++i) clients.push_back(server.connectBalancer());
-  known.sendHealthCheck();
-  EXPECT_EQ(known.receiveResponse().kind, ResponseKind::healthy);
+  usedClient.sendHealthCheck();
+  EXPECT_EQ(usedClient.receiveResponse().kind, ResponseKind::healthy);
 }
 
-// Many balancers connect at once while the limit is reached: idle connections are evicted without a scan of
-// all, and one with an open request stays.
+// Guards against a scan of all connections for each new one when many balancers connect at the limit, and
+// against the eviction of a connection with an open request.
 TEST_F(ServerClientConnection, IsEvictedWithoutScanningAllWhenManyConnect) {
   server.endpoints.maxDescriptors = 256;  // 144 for clients
   server.start();
-  std::vector<FakeBalancer> known;
+  std::vector<FakeBalancer> earlierClients;
   for (int i = 0; i < 140; ++i) {
-    known.push_back(server.connectBalancer());
-    known.back().sendHealthCheck();
-    ASSERT_EQ(known.back().receiveResponse().kind, ResponseKind::healthy) << i;
+    earlierClients.push_back(server.connectBalancer());
+    earlierClients.back().sendHealthCheck();
+    ASSERT_EQ(earlierClients.back().receiveResponse().kind, ResponseKind::healthy) << i;
   }
   auto busy = server.connectBalancer();
   busy.sendRequest(1, FakeBalancer::requestFields("00000000000000a1"));
@@ -239,14 +249,14 @@
     newClients.back().sendHealthCheck();
     ASSERT_EQ(newClients.back().receiveResponse().kind, ResponseKind::healthy) << i;
   }
-  EXPECT_TRUE(known.front().waitUntilClosed());
+  EXPECT_TRUE(earlierClients.front().waitUntilClosed());
   engine.endExecution("00000000000000a1");
   EXPECT_EQ(busy.receiveResponse().kind, ResponseKind::completed);
   EXPECT_LE(server.stopAndCountConnectionsScanned(), 2 * 100u);
 }
 
-// Invalid bytes after a complete request, in one segment.
-TEST_F(ServerClientConnection, AnswersRequestBeforeInvalidBytesThenCloses) {
+// Guards against the loss of a complete request that arrives in one segment with invalid bytes after it.
+TEST_F(ServerClientConnection, GetsResponseBeforeCloseWhenInvalidBytesFollowRequest) {
   server.start();
   auto client = server.connectBalancer();
   client.send(FakeBalancer::encodeRequest(1, FakeBalancer::requestFields(requestA), "x") +
@@ -262,7 +272,8 @@
   EXPECT_EQ(engine.nextStartedRequest(), requestC);
 }
 
-// Its bytes keep coming, for longer than a connection that stops within a message is kept.
+// Guards against the close of a slow connection: the bytes of one message keep arriving for longer than the
+// time after which a connection that stops within a message is closed.
 TEST_F(ServerClientConnection, IsReadToTheEndWhenItWritesSlowly) {
   server.start();
   auto client = server.connectBalancer();
@@ -270,8 +281,8 @@
   fields["t0"] = std::to_string(std::stoll(fields["t0"]) + 2500);
   const auto message = FakeBalancer::encodeRequest(1, fields, "x");
   const auto step = message.size() / 25 + 1;
-  for (std::size_t at = 0; at < message.size(); at += step) {
-    client.send(std::string_view(message).substr(at, step));
+  for (std::size_t offset = 0; offset < message.size(); offset += step) {
+    client.send(std::string_view(message).substr(offset, step));
     std::this_thread::sleep_for(110ms);
   }
   EXPECT_EQ(engine.nextStartedRequest(), requestA);
@@ -279,14 +290,15 @@
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::completed);
 }
 
-// More output waits for clients that read nothing than the memory budget allows: those furthest behind are
-// closed, and a client that reads gets its responses all the while.
+// Guards against output beyond the memory budget for clients that read nothing: the connections with the most
+// pending output are closed, while a client that reads still gets its responses.
 TEST_F(ServerClientConnection, IsClosedWhenUnreadOutputExceedsMemoryBudget) {
-  // 128 kB of it for what waits to be sent; a connection with 32 kB waiting is not read on.
+  // 128 kB of this memory are for pending output; reading from a connection pauses at 32 kB of pending
+  // output.
   server.endpoints.memoryMb = 1;
   server.start();
   using codec::thrift::Kind, codec::thrift::Writer;
-  const auto healthCheck = Writer(Kind::call, "health", 1).stop().finish();  // shorter than its response
+  const auto healthCheck = Writer(Kind::call, "health", 1).stop().finish();  // smaller than its response
   std::string healthChecks;
   for (int i = 0; i < 200; ++i) healthChecks += healthCheck;
   struct NonReadingClient {
--- a/tests/server_deduplication_test.cpp
+++ b/tests/server_deduplication_test.cpp
@@ -9,7 +9,9 @@
 
 class ServerDeduplication : public ServerTest {};
 
-TEST_F(ServerDeduplication, ExecutesKeyedRequestOnceAndAnswersDuplicatesFromOriginal) {
+// Guards against a second execution for a duplicate that is read while its original executes or after it has
+// ended.
+TEST_F(ServerDeduplication, AnswersDuplicatesFromOriginalWhenKeyedRequestIsRepeated) {
   server.start();
   auto client = server.connectBalancer();
   const auto pay = [&](std::int32_t number, const std::string& name) {
@@ -19,23 +21,23 @@
   };
   pay(1, requestA);
   EXPECT_EQ(engine.nextStartedRequest(), requestA);
-  pay(2, requestB);  // while the original is executing
+  pay(2, requestB);  // a duplicate while the original is executing
   engine.endExecution(requestA, "ok", "paid");
   std::map<std::int32_t, std::string> results;
   for (int i = 0; i < 2; ++i) {
     const auto response = client.receiveResponse();
     results[response.sequenceNumber] = response.body;
   }
-  pay(3, requestC);  // after the original has ended
+  pay(3, requestC);  // a duplicate after the original has ended
   results[client.receiveResponse().sequenceNumber] += "paid";
   EXPECT_EQ(results, (std::map<std::int32_t, std::string>{{1, "paid"}, {2, "paid"}, {3, "paid"}}));
   client.sendRequest(4, FakeBalancer::requestFields("00000000000000a4"));
-  EXPECT_EQ(engine.nextStartedRequest(), "00000000000000a4");  // nothing else was started in between
+  EXPECT_EQ(engine.nextStartedRequest(), "00000000000000a4");  // no duplicate was started before it
 }
 
-// The first two are read in one iteration of the event loop; the third arrived within the window and is read
-// after it: it is neither executed nor shed.
-TEST_F(ServerDeduplication, ExecutesKeyedRequestOnceHoweverEarlyOrLateDuplicateIsRead) {
+// Guards against the execution of a duplicate that is read in the same iteration of the event loop as its
+// original, or that arrived within the window but is read after its end.
+TEST_F(ServerDeduplication, ExecutesKeyedRequestOnceWhenDuplicateIsReadVeryEarlyOrLate) {
   server.settings["classes"][1]["windowNs"] = 100000000;
   server.start();
   auto client = server.connectBalancer();
@@ -55,12 +57,14 @@
   client.sendRequest(3, fields, "x");
   EXPECT_EQ(client.receiveResponse().fields.at("why"), "the first try failed");
   fields["rid"] = "00000000000000a4";
-  fields["t0"] = std::to_string(arrivedAtMs + 300);  // past the window: a request of its own
+  fields["t0"] = std::to_string(arrivedAtMs + 300);  // after the window, so this is not a duplicate
   client.sendRequest(4, fields);
   EXPECT_EQ(engine.nextStartedRequest(), "00000000000000a4");
 }
 
-TEST_F(ServerDeduplication, SharesPendingResultBetweenReadsOfOneResource) {
+// Guards against a second execution for a read of a resource while an earlier read of the same resource
+// executes.
+TEST_F(ServerDeduplication, SharesPendingResultWhenResourceIsReadTwice) {
   server.start();
   auto client = server.connectBalancer();
   auto fields = FakeBalancer::requestFields(requestA);
@@ -76,9 +80,9 @@
   EXPECT_EQ(client.receiveResponse().body, "shared");
 }
 
-// A request with a known key and another body or tenant is no duplicate: it must neither get the result of
-// the original nor be executed beside it.
-TEST_F(ServerDeduplication, FailsDuplicateWithConflictingPayloadAtOnce) {
+// A request with the key of another request but a different body or tenant is not a duplicate. Guards against
+// such a request getting the result of the original, or being executed in addition to it.
+TEST_F(ServerDeduplication, FailsRequestWhenPayloadConflictsWithItsKey) {
   server.start();
   auto client = server.connectBalancer();
   client.sendRequest(1, FakeBalancer::keyedRequestFields(requestA), "x");
@@ -95,10 +99,10 @@
   conflicts(3, other, "x");
   engine.endExecution(requestA, "ok", "paid");
   EXPECT_EQ(client.receiveResponse().body, "paid");
-  conflicts(4, FakeBalancer::keyedRequestFields(requestB), "y");  // and after it
+  conflicts(4, FakeBalancer::keyedRequestFields(requestB), "y");  // after the original has ended
   client.sendRequest(5, FakeBalancer::keyedRequestFields(requestC), "x");
   EXPECT_EQ(client.receiveResponse().body, "paid");
-  // Both in one iteration.
+  // Both requests are read in one iteration of the event loop.
   client.send(FakeBalancer::encodeRequest(6, FakeBalancer::keyedRequestFields(requestA, "k2"), "x") +
               FakeBalancer::encodeRequest(7, FakeBalancer::keyedRequestFields(requestB, "k2"), "y"));
   EXPECT_EQ(client.receiveResponse().fields.at("why"), "its key came with another content");
@@ -106,8 +110,9 @@
   EXPECT_EQ(server.stopAndCountInFlight().executing, 1u);
 }
 
-// The last millisecond of a short window and the first one after it, by the client's clock.
-TEST(ServerDeduplicationWindow, EndsToTheMillisecondByTheClientsClock) {
+// Guards against a window whose end is off by a millisecond. The duplicates arrive in the last millisecond of
+// a short window and in the first one after it, by the client's clock.
+TEST(ServerDeduplicationWindow, EndsAtExactMillisecondWhenWindowIsShort) {
   for (int round = 0; round < 20; ++round) {
     TestServer server;
     ScriptedEngine& engine = server.peers.engine;
@@ -115,15 +120,16 @@
     server.start();
     auto client = server.connectBalancer();
     auto fields = FakeBalancer::keyedRequestFields(requestA);
-    const auto arrivedAtMs = std::stoll(fields["t0"]) - 1000;  // all three arrived by then and are read now
+    const auto arrivedAtMs =
+        std::stoll(fields["t0"]) - 1000;  // all three arrived before now and are read late
     fields["t0"] = std::to_string(arrivedAtMs);
     client.sendRequest(1, fields, "x");
     EXPECT_EQ(engine.nextStartedRequest(), requestA);
     engine.endExecution(requestA, "ok", "paid");
     EXPECT_EQ(client.receiveResponse().body, "paid");
     fields["rid"] = requestB;
-    fields["t0"] =
-        std::to_string(arrivedAtMs + 151);  // the last one within the window and the protocol's slack
+    // The last millisecond of the window, which includes the tolerance of the protocol.
+    fields["t0"] = std::to_string(arrivedAtMs + 151);
     client.sendRequest(2, fields, "x");
     // The result is no longer cached, but the duplicate must not be executed.
     EXPECT_EQ(client.receiveResponse().kind, ResponseKind::failed);
@@ -134,8 +140,9 @@
   }
 }
 
-// A duplicate may be read as late as its client may wait, where that is long.
-TEST_F(ServerDeduplication, DoesNotExecuteDuplicateThatStoodUnreadLongerThanTheWindow) {
+// Guards against the execution of a duplicate that is read long after its window because its client waits for
+// a long time.
+TEST_F(ServerDeduplication, DoesNotExecuteDuplicateWhenItWasUnreadLongerThanTheWindow) {
   server.settings["classes"][1]["windowNs"] = 100'000'000;
   server.settings["classes"][1]["aimNs"] = 20'000'000'000;
   server.settings["classes"][1]["hardLimitNs"] = 20'000'000'000;
@@ -155,8 +162,8 @@
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::failed);
 }
 
-// What becomes of an original while its duplicates wait for it. One that was never executed is nobody's
-// original: one of its duplicates is executed for all. Both cores are busy at first, so that requests are
+// Tests how an original ends while duplicates wait for it. If the original was never executed, one of its
+// duplicates is executed and the others get its result. Both cores are busy initially, so that requests are
 // queued.
 class ServerOriginalRace : public ServerTest {
  protected:
@@ -176,7 +183,7 @@
     }
   }
 
-  // Two duplicates wait; the one that is started now is the only one, and both get its result.
+  // Expects that only one of the two waiting duplicates is started and that both get its result.
   void expectOneExecutionForBothDuplicates() {
     EXPECT_EQ(engine.nextStartedRequest(), requestB);
     engine.endExecution(requestB, "ok", "paid");
@@ -189,7 +196,7 @@
     EXPECT_EQ(engine.nextStartedRequest(), laterRequest);
   }
 
-  void waitUntilAllIsRead() {
+  void waitUntilAllMessagesAreRead() {
     client.sendHealthCheck();
     EXPECT_EQ(client.receiveResponse().kind, ResponseKind::healthy);
   }
@@ -197,10 +204,10 @@
   void sendBothDuplicates() {
     client.sendRequest(duplicateNumbers[0], FakeBalancer::keyedRequestFields(requestB));
     client.sendRequest(duplicateNumbers[1], FakeBalancer::keyedRequestFields(requestC));
-    waitUntilAllIsRead();
+    waitUntilAllMessagesAreRead();
   }
 
-  // With both duplicates waiting for it.
+  // Starts the original and sends both duplicates, which wait for it.
   void startOriginal() {
     freeOneCore();
     client.sendRequest(originalNumber, FakeBalancer::keyedRequestFields(requestA));
@@ -220,18 +227,18 @@
   client.sendRequest(originalNumber, FakeBalancer::keyedRequestFields(requestA));
   sendBothDuplicates();
   client.sendCancellation(originalNumber);
-  waitUntilAllIsRead();
+  waitUntilAllMessagesAreRead();
   freeOneCore();
   expectOneExecutionForBothDuplicates();
 }
 
-TEST_F(ServerOriginalRace, DuplicatesAreExecutedOnceWhenOriginalIsCancelledInTheirIteration) {
+TEST_F(ServerOriginalRace, DuplicatesAreExecutedOnceWhenOriginalIsCancelledInSameIteration) {
   client.send(
       FakeBalancer::encodeRequest(originalNumber, FakeBalancer::keyedRequestFields(requestA), "body") +
       FakeBalancer::encodeRequest(duplicateNumbers[0], FakeBalancer::keyedRequestFields(requestB), "body") +
       FakeBalancer::encodeRequest(duplicateNumbers[1], FakeBalancer::keyedRequestFields(requestC), "body") +
       FakeBalancer::encodeCancellation(originalNumber));
-  waitUntilAllIsRead();
+  waitUntilAllMessagesAreRead();
   freeOneCore();
   expectOneExecutionForBothDuplicates();
 }
@@ -255,19 +262,20 @@
   expectOneExecutionForBothDuplicates();
 }
 
-TEST_F(ServerOriginalRace, DuplicatesAreExecutedOnceWhenOriginalNeverBegan) {
+TEST_F(ServerOriginalRace, DuplicatesAreExecutedOnceWhenOriginalIsSuperseded) {
   startOriginal();
   client.sendCancellation(originalNumber);
-  waitUntilAllIsRead();
+  waitUntilAllMessagesAreRead();
   engine.endExecution(requestA, "void", "");
   expectOneExecutionForBothDuplicates();
 }
 
-// What was started may have been executed, whatever its client does, and no duplicate is executed beside it.
-TEST_F(ServerOriginalRace, DuplicatesAwaitOriginalThatIsCancelledWhileExecuting) {
+// Guards against the execution of a duplicate in addition to its original: an original that was started may
+// be executed even if its client cancels it.
+TEST_F(ServerOriginalRace, DuplicatesAwaitOriginalWhenItIsCancelledWhileExecuting) {
   startOriginal();
   client.sendCancellation(originalNumber);
-  waitUntilAllIsRead();
+  waitUntilAllMessagesAreRead();
   engine.endExecution(busyRequests[1]);
   EXPECT_EQ(client.receiveResponse().sequenceNumber, 2);
   client.sendRequest(laterNumber, FakeBalancer::requestFields(laterRequest));
--- a/tests/server_downstream_test.cpp
+++ b/tests/server_downstream_test.cpp
@@ -10,7 +10,9 @@
 
 class ServerDownstreamCall : public ServerTest {};
 
-TEST_F(ServerDownstreamCall, IsDeliveredRetriedOrGivenUpByItsReply) {
+// Guards against a wrong reaction to the outcomes of a call: a reply is delivered, a call that did not run is
+// retried, and two failures end the request.
+TEST_F(ServerDownstreamCall, IsDeliveredRetriedOrAbandonedWhenItEnds) {
   server.start();
   auto client = server.connectBalancer();
   client.sendRequest(1, FakeBalancer::requestFields(requestA));
@@ -23,7 +25,7 @@
   EXPECT_NE(call->head.find("Parent-Call: " + requestA), std::string::npos);
   EXPECT_NE(call->head.find("Deadline-Ms: "), std::string::npos);
   EXPECT_EQ(call->body, "please");
-  // It never ran: called again.
+  // The service did not run the call, so the server calls it again.
   downstream.send("HTTP/1.1 503 Busy\r\nTurned-Away: 1\r\nContent-Length: 0\r\n\r\n");
   downstream = TestConnection::accept(peers.downstreamSocket);
   call = downstream.receive(HttpRequest::parse);
@@ -36,14 +38,15 @@
   engine.requestDownstreamCall(requestA, "again");
   downstream = TestConnection::accept(peers.downstreamSocket);
   ASSERT_TRUE(downstream.receive(HttpRequest::parse));
-  downstream.closeWithReset();  // it may have run; an idempotent request calls again
+  downstream.closeWithReset();  // the call may have run; it is retried because the request is idempotent
   downstream = TestConnection::accept(peers.downstreamSocket);
   ASSERT_TRUE(downstream.receive(HttpRequest::parse));
-  downstream.send(httpResponse("500 No"));  // two failures are enough
+  downstream.send(httpResponse("500 No"));  // the second failure ends the request
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::shed);
 }
 
-TEST_F(ServerDownstreamCall, OfKeyedRequestIsRetriedOnlyWhenItProvablyDidNotRun) {
+// Guards against a second execution of a call for a request that is not idempotent.
+TEST_F(ServerDownstreamCall, IsRetriedForKeyedRequestOnlyWhenItProvablyDidNotRun) {
   server.start();
   auto client = server.connectBalancer();
   auto fields = FakeBalancer::requestFields(requestA, "pay");
@@ -73,7 +76,8 @@
   EXPECT_TRUE(downstream.waitUntilClosed());
 }
 
-TEST_F(ServerDownstreamCall, EndsItsRequestAloneWhenServiceIsUnreachable) {
+// Guards against an unreachable service that affects requests other than the one that called it.
+TEST_F(ServerDownstreamCall, EndsOnlyItsRequestWhenServiceIsUnreachable) {
   peers.downstreamSocket.close();
   peers.downstreamSocket = Poco::Net::ServerSocket(Poco::Net::SocketAddress("127.0.0.1", 0));
   server.start();
@@ -88,8 +92,9 @@
   EXPECT_EQ(engine.nextStartedRequest(), requestB);
 }
 
-// The server finds the reply and the end of the timeout at once: the reply counts.
-TEST_F(ServerDownstreamCall, DeliversReplyThatLiesUnreadAtItsTimeout) {
+// Guards against the loss of a reply that arrived in time but is unread when the timeout expires, because the
+// process was paused. The server then processes the reply and the timeout in the same iteration.
+TEST_F(ServerDownstreamCall, DeliversReplyWhenItIsUnreadAtTheTimeout) {
   server.start();
   auto client = server.connectBalancer();
   auto fields = FakeBalancer::keyedRequestFields(requestA);
@@ -110,9 +115,9 @@
   EXPECT_EQ(command["msg"], "deliver");
 }
 
-// A truncated reply does not prove that the call did not run: there is no retry, and the request gets one
-// response.
-TEST_F(ServerDownstreamCall, IsNotRetriedWhenReplyIsCutAtAnyByte) {
+// Guards against a retry after a truncated reply, which does not prove that the call did not run. The request
+// gets exactly one response.
+TEST_F(ServerDownstreamCall, IsNotRetriedWhenReplyIsTruncatedAtAnyByte) {
   server.start();
   auto client = server.connectBalancer();
   const std::string replies[] = {httpResponse("200 OK", "reply"),
--- a/tests/server_engine_test.cpp
+++ b/tests/server_engine_test.cpp
@@ -10,7 +10,8 @@
 
 class ServerEngineConnection : public ServerTest {};
 
-TEST_F(ServerEngineConnection, LosesAndRepeatsNothingWhenItBreaks) {
+// Guards against lost commands and duplicate responses after the connection to the engine breaks.
+TEST_F(ServerEngineConnection, LosesAndRepeatsNoMessageWhenItBreaks) {
   server.start();
   auto client = server.connectBalancer();
   client.sendRequest(1, FakeBalancer::requestFields(requestA));
@@ -20,18 +21,19 @@
   client.sendRequest(2, FakeBalancer::requestFields(requestB));
   EXPECT_EQ(engine.nextStartedRequest(), requestB);
   engine.connection.closeWithReset();
-  EXPECT_EQ(engine.acceptConnection(), 1u);  // the last notification that was read
+  EXPECT_EQ(engine.acceptConnection(), 1u);  // the number of the last notification that the server read
   --engine.lastNotificationId;
-  engine.endExecution(requestA);                     // sent again: no second response
-  EXPECT_EQ(engine.nextStartedRequest(), requestB);  // it may not have been read
+  engine.endExecution(requestA);                     // a repeated notification causes no second response
+  EXPECT_EQ(engine.nextStartedRequest(), requestB);  // repeated, because the engine may not have read it
   engine.endExecution(requestB);
   EXPECT_EQ(client.receiveResponse().sequenceNumber, 2);
   client.sendHealthCheck();
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::healthy);
 }
 
-// An execution that must not run twice and may have startedCount is failed, never started again.
-TEST_F(ServerEngineConnection, FailsKeyedExecutionThatMayHaveBegunWhenItBreaks) {
+// Guards against a second start of an execution that must not run twice and that may have started before the
+// connection broke.
+TEST_F(ServerEngineConnection, FailsKeyedExecutionWhenItBreaksAfterTheStart) {
   server.start();
   auto client = server.connectBalancer();
   auto fields = FakeBalancer::requestFields(requestA, "pay");
@@ -45,12 +47,14 @@
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::failed);
 }
 
-TEST_F(ServerEngineConnection, IsMadeLateAndAgainAfterInvalidMessage) {
+// Guards against a server that does not serve requests until the engine connects, or that does not reconnect
+// after an invalid message from the engine.
+TEST_F(ServerEngineConnection, IsEstablishedWhenEngineStartsLateOrSendsInvalidMessage) {
   server.startWithoutEngine();
   auto client = server.connectBalancer();
   client.sendHealthCheck();
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::healthy);
-  // A request that comes before the engine waits for it.
+  // A request that arrives before the engine connects waits for the engine.
   client.sendRequest(9, FakeBalancer::requestFields(requestB, "pay"));
   client.sendHealthCheck();
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::healthy);
@@ -63,28 +67,29 @@
   EXPECT_EQ(engine.acceptConnection(), 1u);
   engine.send({{"msg", "refusal"}, {"how", "launch"}, {"call", "?"}});
   engine.send({{"msg", "aside"}, {"serial", ++engine.lastNotificationId}, {"how", "hello"}});
-  engine.endExecution("0000000000000000");  // of a request that is not in flight
+  engine.endExecution("0000000000000000");  // this request is not in flight
   client.sendRequest(1, FakeBalancer::requestFields(requestA));
   EXPECT_EQ(engine.nextStartedRequest(), requestA);
 }
 
-// The connection is open, but nothing comes on it any more.
-TEST_F(ServerEngineConnection, IsMadeAgainWhenEngineIsSilent) {
+// Guards against a connection that is kept although the engine no longer responds on it.
+TEST_F(ServerEngineConnection, IsReplacedWhenEngineStopsResponding) {
   server.start();
-  auto silent = std::exchange(engine.connection, {});
+  auto unresponsiveConnection = std::exchange(engine.connection, {});
   EXPECT_EQ(engine.acceptConnection(), 0u);
   auto client = server.connectBalancer();
   client.sendRequest(1, FakeBalancer::requestFields(requestA));
   EXPECT_EQ(engine.nextStartedRequest(), requestA);
 }
 
-// An execution that the engine does not know never ends there.
-TEST_F(ServerEngineConnection, FailsRejectedRequestsAtOnceAndFreesTheirPlaces) {
+// Guards against requests that stay in flight after the engine rejected their start, since the engine never
+// reports their end.
+TEST_F(ServerEngineConnection, FailsRequestsImmediatelyWhenEngineRejectsThem) {
   server.start();
   auto client = server.connectBalancer();
   std::string name = requestA;
-  const auto askedAt = std::chrono::steady_clock::now();
-  for (std::int32_t number = 1; number <= 6; ++number) {  // more than may be executed at once
+  const auto startedAt = std::chrono::steady_clock::now();
+  for (std::int32_t number = 1; number <= 6; ++number) {  // more than the concurrency limit
     name.back() = static_cast<char>('0' + number);
     client.sendRequest(number, FakeBalancer::requestFields(name));
     EXPECT_EQ(engine.nextStartedRequest(), name);
@@ -93,11 +98,12 @@
     EXPECT_EQ(response.sequenceNumber, number);
     EXPECT_EQ(response.kind, ResponseKind::failed);
   }
-  EXPECT_LT(std::chrono::steady_clock::now() - askedAt, 1s);
+  EXPECT_LT(std::chrono::steady_clock::now() - startedAt, 1s);
 }
 
-// The connection is accepted, but no handshake comes on it, as where its other end is gone.
-TEST_F(ServerEngineConnection, IsMadeAgainWhenHandshakeNeverComes) {
+// Guards against a connection that is kept although it was accepted without a handshake, as happens when the
+// process at its other end has ended.
+TEST_F(ServerEngineConnection, IsReplacedWhenHandshakeNeverArrives) {
   server.startWithoutEngine();
   auto silentConnection = TestConnection::accept(engine.socket);
   EXPECT_TRUE(silentConnection.receive(codec::jsonLines::readLine));
@@ -107,9 +113,9 @@
   EXPECT_EQ(engine.nextStartedRequest(), requestA);
 }
 
-// Requests that are read before the handshake: until the engine reports how it started, a cold start is
-// assumed, and no more are started than a cold machine bears.
-TEST_F(ServerEngineConnection, StartsNoMoreThanColdEngineBearsWhenRequestsPrecedeHandshake) {
+// Guards against the overload of a cold engine by requests that are read before the handshake. A cold start
+// is assumed until the engine reports how it started.
+TEST_F(ServerEngineConnection, StartsOnlyAsManyExecutionsAsColdEngineAllowsWhenRequestsPrecedeHandshake) {
   server.settings["invariants"] = {
       {"fallMultiple", 8.0}, {"coldFrom", 0.1}, {"warmWithinNs", 20'000'000'000}};
   server.startWithoutEngine();
@@ -117,7 +123,8 @@
   for (int i = 1; i <= 12; ++i)
     client.sendRequest(i, FakeBalancer::requestFields(fmt::format("{:016x}", 0xe000 + i)));
   client.sendHealthCheck();
-  // Those that waited too long are shed; once the health check is answered, all have been read.
+  // Requests that waited too long are shed. The response to the health check shows that all requests were
+  // read.
   while (client.receiveResponse().kind == ResponseKind::shed) {
   }
   engine.acceptConnection("cold");
@@ -126,13 +133,14 @@
   for (auto command = engine.nextCommand(); command["msg"] == "launch";
        command = engine.nextCommand(), ++startedCount) {
     engine.requestDownstreamCall(command["call"], "please");
-    calls.push_back(TestConnection::accept(peers.downstreamSocket));  // and gets no reply
+    calls.push_back(TestConnection::accept(peers.downstreamSocket));  // the call gets no reply
   }
   EXPECT_GT(startedCount, 0);
-  EXPECT_LE(startedCount, 2 * (1 + 7 * 0.1) + 1);  // and what it warms up meanwhile
+  EXPECT_LE(startedCount, 2 * (1 + 7 * 0.1) + 1);  // one more, because the engine warms up during the test
 }
 
-// An unreadable notification with a number counts as read: it would come again on every connection.
+// Guards against a loop of reconnects: an unreadable notification with a number must be acknowledged, since
+// the engine would otherwise send it again on every connection.
 TEST_F(ServerEngineConnection, FailsRequestAndStaysOpenWhenNotificationIsUnreadable) {
   server.start();
   auto client = server.connectBalancer();
@@ -154,27 +162,28 @@
   EXPECT_EQ(engine.nextStartedRequest(), requestC);
 }
 
-// After a pause of the process, an answer that lies unread counts as one in time.
-TEST_F(ServerEngineConnection, StaysOpenWhenAnswerLiesUnreadAfterPause) {
+// Guards against a reconnect after a pause of the process, if the engine's response arrived in time and is
+// only unread.
+TEST_F(ServerEngineConnection, StaysOpenWhenResponseIsUnreadAfterPause) {
   server.start();
-  const auto answerGaugeRequest = [&](const std::optional<codec::jsonLines::Line>& gaugeRequest) {
+  const auto respondToGaugeRequest = [&](const std::optional<codec::jsonLines::Line>& gaugeRequest) {
     engine.send(
         {{"msg", "sampled"}, {"cookie", gaugeRequest->object["cookie"]}, {"stats", {0.5, 1, 0.1, 3}}});
   };
   auto gaugeRequest = engine.connection.receive(codec::jsonLines::readLine);
   ASSERT_TRUE(gaugeRequest);
-  answerGaugeRequest(gaugeRequest);  // of the catch-up
+  respondToGaugeRequest(gaugeRequest);  // the request that marks the end of the missed notifications
   gaugeRequest = engine.connection.receive(codec::jsonLines::readLine);
   ASSERT_TRUE(gaugeRequest);
-  const auto askedAt = std::chrono::steady_clock::now();
-  std::this_thread::sleep_until(askedAt + 20ms);  // the server no longer waits for this answer
+  const auto requestedAt = std::chrono::steady_clock::now();
+  std::this_thread::sleep_until(requestedAt + 20ms);  // the policy timer no longer waits for this response
   server.whilePaused([&] {
-    answerGaugeRequest(gaugeRequest);
-    std::this_thread::sleep_until(askedAt + 3100ms);
+    respondToGaugeRequest(gaugeRequest);
+    std::this_thread::sleep_until(requestedAt + 3100ms);
   });
   auto client = server.connectBalancer();
   client.sendRequest(1, FakeBalancer::requestFields(requestA));
-  EXPECT_EQ(engine.nextStartedRequest(), requestA);  // on the same connection
+  EXPECT_EQ(engine.nextStartedRequest(), requestA);  // still on the same connection
 }
 
 }  // namespace
--- a/tests/server_reload_test.cpp
+++ b/tests/server_reload_test.cpp
@@ -9,8 +9,9 @@
 
 class ServerReload : public ServerTest {};
 
-// Executions and notifications go on, open downstream calls end on the connections that they have.
-TEST_F(ServerReload, MovesToNewPeersUnderLoadWithoutLoss) {
+// Guards against lost executions, notifications or downstream calls when a reload changes the peers'
+// addresses. Open downstream calls end on their existing connections.
+TEST_F(ServerReload, LosesNothingWhenPeersChangeAddressUnderLoad) {
   server.start();
   auto report = TestConnection::accept(peers.registrySocket);
   ASSERT_TRUE(report.receive(HttpRequest::parse));
@@ -25,14 +26,14 @@
   for (auto* socket : {&engine.socket, &peers.downstreamSocket, &peers.registrySocket})
     *socket = listenOnAnyPort();
   server.reload();
-  server.reload();  // again, before the first move has ended
+  server.reload();  // a second reload before the first has taken effect
   auto old = std::exchange(engine.connection, {});
   EXPECT_EQ(engine.acceptConnection(), 1u);
   EXPECT_TRUE(old.waitUntilClosed());
   report = TestConnection::accept(peers.registrySocket);
   EXPECT_TRUE(report.receive(HttpRequest::parse));
   downstream.send(httpResponse("200 OK", "reply"));
-  auto command = engine.nextCommand();  // a repeated start does not execute twice
+  auto command = engine.nextCommand();  // skips repeated starts, which do not execute a request twice
   while (command["msg"] == "launch") command = engine.nextCommand();
   EXPECT_EQ(command["msg"], "deliver");
   EXPECT_EQ(command["call"], requestA);
@@ -57,7 +58,7 @@
   EXPECT_EQ(engine.nextStartedRequest(), requestA);
 }
 
-TEST_F(ServerReload, WorksBeforeEngineConnectsAndDuringShutdown) {
+TEST_F(ServerReload, ChangesEngineAddressWhenEngineIsNotConnectedOrShutdownIsInProgress) {
   server.startWithoutEngine();
   engine.socket = listenOnAnyPort();
   server.reload();
--- a/tests/server_request_test.cpp
+++ b/tests/server_request_test.cpp
@@ -10,7 +10,7 @@
 
 class ServerRequest : public ServerTest {};
 
-TEST_F(ServerRequest, PassesBodyAndResultUnchanged) {
+TEST_F(ServerRequest, PassesBodyAndResultUnchangedWhenTheyContainBinaryData) {
   server.start();
   auto client = server.connectBalancer();
   const std::string body("b\0\xff\n", 4), result("r\0\x80", 3);
@@ -28,7 +28,7 @@
   EXPECT_GT(std::stod(response.fields.at("hint")), 0.5);
 }
 
-TEST_F(ServerRequest, RespondsOutOfOrderWhenRequestsArriveInPieces) {
+TEST_F(ServerRequest, GetsResponseOutOfOrderWhenRequestsArriveInPieces) {
   server.start();
   auto client = server.connectBalancer();
   const auto both = FakeBalancer::encodeRequest(1, FakeBalancer::requestFields(requestA), "x") +
@@ -44,20 +44,22 @@
   EXPECT_EQ(response.kind, ResponseKind::failed);
 }
 
-TEST_F(ServerRequest, SendsNoResponseAndStartsNoQueuedRequestWhenCancelled) {
+// Guards against a response to a cancelled request, and against the start of one that was cancelled in the
+// queue.
+TEST_F(ServerRequest, GetsNoResponseAndIsNotStartedWhenCancelled) {
   server.start();
   auto client = server.connectBalancer();
-  client.sendCancellation(77);  // of a request that was never sent
+  client.sendCancellation(77);  // no request has this number
   client.sendRequest(1, FakeBalancer::requestFields(requestA));
   client.sendRequest(2, FakeBalancer::requestFields(requestB));
   client.sendRequest(3, FakeBalancer::requestFields(requestC));
   engine.nextStartedRequest();
-  engine.nextStartedRequest();  // both cores are busy, the third is queued
+  engine.nextStartedRequest();  // both cores are busy, so the third request is queued
   client.sendCancellation(3);
   client.sendCancellation(1);
   client.sendRequest(4, FakeBalancer::requestFields("00000000000000a4"));
   client.sendHealthCheck();
-  EXPECT_EQ(client.receiveResponse().kind, ResponseKind::healthy);  // all of that has been read
+  EXPECT_EQ(client.receiveResponse().kind, ResponseKind::healthy);  // all earlier messages have been read
   engine.endExecution(requestA);
   engine.endExecution(requestB);
   EXPECT_EQ(engine.nextStartedRequest(), "00000000000000a4");
@@ -66,14 +68,15 @@
   EXPECT_EQ(client.receiveResponse().sequenceNumber, 4);
 }
 
-TEST_F(ServerRequest, IsAnsweredByItsDeadlineWhenItCannotBeServed) {
+// Guards against requests without a response at their deadline, both queued and executing ones.
+TEST_F(ServerRequest, IsAnsweredByItsDeadlineWhenItCannotBeCompleted) {
   server.start();
   auto client = server.connectBalancer();
   auto fields = FakeBalancer::requestFields(requestA);
-  fields["t0"] = std::to_string(std::stoll(fields["t0"]) - 3000);  // it stood unread for all its time
+  fields["t0"] = std::to_string(std::stoll(fields["t0"]) - 3000);  // it was unread until its deadline
   client.sendRequest(1, fields);
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::shed);
-  // An executing request is answered by its deadline, too.
+  // An executing request is also answered by its deadline.
   fields = FakeBalancer::requestFields(requestB);
   fields["budget"] = "300";
   const auto sentAt = std::chrono::steady_clock::now();
@@ -85,8 +88,9 @@
   EXPECT_LT(std::chrono::steady_clock::now() - sentAt, 400ms);
 }
 
-// However a request ends, it is not left in flight, neither as executing nor in a downstream call.
-TEST_F(ServerRequest, LeavesNothingInFlightHoweverItEnds) {
+// Guards against requests that are counted as in flight after their end. The requests end by a rejected
+// start, a lost client connection during a downstream call, and a cancellation with a lost engine connection.
+TEST_F(ServerRequest, IsNoLongerInFlightWhenItHasEnded) {
   server.start();
   auto client = server.connectBalancer();
   auto disconnecting = server.connectBalancer();
@@ -99,7 +103,7 @@
   engine.requestDownstreamCall(requestB, "please");
   auto downstream = TestConnection::accept(peers.downstreamSocket);
   ASSERT_TRUE(downstream.receive(HttpRequest::parse));
-  disconnecting.closeWithReset();  // its call is cancelled, its execution ends at the call
+  disconnecting.closeWithReset();  // the downstream call is cancelled, and the execution ends at the call
   EXPECT_TRUE(downstream.waitUntilClosed());
   engine.endExecution(requestB, "halted", "");
   client.sendRequest(2, FakeBalancer::requestFields(requestC));
@@ -107,7 +111,7 @@
   client.sendCancellation(2);
   engine.connection.closeWithReset();
   engine.acceptConnection();
-  engine.endExecution(requestC);  // its client has cancelled it
+  engine.endExecution(requestC);  // the client has cancelled this request
   client.sendRequest(3, FakeBalancer::requestFields(requestA));
   auto command = engine.nextCommand();
   while (command["call"] != requestA) command = engine.nextCommand();
--- a/tests/server_settings_test.cpp
+++ b/tests/server_settings_test.cpp
@@ -10,7 +10,9 @@
 
 class ServerSettings : public ServerTest {};
 
-TEST_F(ServerSettings, UseHandlersClientTimeoutWhenClientsDoNotSendTimeRemaining) {
+// Guards against requests without a deadline if the settings state that clients do not send the remaining
+// time.
+TEST_F(ServerSettings, ApplyClientTimeoutOfHandlerWhenClientsDoNotSendTimeRemaining) {
   server.settings["domain"]["passesDeadline"] = false;
   server.settings["classes"][0]["hardLimitNs"] = 600'000'000;
   server.start();
@@ -21,7 +23,7 @@
   EXPECT_EQ(engine.nextStartedRequest(), requestA);
   engine.endExecution(requestA);
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::completed);
-  // Its deadline is the client timeout of its handler after its arrival.
+  // The deadline is the arrival time plus the client timeout of the handler.
   const auto sentAt = std::chrono::steady_clock::now();
   fields = FakeBalancer::requestFields(requestB);
   fields.erase("budget");
@@ -31,7 +33,9 @@
   EXPECT_LT(std::chrono::steady_clock::now() - sentAt, 650ms);
 }
 
-TEST(ServerSettingsNumbers, AreReadInEveryJsonFormAndRejectedByKeyWhenInvalid) {
+// Guards against numbers that are accepted in only one JSON notation, and against errors that do not name the
+// invalid key.
+TEST(ServerSettingsNumbers, AreReadInAnyJsonNotationAndReportedByKeyWhenInvalid) {
   auto settings = exampleSettings();
   settings["domain"]["cores"] = 6.0;
   settings["classes"][0]["aimNs"] = 1.8e9;
@@ -39,16 +43,16 @@
   const DeploymentSettings deployment = readDeploymentSettings(flattenSettingsJson(settings));
   EXPECT_EQ(deployment.machine.cores, 6);
   EXPECT_EQ(deployment.handlerPolicies[0].latencyObjective, 1800ms);
-  EXPECT_GT(deployment.machine.memoryKb, 1e9);  // no limit stated: none enforced
+  EXPECT_GT(deployment.machine.memoryKb, 1e9);  // without a setting, the memory is not limited
   for (const auto& [key, value] : std::map<std::string, nlohmann::json>{{"/domain/cores", 1.5},
                                                                         {"/domain/memoryKb", -1},
                                                                         {"/classes/0/aimNs", 0},
                                                                         {"/classes/1/worth", "much"}}) {
-    auto bad = settings;
-    bad[nlohmann::json::json_pointer(key)] = value;
-    if (key == "/classes/0/aimNs") bad["classes"][0].erase("hardLimitNs");
+    auto invalidSettings = settings;
+    invalidSettings[nlohmann::json::json_pointer(key)] = value;
+    if (key == "/classes/0/aimNs") invalidSettings["classes"][0].erase("hardLimitNs");
     try {
-      static_cast<void>(readDeploymentSettings(flattenSettingsJson(bad)));
+      static_cast<void>(readDeploymentSettings(flattenSettingsJson(invalidSettings)));
       ADD_FAILURE() << key;
     } catch (const ConfigurationError& error) {
       auto path = key.substr(1);
@@ -60,8 +64,9 @@
   EXPECT_EQ(codec::http::encodePathSegment("a b/\xc3\xa9?"), "a%20b%2F%C3%A9%3F");
 }
 
-// Limits and durations of other deployments are larger than those of the examples.
-TEST(ServerSettingsNumbers, MayBeAsLargeAsInOtherDeployments) {
+// Guards against upper bounds that fit only the example deployments; other deployments have larger limits and
+// durations.
+TEST(ServerSettingsNumbers, AreAcceptedWhenLimitsAndDurationsAreLarge) {
   const auto read = readConfiguration(nlohmann::json{
       {"name", "n3"},
       {"listen", "127.0.0.1:8443"},
--- a/tests/server_shutdown_test.cpp
+++ b/tests/server_shutdown_test.cpp
@@ -9,7 +9,9 @@
 
 class ServerShutdown : public ServerTest {};
 
-TEST_F(ServerShutdown, AnswersAllAndStartsNothingAfterGracePeriod) {
+// Guards against requests that are lost in a shutdown: requests in flight are completed, and requests after
+// the grace period are shed.
+TEST_F(ServerShutdown, AnswersAllRequestsAndStartsNoneWhenGracePeriodHasEnded) {
   server.start();
   auto report = TestConnection::accept(peers.registrySocket);
   ASSERT_TRUE(report.receive(HttpRequest::parse));
@@ -25,18 +27,19 @@
   EXPECT_EQ(request->body, R"({"duty":"off"})");
   client.sendHealthCheck();
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::unhealthy);
-  std::this_thread::sleep_until(shutdownAt + 400ms);  // past the grace period of 300 ms
+  std::this_thread::sleep_until(shutdownAt + 400ms);  // after the grace period of 300 ms
   client.sendRequest(2, FakeBalancer::requestFields(requestB));
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::shed);
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::closing);
   engine.endExecution(requestA);
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::completed);
   client.close();
-  server.waitForEnd();
+  server.waitUntilStopped();
   EXPECT_LT(std::chrono::steady_clock::now() - shutdownAt, server.endpoints.shutdownTimeout);
 }
 
-TEST_F(ServerShutdown, AnswersExecutingRequestsBeforeItsTimeout) {
+// Guards against a shutdown that ends without a response to a request whose execution does not end in time.
+TEST_F(ServerShutdown, AnswersRequestBeforeItsTimeoutWhenExecutionDoesNotEnd) {
   server.start();
   auto client = server.connectBalancer();
   client.sendRequest(1, FakeBalancer::requestFields(requestA));
@@ -45,7 +48,7 @@
   server.requestShutdown();
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::closing);
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::shed);
-  server.waitForEnd();
+  server.waitUntilStopped();
   EXPECT_LT(std::chrono::steady_clock::now() - shutdownAt, server.endpoints.shutdownTimeout);
 }
 
--- a/tests/support/fake_balancer.cpp
+++ b/tests/support/fake_balancer.cpp
@@ -14,7 +14,7 @@
 
 constexpr std::size_t maxFrameBytes = 1 << 20;
 
-// The result of a call: its fields, or whether the server is healthy.
+// Reads the struct of a reply: the body, the map of fields and the health of the server.
 void readResult(std::string_view method, Reader& in, Response& response) {
   in.readStruct([&](std::int16_t, Type type, Reader& value) {
     if (type == Type::text) {
@@ -39,7 +39,7 @@
   if (message.name == "closing") response.kind = ResponseKind::closing;
   if (message.kind == Kind::exception) response.kind = ResponseKind::exception;
   if (message.kind != Kind::reply) return response;
-  // By the number of the field in the reply: the result or one of the declared exceptions.
+  // Indexed by the field number in the reply, which identifies the result or a declared exception.
   constexpr std::array kinds{ResponseKind::completed, ResponseKind::shed, ResponseKind::failed};
   Reader(message.body).readStruct([&](std::int16_t fieldNumber, auto, Reader& in) {
     response.kind = kinds.at(static_cast<std::size_t>(fieldNumber));
@@ -83,7 +83,8 @@
 }
 
 std::string FakeBalancer::encodeCancellation(std::int32_t sequenceNumber) {
-  constexpr std::int32_t ownSequenceNumber = 99;  // a oneway message has no reply
+  constexpr std::int32_t ownSequenceNumber =
+      99;  // an arbitrary number, because a one-way message has no reply
   return Writer(Kind::oneway, "cancel", ownSequenceNumber)
       .field(1, Type::i32)
       .i32(sequenceNumber)
--- a/tests/support/fake_balancer.h
+++ b/tests/support/fake_balancer.h
@@ -1,5 +1,5 @@
 /// @file
-/// A client of the server: a load balancer that speaks framed Thrift.
+/// A test client of the server: a load balancer that uses framed Thrift.
 #pragma once
 
 #include <cstddef>
@@ -12,14 +12,14 @@
 
 namespace rainhook {
 
-/// What a message from the server means to a balancer.
+/// The kind of a message from the server.
 enum class ResponseKind {
-  none,  ///< No message came: the connection ended, or the time was over.
+  none,  ///< No message was received before the connection ended or the timeout expired.
   completed,
   shed,
   failed,
-  exception,  ///< A Thrift application exception: the request could not be served at all.
-  closing,    ///< The server asks for the end of the connection.
+  exception,  ///< A Thrift application exception: the message was not a valid request.
+  closing,    ///< The server asks the client to close the connection.
   healthy,
   unhealthy
 };
@@ -30,7 +30,7 @@
   ResponseKind kind = ResponseKind::none;
   std::string body;
   codec::thrift::Fields fields;
-  std::size_t size = 0;  ///< Of its frame, in bytes.
+  std::size_t size = 0;  ///< The size of its frame in bytes.
 };
 
 /// A balancer's connection to the server.
@@ -38,10 +38,10 @@
  public:
   using TestConnection::TestConnection;
 
-  /// The fields of a valid request that arrives now.
+  /// Returns the fields of a valid request whose arrival time is now.
   static codec::thrift::Fields requestFields(const std::string& requestName,
                                              const std::string& handler = "read");
-  /// The same for the handler `pay`, with an idempotency key.
+  /// Returns the fields of a valid request for the handler `pay` with an idempotency key.
   static codec::thrift::Fields keyedRequestFields(const std::string& requestName,
                                                   const std::string& key = "k1");
   static std::string encodeRequest(std::int32_t sequenceNumber, const codec::thrift::Fields& fields,
--- a/tests/support/fake_peers.cpp
+++ b/tests/support/fake_peers.cpp
@@ -6,12 +6,12 @@
 
 namespace rainhook {
 
-std::uint64_t ScriptedEngine::acceptConnection(const char* start) {
-  constexpr std::uint64_t noHandshake = 99;
+std::uint64_t ScriptedEngine::acceptConnection(const char* startState) {
+  constexpr std::uint64_t noSubscription = 99;
   connection = TestConnection::accept(socket);
-  const auto handshake = connection.receive(codec::jsonLines::readLine);
-  send({{"msg", "greeting"}, {"how", start}, {"duration", 5.0}});
-  return handshake ? handshake->object.value("serial", noHandshake) : noHandshake;
+  const auto subscription = connection.receive(codec::jsonLines::readLine);
+  send({{"msg", "greeting"}, {"how", startState}, {"duration", 5.0}});
+  return subscription ? subscription->object.value("serial", noSubscription) : noSubscription;
 }
 
 void ScriptedEngine::send(const nlohmann::json& message) {
--- a/tests/support/fake_peers.h
+++ b/tests/support/fake_peers.h
@@ -1,5 +1,5 @@
 /// @file
-/// The peers of a server on loopback, each of whose messages the test writes.
+/// Fake peers of a server on loopback. The tests determine each of their messages.
 #pragma once
 
 #include <Poco/Net/ServerSocket.h>
@@ -13,22 +13,22 @@
 
 namespace rainhook {
 
-/// An execution engine that does only what the test says.
+/// An execution engine that is controlled by the test.
 class ScriptedEngine {
  public:
   Poco::Net::ServerSocket socket = listenOnAnyPort();
   TestConnection connection;
   std::uint64_t lastNotificationId = 0;
 
-  /// Takes a new connection and greets on it; `start` is how the engine says that it started. Returns the
-  /// last notification that the server says it has read.
-  std::uint64_t acceptConnection(const char* start = "warm");
+  /// Accepts a connection and sends a handshake with the start state `startState`. Returns the number of the
+  /// last notification that the server has read, as stated in its subscription.
+  std::uint64_t acceptConnection(const char* startState = "warm");
   void send(const nlohmann::json& message);
 
-  /// The next command for a request; its member `msg` is `none` where there is none in time. The server's
-  /// requests for gauges, which go on without end, are answered meanwhile.
+  /// Returns the next command for a request. If none arrives before the timeout, its member `msg` is `none`.
+  /// Answers the server's periodic gauge requests while it waits.
   nlohmann::json nextCommand();
-  /// The name of the request whose execution is started next, or the other command that came.
+  /// Returns the name of the next request whose execution is started, or the JSON text of any other command.
   std::string nextStartedRequest();
 
   void endExecution(const std::string& requestName, const char* outcome = "ok",
@@ -37,7 +37,7 @@
   void requestDownstreamCall(const std::string& requestName, std::string_view body);
 };
 
-/// All peers of a server but its clients.
+/// All peers of a server except its clients.
 struct FakePeers {
   ScriptedEngine engine;
   Poco::Net::ServerSocket downstreamSocket = listenOnAnyPort();
--- a/tests/support/http_request.h
+++ b/tests/support/http_request.h
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP as the downstream service and the registry see it.
+/// HTTP messages of the fake downstream service and the fake registry.
 #pragma once
 
 #include <cstddef>
@@ -13,13 +13,13 @@
 struct HttpRequest {
   std::string head;
   std::string body;
-  std::size_t size = 0;  ///< Of both, in bytes.
+  std::size_t size = 0;  ///< The size of the whole request in bytes.
 
-  /// None while the request is not complete.
+  /// Returns the request, or none if it is not complete yet.
   static std::optional<HttpRequest> parse(std::string_view bytes);
 };
 
-/// A response with a Content-Length; `status` is the code and its reason.
+/// Returns a response with a Content-Length; `status` consists of the status code and the reason phrase.
 std::string httpResponse(const std::string& status, std::string_view body = "");
 
 }  // namespace rainhook
--- a/tests/support/test_connection.h
+++ b/tests/support/test_connection.h
@@ -12,7 +12,7 @@
 
 namespace rainhook {
 
-/// A socket that listens on a free port of the loopback interface.
+/// Returns a socket that listens on a free port of the loopback interface.
 Poco::Net::ServerSocket listenOnAnyPort();
 
 /// One end of a connection. Every wait is bounded by `timeout`.
@@ -22,13 +22,13 @@
 
   TestConnection() = default;
   explicit TestConnection(Poco::Net::StreamSocket socket);
-  /// Waits for a connection; one that is not open where none comes in time.
+  /// Waits for a connection. The returned connection is not open if none arrives before the timeout.
   static TestConnection accept(Poco::Net::ServerSocket& listener);
 
   void send(std::string_view bytes);
 
-  /// Reads until `parse` makes a message of the bytes so far, and consumes as many as its member `size` says.
-  /// None where the connection ends or the time is over first.
+  /// Reads until `parse` returns a message, and consumes as many bytes as the message's member `size` states.
+  /// Returns none if the connection ends or the timeout expires first.
   template <typename Parse>
   auto receive(Parse parse) -> decltype(parse(std::string_view())) {
     for (;;) {
@@ -40,12 +40,13 @@
     }
   }
 
-  /// Reads and discards what comes until the peer ends the connection; false where it does not in time.
+  /// Reads and discards input until the peer closes the connection. Returns false if the timeout expires
+  /// first.
   bool waitUntilClosed();
   bool wasReset() const { return wasReset_; }
   bool isOpen() const { return socket_.impl()->initialized(); }
   void close() { socket_.close(); }
-  /// Closes with a reset in place of an orderly end.
+  /// Closes the connection with a reset instead of an orderly shutdown.
   void closeWithReset();
   Poco::Net::StreamSocket& socket() { return socket_; }
 
--- a/tests/support/test_server.cpp
+++ b/tests/support/test_server.cpp
@@ -32,14 +32,14 @@
   endpoints.memoryMb = 192;
 }
 
-void TestServer::useAddressesOfPeers() {
+void TestServer::setPeerAddresses() {
   endpoints.engine = peers.engine.socket.address().toString();
   endpoints.downstream = peers.downstreamSocket.address().toString();
   endpoints.registry = peers.registrySocket.address().toString();
 }
 
 void TestServer::startWithoutEngine() {
-  useAddressesOfPeers();
+  setPeerAddresses();
   server_ = std::make_unique<server::RequestServer>(
       reactor_, log_,
       ServerConfiguration{endpoints, readDeploymentSettings(flattenSettingsJson(settings)), {}});
@@ -78,7 +78,7 @@
 }
 
 void TestServer::reload() {
-  useAddressesOfPeers();
+  setPeerAddresses();
   ::kill(::getpid(), SIGHUP);
   std::this_thread::sleep_for(20ms);
 }
--- a/tests/support/test_server.h
+++ b/tests/support/test_server.h
@@ -1,5 +1,5 @@
 /// @file
-/// A server in the test's process, and the fixture of tests on it.
+/// A server in the test's process, and a fixture for tests that use it.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -18,22 +18,21 @@
 
 namespace rainhook {
 
-/// Names of requests, where a test needs no others.
+/// Names for the requests of a test.
 inline const std::string requestA = "00000000000000a1";
 inline const std::string requestB = "00000000000000a2";
 inline const std::string requestC = "00000000000000a3";
 
-/// Settings of a small deployment: two cores, a handler `read` that may be repeated and a handler `pay` whose
-/// duplicates are dropped by their key.
+/// Returns the settings of a small deployment: two cores, an idempotent handler `read`, and a handler `pay`
+/// whose requests are deduplicated by their idempotency key.
 nlohmann::json exampleSettings();
 
-/// A RequestServer on a thread of its own, with all its peers. It handles SIGTERM and SIGHUP as the program
-/// does.
+/// A RequestServer on a separate thread, with all its peers. It handles SIGTERM and SIGHUP like the program.
 class TestServer {
  public:
   nlohmann::json settings = exampleSettings();
-  ServerEndpoints endpoints;  ///< Limits may be changed before the start; addresses are those of the peers.
-  std::string configurationFile;  ///< Read on a reload, where it is named.
+  ServerEndpoints endpoints;  ///< Tests may change the limits before the start; the peers set the addresses.
+  std::string configurationFile;  ///< The file that a reload reads; if empty, a reload applies `endpoints`.
   FakePeers peers;
 
   TestServer();
@@ -47,20 +46,21 @@
   void stop();
   FakeBalancer connectBalancer() { return FakeBalancer(Poco::Net::StreamSocket(server_->address())); }
 
-  /// Lets the server do nothing while `meanwhile` goes on; what its peers do then it finds all at once.
+  /// Pauses the event loop while `meanwhile` runs. Afterwards the server finds all input of that time in one
+  /// iteration.
   void whilePaused(const std::function<void()>& meanwhile);
-  /// Makes the server reload its configuration, with the peers' addresses as they are now.
+  /// Makes the server reload its configuration with the current addresses of the peers.
   void reload();
   void requestShutdown();
-  void waitForEnd() { thread_.join(); }
+  void waitUntilStopped() { thread_.join(); }
 
-  /// Stops the server and returns what it takes for in flight.
+  /// Stops the server and returns its counts of requests in flight.
   server::InFlightCounts stopAndCountInFlight();
-  /// Stops the server and returns how many connections were visited to make room for others.
+  /// Stops the server and returns how many connections it visited to find idle ones to evict.
   std::uint64_t stopAndCountConnectionsScanned();
 
  private:
-  void useAddressesOfPeers();
+  void setPeerAddresses();
   void onSignal(int signal);
   void stopEventLoop();
 
@@ -71,7 +71,7 @@
   std::function<void()> pause_;
 };
 
-/// A server that the test starts, and its peers.
+/// A fixture with a server that the test starts, and its peers.
 class ServerTest : public testing::Test {
  protected:
   TestServer server;
--- a/tests/system_call_failure_test.cpp
+++ b/tests/system_call_failure_test.cpp
@@ -1,5 +1,6 @@
-// A system call that sets up an accepted socket fails, as where the system has no memory left. The calls are
-// interposed here for the whole test program, and do what the system does until one is told to fail.
+// Tests failures of the system calls that configure an accepted socket, such as those caused by a lack of
+// memory. This file replaces these calls for the whole test program; they forward to the system except when a
+// test lets one fail.
 #include <gtest/gtest.h>
 #include <sys/epoll.h>
 #include <sys/socket.h>
@@ -13,11 +14,11 @@
 
 namespace {
 
-/// Which call from now on fails, counted from 1; 0 for none.
+/// The number of calls until one fails, including that one; 0 if none fails.
 std::atomic<int> failingBufferOption{0};
 std::atomic<int> failingPollRegistration{0};
 
-/// Counts one call down; true for the one that is to fail.
+/// Decrements the countdown for one call. Returns true if this call must fail.
 bool shouldFail(std::atomic<int>& countdown) {
   int current = countdown.load();
   while (current > 0)
@@ -51,7 +52,7 @@
 struct FailingCall {
   const char* name;
   std::atomic<int>* countdown;
-  /// Which of these calls fails after the server has become idle.
+  /// The number, counted from 1 after the server became idle, of the call that fails.
   int number;
 };
 
@@ -62,7 +63,7 @@
     server.start();
   }
 
-  void expectHealthyAnswer() {
+  void expectHealthyResponse() {
     auto client = server.connectBalancer();
     client.sendHealthCheck();
     EXPECT_EQ(client.receiveResponse().kind, ResponseKind::healthy);
@@ -72,25 +73,28 @@
   TestServer server;
 };
 
-TEST_P(SystemCallFailure, EndsOnlyTheConnectionThatWasBeingSetUp) {
-  auto before = server.connectBalancer();
-  before.sendHealthCheck();
-  EXPECT_EQ(before.receiveResponse().kind, ResponseKind::healthy);
+// Guards against an incompletely configured connection that stays in the server's tables after a system call
+// has failed, and against the end of the event loop.
+TEST_P(SystemCallFailure, EndsOnlyNewConnectionWhenItsConfigurationFails) {
+  auto earlier = server.connectBalancer();
+  earlier.sendHealthCheck();
+  EXPECT_EQ(earlier.receiveResponse().kind, ResponseKind::healthy);
 
-  ASSERT_EQ(*GetParam().countdown, 0) << "left over from another test";
+  ASSERT_EQ(*GetParam().countdown, 0) << "countdown is still set by another test";
   *GetParam().countdown = GetParam().number;
-  auto refused = server.connectBalancer();
-  EXPECT_TRUE(refused.waitUntilClosed());
+  auto failed = server.connectBalancer();
+  EXPECT_TRUE(failed.waitUntilClosed());
   EXPECT_EQ(*GetParam().countdown, 0);
 
-  // More connections than there are descriptors: idle ones are evicted, so nothing of the failed one is left.
-  for (int i = 0; i < maxDescriptors + 16; ++i) expectHealthyAnswer();
-  std::this_thread::sleep_for(300ms);  // a sweep looks at all connections
-  expectHealthyAnswer();
+  // Opens more connections than there are descriptors. Idle ones are evicted, which requires that no part of
+  // the failed connection remains.
+  for (int i = 0; i < maxDescriptors + 16; ++i) expectHealthyResponse();
+  std::this_thread::sleep_for(300ms);  // long enough for a sweep, which visits all connections
+  expectHealthyResponse();
 }
 
-// The first registration of an iteration is that of POCO's look whether anything waits to be accepted; then
-// come those for errors and for reading.
+// In each iteration the first registration is made by POCO's poll for connections that can be accepted. The
+// registrations for errors and for reading follow.
 INSTANTIATE_TEST_SUITE_P(AcceptedSocket, SystemCallFailure,
                          testing::Values(FailingCall{"BufferOption", &failingBufferOption, 1},
                                          FailingCall{"ErrorRegistration", &failingPollRegistration, 2},
