--- a/src/test_doubles/fake_downstream.cpp
+++ b/src/test_doubles/fake_downstream.cpp
@@ -17,7 +17,7 @@
 
 double secondsOf(Clock::duration duration) { return std::chrono::duration<double>(duration).count(); }
 
-// The size of the first request, head and body; nothing while it is not whole.
+// Returns the size of the first request, including head and body, or none if it is not complete yet.
 std::optional<std::size_t> requestSize(const std::string& received) {
   const std::size_t head = received.find(headEnd);
   const std::size_t length = received.find(lengthField);
@@ -39,7 +39,7 @@
 
 void FakeDownstream::recordOpenCalls(Clock::time_point now) {
   const auto openCalls = std::count_if(connections_.begin(), connections_.end(),
-                                       [](const auto& entry) { return entry.second.replyDue.has_value(); });
+                                       [](const auto& entry) { return entry.second.replyDueAt.has_value(); });
   callSeconds_ += secondsOf(now - std::exchange(recordedUntil_, now)) * static_cast<double>(openCalls);
   const auto intervals = static_cast<std::size_t>((now - startedAt_) / recordingInterval);
   const std::lock_guard lock(mutex_);
@@ -50,10 +50,10 @@
 
 bool FakeDownstream::readCall(Connection& connection, Clock::time_point now) {
   if (!receiveAvailable(connection.socket.get(), connection.received)) return false;
-  if (connection.replyDue) return true;
+  if (connection.replyDueAt) return true;
   if (const auto size = requestSize(connection.received)) {
     connection.received.erase(0, *size);
-    connection.replyDue = now + callDuration_;
+    connection.replyDueAt = now + callDuration_;
     ++callCount_;
   }
   return true;
@@ -61,8 +61,8 @@
 
 void FakeDownstream::sendReplies(Clock::time_point now) {
   for (auto& [fd, connection] : connections_) {
-    if (!connection.replyDue || *connection.replyDue > now) continue;
-    connection.replyDue.reset();
+    if (!connection.replyDueAt || *connection.replyDueAt > now) continue;
+    connection.replyDueAt.reset();
     sendAll(fd, reply);
   }
 }
--- a/src/test_doubles/fake_engine.cpp
+++ b/src/test_doubles/fake_engine.cpp
@@ -12,12 +12,12 @@
 using namespace std::chrono_literals;
 using nlohmann::json;
 
-// Well beyond the clients' whole time: what waits longer at its call is an execution that nobody waits for.
+// Far longer than the clients' timeouts, so that no client waits any longer for an execution that reaches it.
 constexpr auto maxCallWait = 5s;
 constexpr auto hangingPause = 1ms;
 constexpr int idlePollTimeoutMs = 10;
 constexpr int busyPollTimeoutMs = 1;
-constexpr double cores = 2;  // what it says of its load goes by these
+constexpr double cores = 2;  // the gauge of the processor utilization is relative to this number
 
 }  // namespace
 
@@ -45,12 +45,12 @@
 
 void FakeEngine::run(const std::stop_token& stop) {
   while (!stop.stop_requested()) {
-    if (isHanging_) {  // what arrives meanwhile stays in the socket, and is read later
+    if (isHanging_) {  // input stays in the socket and is read later
       std::this_thread::sleep_for(hangingPause);
       continue;
     }
     pollSockets();
-    carryOutDueSteps();
+    performDueSteps();
   }
 }
 
@@ -74,18 +74,18 @@
   }
 }
 
-void FakeEngine::carryOutDueSteps() {
-  while (!steps_.empty() && steps_.top().due <= Clock::now()) {
+void FakeEngine::performDueSteps() {
+  while (!steps_.empty() && steps_.top().dueAt <= Clock::now()) {
     const Step step = steps_.top();
     steps_.pop();
-    carryOut(step);
+    perform(step);
   }
 }
 
-void FakeEngine::carryOut(const Step& step) {
+void FakeEngine::perform(const Step& step) {
   switch (step.kind) {
-    case StepKind::reachCall:
-      return reachCall(step);
+    case StepKind::startCall:
+      return startCall(step);
     case StepKind::finish:
       return finish(step);
     case StepKind::abandonCall:
@@ -93,22 +93,22 @@
   }
 }
 
-void FakeEngine::reachCall(const Step& step) {
+void FakeEngine::startCall(const Step& step) {
   if (!behavior_.callsDownstream) {
-    steps_.push({step.due + behavior_.workDuration / 2, step.execution, StepKind::finish});
+    steps_.push({step.dueAt + behavior_.workDuration / 2, step.execution, StepKind::finish});
     return;
   }
-  executions_[step.execution] = Phase::atCall;
+  executions_[step.execution] = Phase::inCall;
   send({{"msg", "request"},
-        {"serial", ++notifications_},
+        {"serial", ++lastNotification_},
         {"call", step.execution},
         {"blob", codec::jsonLines::toBase64("call")}});
-  steps_.push({step.due + maxCallWait, step.execution, StepKind::abandonCall});
+  steps_.push({step.dueAt + maxCallWait, step.execution, StepKind::abandonCall});
 }
 
-// The request is over by then: what still waits at its call ends there.
+// Ends an execution that still waits for its downstream call. Its request has ended by this time.
 void FakeEngine::abandonCall(const Step& step) {
-  if (!isAtCall(step.execution)) return;
+  if (!isInCall(step.execution)) return;
   executions_.erase(step.execution);
   recordConcurrency();
   sendOutcome(step.execution, "halted", "");
@@ -120,11 +120,11 @@
   sendOutcome(step.execution, "ok", "done");
 }
 
-void FakeEngine::sendOutcome(const std::string& execution, const char* how, const std::string& result) {
+void FakeEngine::sendOutcome(const std::string& execution, const char* outcome, const std::string& result) {
   send({{"msg", "outcome"},
-        {"serial", ++notifications_},
+        {"serial", ++lastNotification_},
         {"call", execution},
-        {"how", how},
+        {"how", outcome},
         {"duration", behavior_.workDuration.count()},
         {"blob", codec::jsonLines::toBase64(result)}});
 }
@@ -158,20 +158,20 @@
   if (executions_.contains(execution)) return;
   executions_[execution] = Phase::beforeCall;
   recordConcurrency();
-  steps_.push({Clock::now() + behavior_.workDuration / 2, execution, StepKind::reachCall});
+  steps_.push({Clock::now() + behavior_.workDuration / 2, execution, StepKind::startCall});
   const std::lock_guard lock(mutex_);
   ++startCounts_[execution];
 }
 
 void FakeEngine::resume(const std::string& execution) {
-  if (!isAtCall(execution)) return;
+  if (!isInCall(execution)) return;
   executions_[execution] = Phase::afterCall;
   steps_.push({Clock::now() + behavior_.workDuration / 2, execution, StepKind::finish});
 }
 
-bool FakeEngine::isAtCall(const std::string& execution) const {
+bool FakeEngine::isInCall(const std::string& execution) const {
   const auto found = executions_.find(execution);
-  return found != executions_.end() && found->second == Phase::atCall;
+  return found != executions_.end() && found->second == Phase::inCall;
 }
 
 }  // namespace rainhook::testDoubles
--- a/src/test_doubles/fake_engine.h
+++ b/src/test_doubles/fake_engine.h
@@ -19,77 +19,78 @@
 
 namespace rainhook::testDoubles {
 
-/// An execution engine that runs each execution for a fixed time, half before and half after its one
-/// downstream call, and that can hang. Records how often each execution was started and how many there were
-/// at which time. Runs on a thread of its own; its public members may be used from any thread.
+/// An execution engine that runs each execution for a fixed time, half of it before and half after the only
+/// downstream call, and that can hang. It records how often each execution was started and how many
+/// executions were open at which time. It runs on a separate thread; its public members may be used on any
+/// thread.
 class FakeEngine {
  public:
-  /// How the engine behaves.
+  /// The configuration of the engine.
   struct Behavior {
-    std::chrono::milliseconds workDuration{};  ///< of an execution, its downstream call not counted
-    bool callsDownstream = false;              ///< whether an execution makes a call
-    bool startsCold = false;                   ///< what it says of its start
+    std::chrono::milliseconds workDuration{};  ///< duration of an execution without its downstream call
+    bool callsDownstream = false;              ///< whether an execution makes a downstream call
+    bool startsCold = false;                   ///< whether the engine reports a cold start
   };
-  /// How many executions there were from a time on.
+  /// The number of open executions after a change.
   struct ConcurrencySample {
-    Clock::duration engineAge{};  ///< since the start of the engine
-    std::size_t executions = 0;   ///< started and not ended; those at their call are counted
+    Clock::duration engineAge{};  ///< time since the start of the engine
+    std::size_t executions = 0;   ///< open executions, including those in a downstream call
   };
 
   /// Starts to listen.
   explicit FakeEngine(Behavior behavior);
 
-  /// Where it listens.
+  /// Returns the listening address.
   [[nodiscard]] const std::string& address() const { return listener_.address(); }
-  /// While it hangs it keeps its connection, and neither reads nor sends.
+  /// Sets whether the engine hangs. An engine that hangs keeps its connection but neither reads nor sends.
   void setHanging(bool isHanging) { isHanging_ = isHanging; }
-  /// How often each execution was started, by its name.
+  /// Returns how often each execution was started, by name.
   [[nodiscard]] std::map<std::string, int> startCounts() const;
-  /// One sample after each change, in order.
+  /// Returns one sample for each change of the number of executions, in order.
   [[nodiscard]] std::vector<ConcurrencySample> concurrencyHistory() const;
 
  private:
-  enum class Phase { beforeCall, atCall, afterCall };
-  enum class StepKind { reachCall, finish, abandonCall };
+  enum class Phase { beforeCall, inCall, afterCall };
+  enum class StepKind { startCall, finish, abandonCall };
   struct Step {
-    Clock::time_point due;
+    Clock::time_point dueAt;
     std::string execution;
-    StepKind kind = StepKind::reachCall;
-    // The earliest stands at the top of a priority queue.
-    bool operator<(const Step& other) const { return due > other.due; }
+    StepKind kind = StepKind::startCall;
+    // Reversed, so that the step that is due first is at the top of a priority queue.
+    bool operator<(const Step& other) const { return dueAt > other.dueAt; }
   };
 
   void run(const std::stop_token& stop);
   void pollSockets();
   void readCommands();
-  void carryOutDueSteps();
-  void carryOut(const Step& step);
-  void reachCall(const Step& step);
+  void performDueSteps();
+  void perform(const Step& step);
+  void startCall(const Step& step);
   void abandonCall(const Step& step);
   void finish(const Step& step);
   void onCommand(const std::string& line);
   void sendHandshake();
   void sendGauges(const nlohmann::json& cookie);
-  void sendOutcome(const std::string& execution, const char* how, const std::string& result);
+  void sendOutcome(const std::string& execution, const char* outcome, const std::string& result);
   void start(const std::string& execution);
   void resume(const std::string& execution);
-  [[nodiscard]] bool isAtCall(const std::string& execution) const;
+  [[nodiscard]] bool isInCall(const std::string& execution) const;
   void send(const nlohmann::json& message);
   void recordConcurrency();
 
   const Behavior behavior_;
   const Clock::time_point startedAt_ = Clock::now();
   LoopbackListener listener_;
-  FileDescriptor connection_;  // of the server; a new one takes the place of the old
+  FileDescriptor connection_;  // the connection to the server; a new connection replaces it
   std::string received_;
-  std::uint64_t notifications_ = 0;
+  std::uint64_t lastNotification_ = 0;
   std::priority_queue<Step> steps_;
-  std::map<std::string, Phase> executions_;  // until their end
+  std::map<std::string, Phase> executions_;  // open executions by name
   mutable std::mutex mutex_;
   std::map<std::string, int> startCounts_;             // guarded by mutex_
   std::vector<ConcurrencySample> concurrencyHistory_;  // guarded by mutex_
   std::atomic<bool> isHanging_{false};
-  std::jthread thread_;  // the last member: it ends before the others do
+  std::jthread thread_;  // declared last, so that the thread ends before the other members are destroyed
 };
 
 }  // namespace rainhook::testDoubles
--- a/src/test_doubles/open_loop_client.cpp
+++ b/src/test_doubles/open_loop_client.cpp
@@ -13,12 +13,12 @@
 using codec::thrift::Kind;
 using codec::thrift::Type;
 
-constexpr std::size_t maxOpenRequests = 32;  // on a connection, by the protocol
+constexpr std::size_t maxOpenRequests = 32;  // the protocol's limit for one connection
 constexpr std::size_t maxFrameBytes = 1 << 20;
 constexpr int pollTimeoutMs = 1;
 constexpr std::int16_t fieldsField = 1;
 constexpr std::int16_t bodyField = 2;
-constexpr std::int16_t resultField = 0;  // of a reply
+constexpr std::int16_t resultField = 0;  // the field of a reply that contains the result
 
 std::string requestName(int clientNumber, std::uint64_t request) {
   return fmt::format("{:04x}{:012x}", static_cast<unsigned>(clientNumber), request);
@@ -40,8 +40,8 @@
           {"budget", std::to_string(options.timeout.count())}};
 }
 
-std::string requestFrame(std::int32_t sequence, const codec::thrift::Fields& fields) {
-  return codec::thrift::Writer(Kind::call, "call", sequence)
+std::string requestFrame(std::int32_t sequenceNumber, const codec::thrift::Fields& fields) {
+  return codec::thrift::Writer(Kind::call, "call", sequenceNumber)
       .field(fieldsField, Type::map)
       .fields(fields)
       .field(bodyField, Type::text)
@@ -76,7 +76,7 @@
 
 void OpenLoopClient::onConnectionLost() {
   const std::lock_guard lock(mutex_);
-  for (const auto& [sequence, name] : openRequests_) history_[name].isConnectionLost = true;
+  for (const auto& [sequenceNumber, name] : openRequests_) history_[name].isConnectionLost = true;
   openRequests_.clear();
   received_.clear();
   connection_.reset();
@@ -85,13 +85,13 @@
 void OpenLoopClient::connect() {
   const sockaddr_in address = parseSocketAddress(options_.address);
   connection_ = makeStreamSocket();
-  lastSequence_ = 0;
+  lastSequenceNumber_ = 0;
   if (::connect(connection_.get(), asSockaddr(address), sizeof address) != 0) connection_.reset();
 }
 
 void OpenLoopClient::sendRequest(Clock::time_point now) {
   if (!connection_.isOpen()) connect();
-  // What the protocol does not allow is not sent, nor counted.
+  // A request beyond the protocol's limit is neither sent nor counted.
   if (!connection_.isOpen() || openRequests_.size() >= maxOpenRequests) return;
   const std::string name = requestName(options_.clientNumber, ++lastRequest_);
   const codec::thrift::Fields fields = requestFields(options_, name);
@@ -99,19 +99,19 @@
     const std::lock_guard lock(mutex_);
     history_[name].sentAt = now;
   }
-  openRequests_[++lastSequence_] = name;
-  if (!sendAll(connection_.get(), requestFrame(lastSequence_, fields))) onConnectionLost();
+  openRequests_[++lastSequenceNumber_] = name;
+  if (!sendAll(connection_.get(), requestFrame(lastSequenceNumber_, fields))) onConnectionLost();
 }
 
-void OpenLoopClient::receiveAnswers() {
+void OpenLoopClient::receiveResponses() {
   pollfd polled{connection_.get(), POLLIN, 0};
   ::poll(&polled, connection_.isOpen() ? 1 : 0, pollTimeoutMs);
   if (!connection_.isOpen() || polled.revents == 0) return;
   if (!receiveAvailable(connection_.get(), received_)) onConnectionLost();
-  readAnswers();
+  processResponses();
 }
 
-void OpenLoopClient::readAnswers() {
+void OpenLoopClient::processResponses() {
   while (const auto frame = codec::thrift::readFrame(received_, maxFrameBytes)) {
     const codec::thrift::Message message = codec::thrift::readMessage(frame->content);
     const std::lock_guard lock(mutex_);
@@ -141,7 +141,7 @@
       nextRequest += options_.interval;
       sendRequest(now);
     }
-    receiveAnswers();
+    receiveResponses();
   }
 }
 
--- a/src/test_doubles/open_loop_client.h
+++ b/src/test_doubles/open_loop_client.h
@@ -15,57 +15,57 @@
 
 namespace rainhook::testDoubles {
 
-/// Sends a request to one server in each interval, whatever becomes of those before, and records how each was
-/// answered. When its connection is lost it opens another. Runs on a thread of its own; its public members
-/// may be used from any thread.
+/// Sends one request per interval to one server, without waiting for the responses to earlier requests, and
+/// records the response to each request. It reconnects when its connection is lost. It runs on a separate
+/// thread; its public members may be used on any thread.
 class OpenLoopClient {
  public:
-  /// What it sends.
+  /// The configuration of the client.
   struct Options {
-    std::string address;                   ///< of the server
-    std::string handler;                   ///< that all requests name
-    std::chrono::milliseconds interval{};  ///< between two requests
-    std::chrono::milliseconds timeout{};   ///< that each request states
-    int clientNumber = 0;                  ///< under which servers know it; part of the requests' names
+    std::string address;                   ///< address of the server
+    std::string handler;                   ///< handler that all requests call
+    std::chrono::milliseconds interval{};  ///< time between two requests
+    std::chrono::milliseconds timeout{};   ///< time remaining that each request states
+    int clientNumber = 0;                  ///< number of the client; also part of the requests' names
   };
-  /// What became of a request.
+  /// The record of one request.
   struct RequestRecord {
-    Clock::time_point sentAt{};            ///< when it was handed to the socket
-    int responseCount = 0;                 ///< one is right
-    bool isCompleted = false;              ///< whether it was answered with a result
-    bool isConnectionLost = false;         ///< whether the connection was lost before the answer
-    std::chrono::milliseconds latency{0};  ///< until the answer
+    Clock::time_point sentAt{};            ///< when it was passed to the socket
+    int responseCount = 0;                 ///< number of responses; exactly one is correct
+    bool isCompleted = false;              ///< whether the response contained a result
+    bool isConnectionLost = false;         ///< whether the connection was lost before the response
+    std::chrono::milliseconds latency{0};  ///< time from the request to the response
   };
 
-  /// Starts to send.
+  /// Starts to send requests.
   explicit OpenLoopClient(Options options);
 
-  /// Sends no more, and waits for the answers of what was sent, at most one and a half timeouts.
+  /// Stops sending requests and waits for the responses to the open ones, at most one and a half timeouts.
   void stopAndWait();
-  /// What became of each request, by its name.
+  /// Returns the records of all requests by name.
   [[nodiscard]] std::map<std::string, RequestRecord> history() const;
-  /// How many answers arrived that no open request had asked for, as where one is answered twice.
+  /// Returns how many responses belonged to no open request, for example a second response to one request.
   [[nodiscard]] int unexpectedResponses() const { return unexpectedResponses_; }
 
  private:
   void run(const std::stop_token& stop);
   void connect();
   void sendRequest(Clock::time_point now);
-  void receiveAnswers();
-  void readAnswers();
+  void receiveResponses();
+  void processResponses();
   void onConnectionLost();
 
   const Options options_;
   FileDescriptor connection_;
-  std::int32_t lastSequence_ = 0;  // on this connection
+  std::int32_t lastSequenceNumber_ = 0;  // on the current connection
   std::uint64_t lastRequest_ = 0;
   std::string received_;
-  std::map<std::int32_t, std::string> openRequests_;  // names by their sequence on this connection
+  std::map<std::int32_t, std::string> openRequests_;  // names by sequence number on the current connection
   mutable std::mutex mutex_;
   std::map<std::string, RequestRecord> history_;  // guarded by mutex_
   std::atomic<int> unexpectedResponses_{0};
   std::atomic<bool> isStopping_{false};
-  std::jthread thread_;  // the last member: it ends before the others do
+  std::jthread thread_;  // declared last, so that the thread ends before the other members are destroyed
 };
 
 }  // namespace rainhook::testDoubles
--- a/src/test_doubles/socket_helpers.h
+++ b/src/test_doubles/socket_helpers.h
@@ -1,6 +1,6 @@
 /// @file
-/// Sockets of the test doubles: blocking sockets on loopback; each double has a thread of its own that waits
-/// in poll.
+/// Socket functions for the test doubles. The doubles use blocking sockets on loopback, and each double has a
+/// separate thread that waits in poll.
 #pragma once
 
 #include <arpa/inet.h>
@@ -16,6 +16,7 @@
 #include <cstdint>
 #include <stdexcept>
 #include <string>
+#include <system_error>
 #include <utility>
 
 namespace rainhook::testDoubles {
@@ -23,7 +24,7 @@
 /// The clock of all test doubles.
 using Clock = std::chrono::steady_clock;
 
-/// The socket address of `a.b.c.d:port`.
+/// Parses `a.b.c.d:port`.
 [[nodiscard]] inline sockaddr_in parseSocketAddress(const std::string& text) {
   sockaddr_in address{};
   const std::size_t colon = text.rfind(':');
@@ -33,7 +34,7 @@
   return address;
 }
 
-/// The form in which system calls take an address.
+/// Returns the address as the pointer type that system calls require.
 [[nodiscard]] inline const sockaddr* asSockaddr(const sockaddr_in& address) {
   return reinterpret_cast<const sockaddr*>(&address);
 }
@@ -41,24 +42,24 @@
 /// Owns a file descriptor and closes it.
 class FileDescriptor {
  public:
-  /// Owns nothing where `fd` is negative.
+  /// Takes ownership of `fd`, or of nothing if `fd` is negative.
   explicit FileDescriptor(int fd = -1) : fd_(fd) {}
   ~FileDescriptor() { reset(); }
   FileDescriptor(const FileDescriptor&) = delete;
   FileDescriptor& operator=(const FileDescriptor&) = delete;
-  /// Takes the descriptor over.
+  /// Takes ownership of the other object's descriptor.
   FileDescriptor(FileDescriptor&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
-  /// Closes its own descriptor and takes the other one over.
+  /// Closes the own descriptor and takes ownership of the other object's descriptor.
   FileDescriptor& operator=(FileDescriptor&& other) noexcept {
     if (this != &other) reset(std::exchange(other.fd_, -1));
     return *this;
   }
 
-  /// The descriptor, negative where there is none.
+  /// Returns the descriptor, or a negative number if there is none.
   [[nodiscard]] int get() const { return fd_; }
-  /// Whether there is one.
+  /// Returns whether there is a descriptor.
   [[nodiscard]] bool isOpen() const { return fd_ >= 0; }
-  /// Closes what is owned and owns another.
+  /// Closes the descriptor and takes ownership of `fd`.
   void reset(int fd = -1) {
     if (fd_ >= 0) ::close(fd_);
     fd_ = fd;
@@ -68,15 +69,15 @@
   int fd_;
 };
 
-/// A stream socket, closed in processes that are started later.
+/// Creates a stream socket that child processes do not inherit after exec.
 [[nodiscard]] inline FileDescriptor makeStreamSocket() {
   return FileDescriptor(::socket(AF_INET, SOCK_STREAM | SOCK_CLOEXEC, 0));
 }
 
-/// Listens on loopback at a port that the system chooses.
+/// Listens on loopback at a port that the operating system chooses.
 class LoopbackListener {
  public:
-  /// @throws std::runtime_error
+  /// @throws std::runtime_error if the socket cannot be bound or cannot listen.
   LoopbackListener() : socket_(makeStreamSocket()) {
     constexpr int backlog = 64;
     sockaddr_in address = parseSocketAddress("127.0.0.1:0");
@@ -84,17 +85,18 @@
     if (::bind(socket_.get(), asSockaddr(address), sizeof address) != 0 ||
         ::listen(socket_.get(), backlog) != 0 ||
         ::getsockname(socket_.get(), reinterpret_cast<sockaddr*>(&address), &size) != 0)
-      throw std::runtime_error("a test double can't listen");
+      throw std::runtime_error("test double cannot listen on 127.0.0.1: " +
+                               std::generic_category().message(errno));
     address_ = "127.0.0.1:" + std::to_string(ntohs(address.sin_port));
   }
 
-  /// The listening socket.
+  /// Returns the listening socket.
   [[nodiscard]] int fd() const { return socket_.get(); }
-  /// The next connection; not open where there is none.
+  /// Accepts the next connection. The result is not open if the call fails.
   [[nodiscard]] FileDescriptor accept() const {
     return FileDescriptor(::accept4(socket_.get(), nullptr, nullptr, SOCK_CLOEXEC));
   }
-  /// `127.0.0.1:port`
+  /// Returns the listening address, `127.0.0.1:port`.
   [[nodiscard]] const std::string& address() const { return address_; }
 
  private:
@@ -102,7 +104,7 @@
   std::string address_;
 };
 
-/// Sends all bytes; false where the connection is lost.
+/// Sends all bytes. Returns false if the connection is lost.
 inline bool sendAll(int fd, const std::string& bytes) {
   std::size_t sent = 0;
   while (sent < bytes.size()) {
@@ -113,7 +115,7 @@
   return true;
 }
 
-/// Appends what has arrived; false at the end of the connection.
+/// Appends the available input to `bytes`. Returns false if the connection has ended.
 [[nodiscard]] inline bool receiveAvailable(int fd, std::string& bytes) {
   constexpr std::size_t maxBytes = 8192;
   std::array<char, maxBytes> buffer{};
