--- a/tests/server_deduplication_test.cpp
+++ b/tests/server_deduplication_test.cpp
@@ -36,7 +36,7 @@
 }
 
 // Guards against the execution of a duplicate that is read in the same iteration of the event loop as its
-// original, or that arrived within the window but is read after its end.
+// original, and against the execution or shedding of one that arrived within the window but is read after it.
 TEST_F(ServerDeduplication, ExecutesKeyedRequestOnceWhenDuplicateIsReadVeryEarlyOrLate) {
   server.settings["classes"][1]["windowNs"] = 100000000;
   server.start();
