--- a/src/configuration/deployment_settings.cpp
+++ b/src/configuration/deployment_settings.cpp
@@ -21,7 +21,7 @@
   machine.initialSpeed = reader.number("invariants.coldFrom", 1);
   machine.warmUpDuration = reader.duration("invariants.warmWithinNs");
   machine.maxExecutionsPerCore = std::max(1.0, reader.number("invariants.fallMultiple", 1));
-  machine.crowdingWindow = reader.duration("invariants.fallNs");
+  machine.overcommitWindow = reader.duration("invariants.fallNs");
   machine.cancellation =
       reader.choice<CancellationMode>("domain.halt", {{"none", CancellationMode::none},
                                                       {"drop", CancellationMode::discardWork},
@@ -82,7 +82,7 @@
                                                                    {"tier", DownstreamKind::nextTier}});
   downstream.concurrentCallQuota = reader.number("domain.callsOut", 0);
   downstream.quotaWindow = reader.duration("domain.callsOverNs");
-  downstream.abandonedCallLinger = reader.duration("domain.lingerNs");
+  downstream.maxAbandonedCallDuration = reader.duration("domain.lingerNs");
   return downstream;
 }
 
--- a/src/decision/actions.h
+++ b/src/decision/actions.h
@@ -65,7 +65,7 @@
 struct PublishHealth {
   bool healthy = true;  ///< False while the server wants no new requests.
   /// Whether a health check may be answered with this value until the next one is published.
-  bool isCached = false;
+  bool isCacheable = false;
 };
 
 /// Publish the load signal; its meaning follows `LoadSignalKind`.
--- a/src/decision/admission_controller.cpp
+++ b/src/decision/admission_controller.cpp
@@ -60,7 +60,7 @@
 
 void AdmissionController::onStart() {
   hasStarted_ = true;
-  emit(PublishHealth{.healthy = true, .isCached = true});
+  emit(PublishHealth{.healthy = true, .isCacheable = true});
   emit(SetTimer{.timer = tickTimer, .delay = tickInterval});
 }
 
@@ -153,7 +153,7 @@
 
 void AdmissionController::onEvent(const ShutdownNotice& event) {
   drain_.onShutdownNotice(now_, event.timeRemaining);
-  emit(PublishHealth{.healthy = false, .isCached = true});
+  emit(PublishHealth{.healthy = false, .isCacheable = true});
   emit(DiagnosticMessage{"draining: health withdrawn, queued " + std::to_string(queue_.size())});
 }
 
--- a/src/decision/downstream_call_budget.cpp
+++ b/src/decision/downstream_call_budget.cpp
@@ -49,13 +49,13 @@
 Duration DownstreamCallBudget::maxCallDuration() const {
   if (callLimit() >= 1) return Duration::max();
   const double secondsUntilFull = (bucketCapacity() - bucketLevel_) / (1 - callLimit());
-  return fromSeconds(secondsUntilFull) - downstream_.abandonedCallLinger;
+  return fromSeconds(secondsUntilFull) - downstream_.maxAbandonedCallDuration;
 }
 
 void DownstreamCallBudget::recordCallEnd(Duration now, CallEnd end) {
   --openCalls_;
-  if (end == CallEnd::abandoned && downstream_.abandonedCallLinger > 0s)
-    lingeringUntil_.push_back(now + downstream_.abandonedCallLinger);
+  if (end == CallEnd::abandoned && downstream_.maxAbandonedCallDuration > 0s)
+    lingeringUntil_.push_back(now + downstream_.maxAbandonedCallDuration);
 }
 
 int DownstreamCallBudget::callsInFlight() const {
--- a/src/decision/events.h
+++ b/src/decision/events.h
@@ -31,7 +31,7 @@
   /// The retained request that this one repeats, if any.
   std::optional<RequestId> duplicateOf;
   /// Priority that the client states, 0 to 1. Not used by the policy.
-  double rank = 0;
+  double clientPriority = 0;
   /// Memory that the request takes while it is queued.
   double queuedMemoryKb = 0;
   /// Rough estimate of its time on a core, where the client gives one.
--- a/src/decision/settings.h
+++ b/src/decision/settings.h
@@ -55,7 +55,7 @@
   /// Concurrent executions, for each core, that a warm server survives.
   double maxExecutionsPerCore = 1;
   /// How long the server survives more than that. Not used by the policy.
-  Duration crowdingWindow{};
+  Duration overcommitWindow{};
   CancellationMode cancellation = CancellationMode::none;  ///< What a cancellation does to the work.
 };
 
@@ -87,7 +87,7 @@
   /// The window over which that average is taken.
   Duration quotaWindow{};
   /// How long a call that was abandoned may still occupy the downstream service.
-  Duration abandonedCallLinger{};
+  Duration maxAbandonedCallDuration{};
 };
 
 /// Bounds that the protocol sets.
--- a/src/server/request_server.cpp
+++ b/src/server/request_server.cpp
@@ -182,7 +182,7 @@
   event.client = incoming.client;
   event.resourceKey = incoming.resourceKey;
   event.duplicateOf = request.duplicateOf;
-  event.rank = incoming.rank;
+  event.clientPriority = incoming.rank;
   event.queuedMemoryKb = incoming.queuedMemoryKb;
   event.estimatedWork = incoming.estimatedWork;
   event.timeRemaining = incoming.timeRemaining;
--- a/src/simulator_adapter/simulator_protocol.cpp
+++ b/src/simulator_adapter/simulator_protocol.cpp
@@ -96,7 +96,7 @@
 RequestArrived readRequestArrived(FieldReader& in) {
   RequestArrived request;
   request.id = readRequestId(in);
-  request.rank = in.number<float>("prio");
+  request.clientPriority = in.number<float>("prio");
   request.resourceKey = ResourceKey{in.number<std::uint64_t>("entity")};
   const auto original = in.number<std::uint32_t>("forerunner");
   if (original != noOriginal) request.duplicateOf = RequestId{original};
@@ -220,7 +220,7 @@
   void operator()(const PublishHealth& action) const {
     writeHead(ActionCode::publishHealth);
     writeFlag(out_, action.healthy);
-    writeFlag(out_, action.isCached);
+    writeFlag(out_, action.isCacheable);
   }
   void operator()(const PublishLoadSignal& action) const {
     writeHead(ActionCode::publishLoadSignal);
--- a/tests/decision/downstream_call_budget_test.cpp
+++ b/tests/decision/downstream_call_budget_test.cpp
@@ -11,7 +11,7 @@
   return {.kind = DownstreamKind::shared,
           .concurrentCallQuota = quota,
           .quotaWindow = 5s,
-          .abandonedCallLinger = 200ms};
+          .maxAbandonedCallDuration = 200ms};
 }
 
 constexpr double usualSpeed = 1;
--- a/tests/decision_recording_test.cpp
+++ b/tests/decision_recording_test.cpp
@@ -139,7 +139,7 @@
   void encode(const DropResult& action) { fields(ActionCode::drop, action.id); }
   void encode(const AnswerFromOriginal& action) { fields(ActionCode::answerFromOriginal, action.id); }
   void encode(const PublishHealth& action) {
-    fields(ActionCode::publishHealth, action.healthy, action.isCached);
+    fields(ActionCode::publishHealth, action.healthy, action.isCacheable);
   }
   void encode(const PublishLoadSignal& action) { fields(ActionCode::publishLoadSignal, action.value); }
   void encode(const SetIdleConnectionTimeout& action) {
@@ -229,7 +229,7 @@
     machine.coldStart = true;
     machine.initialSpeed = random.thousandths(100, 500);
     machine.warmUpDuration = random.millis(1000, 4000);
-    machine.crowdingWindow = 500ms;
+    machine.overcommitWindow = 500ms;
     machine.maxExecutionsPerCore = random.thousandths(2000, 5000);
   }
   const bool drops = variant == Variant::drop || variant == Variant::tightMemoryDrop ||
@@ -272,7 +272,7 @@
   if (downstream.concurrentCallQuota > 0) {
     downstream.kind = DownstreamKind::shared;
     downstream.quotaWindow = random.millis(1000, 5000);
-    if (random.percent(60)) downstream.abandonedCallLinger = random.millis(10, 150);
+    if (random.percent(60)) downstream.maxAbandonedCallDuration = random.millis(10, 150);
   }
   return downstream;
 }
@@ -597,7 +597,7 @@
     event.resourceKey = ResourceKey{static_cast<std::uint64_t>(random_.between(0, 12))};
     if (random_.percent(15)) makeDuplicate(event);
     const HandlerPolicy& policy = settings_.handlers[static_cast<std::size_t>(event.handler)];
-    event.rank = random_.thousandths(0, 1000);
+    event.clientPriority = random_.thousandths(0, 1000);
     event.queuedMemoryKb = random_.thousandths(5000, 60'000);
     if (random_.percent(40)) event.estimatedWork = remainingWork;
     event.isWrite = policy.idempotency != Idempotency::idempotent || random_.percent(20);
--- a/tests/decision_test.cpp
+++ b/tests/decision_test.cpp
@@ -182,7 +182,7 @@
                             .executionMemoryFactor = 4,
                             .cachedEntryKb = 1,
                             .maxExecutionsPerCore = 100,
-                            .crowdingWindow = 2s};
+                            .overcommitWindow = 2s};
   model.settings.handlers = {{.latencyObjective = 20s, .clientTimeout = 30s, .callsDownstream = true},
                              {.latencyObjective = 20s,
                               .clientTimeout = 30s,
@@ -191,7 +191,7 @@
   model.settings.downstream = {.kind = DownstreamKind::nextTier,
                                .concurrentCallQuota = 0,
                                .quotaWindow = 5s,
-                               .abandonedCallLinger = 200ms};
+                               .maxAbandonedCallDuration = 200ms};
   model.open();
   const auto arriveAndStart = [this](int handler) {
     const RequestId id = arriveNow(handler, 30s);
@@ -272,7 +272,7 @@
   model.settings.downstream = {.kind = DownstreamKind::shared,
                                .concurrentCallQuota = 2,
                                .quotaWindow = 5s,
-                               .abandonedCallLinger = 200ms};
+                               .maxAbandonedCallDuration = 200ms};
   model.settings.handlers.push_back(model.settings.handlers[0]);
   model.settings.handlers[1].callsDownstream = true;
   model.open();
@@ -304,7 +304,7 @@
   model.settings.downstream = {.kind = DownstreamKind::shared,
                                .concurrentCallQuota = 0.4,
                                .quotaWindow = 5s,
-                               .abandonedCallLinger = 200ms};
+                               .maxAbandonedCallDuration = 200ms};
   firstHandler().callsDownstream = true;
   model.open();
   for (int i = 0; i < 200; ++i) {
--- a/tests/protocol_model.h
+++ b/tests/protocol_model.h
@@ -51,7 +51,7 @@
                                       .executionMemoryFactor = 4,
                                       .cachedEntryKb = 50,
                                       .maxExecutionsPerCore = 4,
-                                      .crowdingWindow = 2s},
+                                      .overcommitWindow = 2s},
                           .handlers = {{.latencyObjective = 1s, .clientTimeout = 3s}},
                           .downstream = {},
                           .limits = {.answerSlack = 60ms, .drainGrace = 1s},
@@ -109,7 +109,7 @@
     RequestArrived arrival;
     arrival.id = RequestId{++lastId};
     arrival.handler = HandlerId{static_cast<std::uint8_t>(handler)};
-    arrival.rank = 0.5;
+    arrival.clientPriority = 0.5;
     arrival.queuedMemoryKb = 20;
     arrival.timeRemaining = timeRemaining;
     arrival.readDelay = readDelay;
@@ -145,7 +145,7 @@
     ModelRequest& request = requests.at(id);
     pendingEvents.emplace_back(DownstreamCallEnded{id, outcome, {}});
     if (outcome == Outcome::timedOut)
-      lingeringUntil_.push_back(now + settings.downstream.abandonedCallLinger);
+      lingeringUntil_.push_back(now + settings.downstream.maxAbandonedCallDuration);
     request.state = outcome == Outcome::completed ? RequestState::executing : RequestState::awaitingCall;
     request.mayCallHaveRun =
         outcome == Outcome::failed || outcome == Outcome::timedOut || outcome == Outcome::connectionLost;
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -123,7 +123,7 @@
 }
 
 DownstreamProfile generateDownstream() {
-  DownstreamProfile downstream{.quotaWindow = 5s, .abandonedCallLinger = 200ms};
+  DownstreamProfile downstream{.quotaWindow = 5s, .maxAbandonedCallDuration = 200ms};
   downstream.kind = *rc::gen::element(DownstreamKind::none, DownstreamKind::shared, DownstreamKind::nextTier);
   if (downstream.kind == DownstreamKind::shared)
     downstream.concurrentCallQuota = *rc::gen::element(0.1, 0.4, 0.9, 1.5, 4.0);
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -38,7 +38,7 @@
   EXPECT_EQ(batch.events[0].instance, instance3);
   EXPECT_EQ(request.id, RequestId{0x5d3a91c4});
   EXPECT_EQ(request.duplicateOf, RequestId{0x0e6f2b19});
-  EXPECT_EQ(request.rank, 0.625);
+  EXPECT_EQ(request.clientPriority, 0.625);
   EXPECT_EQ(request.estimatedWork, Duration(12000000));
   EXPECT_EQ(request.timeRemaining, Duration(240000000));
   EXPECT_EQ(request.client, ClientId{17});
