--- a/src/decision/actions.h
+++ b/src/decision/actions.h
@@ -9,87 +9,87 @@
 
 namespace rainhook {
 
-/// Start to execute a queued request.
+/// Starts the execution of a queued request.
 struct StartExecution {
   RequestId id{};  ///< The queued request.
 };
 
-/// Answer that the request was turned away without having been executed (or that it is safe to repeat).
+/// Answers that the request was shed: it was not executed, or it is safe to repeat.
 struct ShedRequest {
   RequestId id{};  ///< The request to answer.
-  /// How long the client is advised to stay away; 0 for no advice.
+  /// How long the client is advised to wait before it retries; 0 for no advice.
   Duration retryAfter{};
-  /// Asks the client not to try another server.
+  /// Whether the client is asked not to retry at another server.
   bool discourageRetry = false;
 };
 
-/// Answer that the request failed; it may have been executed.
+/// Answers that the request failed; it may have been executed.
 struct FailRequest {
   RequestId id{};  ///< The request to answer.
 };
 
-/// Cancel an execution.
+/// Cancels an execution.
 struct CancelExecution {
   RequestId id{};  ///< The request in execution.
 };
 
-/// Make the downstream call that an execution waits for.
+/// Makes the downstream call that an execution waits for.
 struct CallDownstream {
   RequestId id{};  ///< The request whose execution waits for the call.
-  /// The call is abandoned after this time.
+  /// Time after which the call is abandoned.
   Duration timeout{};
 };
 
-/// Let an execution go on without its downstream call.
+/// Lets an execution continue without its downstream call.
 struct SkipDownstreamCall {
   RequestId id{};  ///< The request whose execution waits for the call.
 };
 
-/// Retain the request and its result so that duplicates are recognized.
+/// Retains the request and its result so that duplicates are recognized.
 struct RetainResult {
   RequestId id{};        ///< The request to retain.
   Duration retention{};  ///< How long to retain it, from now.
 };
 
-/// Forget a retained request that was never executed.
+/// Discards a retained request that was never executed.
 struct DropResult {
   RequestId id{};  ///< The retained request.
 };
 
-/// Answer a duplicate with the result of its original as soon as there is one.
+/// Answers a duplicate with the result of its original as soon as that result is available.
 struct AnswerFromOriginal {
-  RequestId id{};  ///< The duplicate; its arrival names the original.
+  RequestId id{};  ///< The duplicate; `RequestArrived::duplicateOf` names the original.
 };
 
-/// Publish whether this server wants to be listed as in service.
+/// Publishes whether this server should be listed as in service.
 struct PublishHealth {
-  bool healthy = true;  ///< False while the server wants no new requests.
-  /// Whether a health check may be answered with this value until the next one is published.
+  bool healthy = true;  ///< False while the server should receive no new requests.
+  /// Whether health checks may be answered with this value until the next one is published.
   bool isCacheable = false;
 };
 
-/// Publish the load signal; its meaning follows `LoadSignalKind`.
+/// Publishes the load signal; `LoadSignalKind` defines its meaning.
 struct PublishLoadSignal {
-  double value = 0;  ///< A share, 0 to 1; requests for each client where the signal is a credit.
+  double value = 0;  ///< A share from 0 to 1; for a credit, the number of requests for each client.
 };
 
-/// Close client connections that stay idle for longer than this.
+/// Closes client connections that stay idle for longer than the timeout.
 struct SetIdleConnectionTimeout {
-  Duration timeout{};  ///< The idle time that is allowed from now on.
+  Duration timeout{};  ///< The longest idle time that is allowed from now on.
 };
 
-/// Report `TimerFired` after the delay.
+/// Sets a timer: the host reports `TimerFired` after the delay.
 struct SetTimer {
-  TimerId timer{};   ///< The timer to report.
-  Duration delay{};  ///< Time until the report.
+  TimerId timer{};   ///< The timer that `TimerFired` names.
+  Duration delay{};  ///< Time until the timer fires.
 };
 
-/// A text for the log.
+/// Writes a message to the log.
 struct DiagnosticMessage {
-  std::string text;  ///< What to log.
+  std::string text;  ///< The message.
 };
 
-/// Any one action.
+/// Any action of the policy.
 using Action = std::variant<StartExecution, ShedRequest, FailRequest, CancelExecution, CallDownstream,
                             SkipDownstreamCall, RetainResult, DropResult, AnswerFromOriginal, PublishHealth,
                             PublishLoadSignal, SetIdleConnectionTimeout, SetTimer, DiagnosticMessage>;
--- a/src/decision/active_requests.cpp
+++ b/src/decision/active_requests.cpp
@@ -37,8 +37,8 @@
   request.stage = stage;
 }
 
-void ActiveRequests::settleAnswer(RequestRecord& request) {
-  request.isAnswerOwed = false;
+void ActiveRequests::clearPendingResponse(RequestRecord& request) {
+  request.isResponsePending = false;
   deadlines_.erase({request.deadline, request.arrival.id});
 }
 
--- a/src/decision/active_requests.h
+++ b/src/decision/active_requests.h
@@ -1,5 +1,5 @@
 /// @file
-/// The requests in the hands of the admission controller.
+/// The requests that the admission controller is currently handling.
 #pragma once
 
 #include <map>
@@ -11,50 +11,50 @@
 
 namespace rainhook {
 
-/// Holds the records of all requests that are not over, with the indexes that keep event handling from
-/// scanning them: by deadline, and those on the cores.
+/// Holds the records of all requests that are waiting for a response or still have an execution. Two indexes,
+/// by deadline and of the requests on the cores, spare event handling a scan of all records.
 ///
-/// References and pointers to records stay valid until the record is removed or replaced.
+/// References and pointers to a record stay valid until the record is removed or replaced.
 class ActiveRequests {
  public:
-  /// Deadlines with the requests that have them, in ascending order.
+  /// Pairs of a deadline and the request that has it, in ascending order.
   using DeadlineIndex = std::set<std::pair<Duration, RequestId>>;
 
-  /// Adds a request that is owed an answer, or replaces the record of the same id.
+  /// Adds a request whose response is pending, or replaces the record of the same id.
   void add(const RequestRecord& request);
 
-  /// The record, or null where the request is over or was never known.
+  /// Returns the record, or null if the request was removed or never added.
   [[nodiscard]] RequestRecord* find(RequestId id);
 
-  /// The record of a request that must be there.
+  /// Returns the record of a request, which must exist.
   [[nodiscard]] RequestRecord& at(RequestId id) { return records_.at(id); }
-  /// The record of a request that must be there, for reading.
+  /// Returns the record of a request, which must exist, for reading.
   [[nodiscard]] const RequestRecord& at(RequestId id) const { return records_.at(id); }
 
   /// Starts the execution of a queued request.
   void start(RequestRecord& request, Duration now);
 
-  /// Takes back a cancelled execution: the request is queued again and its work is lost.
+  /// Puts the request of a cancelled execution back into the queued stage; the work done is lost.
   void requeue(RequestRecord& request, Duration now);
 
-  /// Takes an execution off the cores or back to them and counts its time off them.
+  /// Moves an execution off the cores or back onto them and adds up the time that it spent off them.
   void moveTo(RequestRecord& request, RequestStage stage, Duration now);
 
-  /// No answer is owed any more.
-  void settleAnswer(RequestRecord& request);
+  /// Records that the request needs no response any more.
+  void clearPendingResponse(RequestRecord& request);
 
-  /// Removes a request that must be there.
+  /// Removes a request, which must exist.
   void remove(RequestId id);
 
-  /// Requests on the cores.
+  /// The number of requests on the cores.
   [[nodiscard]] int executingCount() const { return static_cast<int>(executing_.size()); }
-  /// The requests on the cores, in the order of their ids.
+  /// The requests on the cores in ascending order of their ids.
   [[nodiscard]] const std::set<RequestId>& executing() const { return executing_; }
 
-  /// Requests that were started, at downstream calls too.
+  /// The number of started executions that have not ended, including those at downstream calls.
   [[nodiscard]] int startedCount() const { return startedCount_; }
 
-  /// Requests that are owed an answer, earliest deadline first.
+  /// The requests whose response is pending, earliest deadline first.
   [[nodiscard]] const DeadlineIndex& deadlines() const { return deadlines_; }
 
  private:
--- a/src/decision/admission_controller.cpp
+++ b/src/decision/admission_controller.cpp
@@ -17,20 +17,21 @@
 
 constexpr TimerId tickTimer{1};
 constexpr Duration tickInterval = 25ms;
-/// Answers that are owed are given so long before their deadline.
+/// A pending response is sent at the latest this long before its deadline.
 constexpr Duration deadlineMargin = 30ms;
-/// The protocol's slack, and what times of arrival in whole milliseconds may be off, at either end.
+/// Covers the protocol's slack and the error of arrival times that are rounded to whole milliseconds, at both
+/// ends of the deduplication window.
 constexpr Duration retentionMargin = 52ms;
 constexpr Duration limitRaiseInterval = 100ms;
 constexpr Duration minCallTimeout = 1ms;
-/// Cores that are busier than this are not idle.
+/// Cores with a higher utilization than this do not count as idle.
 constexpr double idleUtilization = 0.85;
-/// From this excess on, reading gets a core of its own.
+/// If the read delay exceeds the usual delay by more than this, one core is reserved for reading.
 constexpr double longReadDelaySeconds = 0.3;
-/// Calls slower than this are not retried: it would only add to the load.
+/// At this slowdown or above, calls are not retried, since retries would only add to the load.
 constexpr double maxSlowdownForRetry = 2;
 constexpr int maxCallFailures = 2;
-/// A call is expected to take this many times the usual where it must be in time.
+/// To check whether a call completes in time, it is assumed to take this many times its expected duration.
 constexpr double callTimeMargin = 1.5;
 
 }  // namespace
@@ -95,7 +96,7 @@
   if (request->stage == RequestStage::calling) callBudget_.recordCallEnd(now_, CallEnd::abandoned);
   if (request->stage == RequestStage::executing && event.outcome == Outcome::completed)
     learnFromExecution(*request);
-  if (event.outcome == Outcome::cancelled && request->isAnswerOwed) {
+  if (event.outcome == Outcome::cancelled && request->isResponsePending) {
     requeueCancelled(*request);
     return;
   }
@@ -105,8 +106,8 @@
 void AdmissionController::learnFromExecution(const RequestRecord& request) {
   const Duration coreTime = now_ - request.startedAt - request.offCoreTime;
   serviceTimes_.recordExecution(request.arrival, coreTime, request.completedCalls);
-  // Shed and failed requests must not pass for low latency; time in calls is not the limit's doing.
-  if (!request.isAnswerOwed) return;
+  // Shed and failed requests must not count as low latency. The limit does not cause the time in calls.
+  if (!request.isResponsePending) return;
   const double latencySeconds = toSeconds(now_ - request.arrivedAt - request.offCoreTime);
   limiter_.recordLatency(serviceTimes_.normalizeLatency(request.arrival.handler, latencySeconds));
 }
@@ -132,8 +133,8 @@
 void AdmissionController::onEvent(const DownstreamCallEnded& event) {
   RequestRecord* request = requests_.find(event.id);
   if (!request || request->stage != RequestStage::calling) return;
-  const bool mayLinger = event.outcome == Outcome::timedOut || event.outcome == Outcome::connectionLost;
-  callBudget_.recordCallEnd(now_, mayLinger ? CallEnd::abandoned : CallEnd::finished);
+  const bool mayStillRun = event.outcome == Outcome::timedOut || event.outcome == Outcome::connectionLost;
+  callBudget_.recordCallEnd(now_, mayStillRun ? CallEnd::abandoned : CallEnd::finished);
   serviceTimes_.recordCall(event.duration);
   request->lastCallOutcome = event.outcome;
   if (event.outcome == Outcome::completed) {
@@ -148,13 +149,15 @@
 }
 
 void AdmissionController::onEvent(const ClientDisconnected& event) {
-  if (RequestRecord* request = requests_.find(event.id)) settleAnswer(*request);
+  if (RequestRecord* request = requests_.find(event.id)) closeRequest(*request);
 }
 
 void AdmissionController::onEvent(const ShutdownNotice& event) {
   drain_.onShutdownNotice(now_, event.timeRemaining);
   emit(PublishHealth{.healthy = false, .isCacheable = true});
-  emit(DiagnosticMessage{"draining: health withdrawn, queued " + std::to_string(queue_.size())});
+  emit(DiagnosticMessage{
+      "shutdown notice received: published unhealthy and started draining; queued requests: " +
+      std::to_string(queue_.size())});
 }
 
 void AdmissionController::onEvent(const DownstreamQuotaChanged& event) {
@@ -177,14 +180,14 @@
   hasIdleCores_ = hasIdleCores(event);
 }
 
-/// Whether the gauges say that cores are idle now while the limit keeps requests in the queue.
+/// Whether the gauges show that cores are idle now while the limit keeps requests in the queue.
 bool AdmissionController::hasIdleCores(const TimerFired& gauges) const {
   if (!gauges.cpuUtilization || !gauges.runnableTasks || queue_.isEmpty()) return false;
   return *gauges.cpuUtilization < idleUtilization && *gauges.runnableTasks < settings_.machine.cores &&
          requests_.executingCount() >= limiter_.limit();
 }
 
-// The path of a request.
+// Decision stages.
 
 void AdmissionController::processRequests(Duration elapsed) {
   const double ceiling = executionCeiling_.maxExecutions(now_);
@@ -193,19 +196,19 @@
   limiter_.clampTo(ceiling);
 
   admitArrivals();
-  shedHopeless(tolerableSeconds);
+  shedUnservable(tolerableSeconds);
   const bool callsWait = !awaitingCall_.empty();
   startExecutions(ceiling, callsWait);
   const double queueWaitSeconds = trimQueue(tolerableSeconds, callsWait);
   advanceDownstreamCalls(callsWait);
-  answerOverdue();
+  shedOrFailOverdue();
 
   overload_.update(elapsed, queueWaitSeconds + readDelays_.excessSeconds(), tolerableSeconds);
   readDelays_.advance(elapsed);
   publishLoadSignal();
 }
 
-/// A duplicate waits for its original, a request that can't be served is shed at once, others are queued.
+/// Makes duplicates wait for their originals, sheds requests that can't be served and queues all others.
 void AdmissionController::admitArrivals() {
   for (const RequestId id : std::exchange(arrivals_, {})) {
     RequestRecord* request = requests_.find(id);
@@ -219,9 +222,9 @@
   }
 }
 
-/// Sheds queued requests that can't be answered in time, and those that would wait too long for a call.
-void AdmissionController::shedHopeless(double tolerableSeconds) {
-  removeDepartedFromQueue();
+/// Sheds queued requests that can't be answered in time or would wait too long for a downstream call.
+void AdmissionController::shedUnservable(double tolerableSeconds) {
+  removeStaleQueueEntries();
   auto callsAhead = static_cast<double>(awaitingCall_.size());
   for (const RequestId id : queue_)
     callsAhead += serviceTimes_.callsPerExecution(requests_.at(id).arrival.handler);
@@ -230,21 +233,21 @@
     const HandlerId handler = request.arrival.handler;
     const double callWaitSeconds = callsAhead * serviceTimes_.callSeconds() / callBudget_.callLimit();
     const bool waitsTooLongForCall =
-        serviceTimes_.usuallyCalls(handler) && callWaitSeconds > tolerableSeconds;
+        serviceTimes_.usuallyCallsDownstream(handler) && callWaitSeconds > tolerableSeconds;
     if (!waitsTooLongForCall && !isTooLate(request)) continue;
     callsAhead -= serviceTimes_.callsPerExecution(handler);
-    shedOrFail(request, waitsTooLongForCall ? ShedCause::futile : ShedCause::localLoad);
+    shedOrFail(request, waitsTooLongForCall ? ShedCause::unservableAnywhere : ShedCause::localLoad);
   }
-  removeDepartedFromQueue();
+  removeStaleQueueEntries();
 }
 
-/// Starts queued requests while the limit, the ceiling and the memory allow. While calls wait for room, an
-/// execution that calls would only wait too: it stays queued.
+/// Starts queued requests while the limit, the ceiling and the memory allow. While downstream calls wait for
+/// the call budget, requests whose handlers usually make such calls stay queued, since they would wait too.
 void AdmissionController::startExecutions(double ceiling, bool callsWait) {
   const double limit = executionLimit();
   for (const RequestId id : queue_.startOrder(now_)) {
     RequestRecord& request = requests_.at(id);
-    if (callsWait && serviceTimes_.usuallyCalls(request.arrival.handler)) continue;
+    if (callsWait && serviceTimes_.usuallyCallsDownstream(request.arrival.handler)) continue;
     if (requests_.executingCount() + 1 > limit) {
       limiter_.recordLimitReached();
       if (!mayRaiseLimit()) break;
@@ -252,17 +255,17 @@
       limiter_.raiseByOne(ceiling);
     }
     const double queuedKb = request.arrival.queuedMemoryKb;
-    const double moreKb = memory_.executionKb(queuedKb) - queuedKb;
-    if (requests_.startedCount() + 1 > ceiling || !memory_.fits(moreKb)) break;
-    memory_.reserve(moreKb);
+    const double additionalKb = memory_.executionKb(queuedKb) - queuedKb;
+    if (requests_.startedCount() + 1 > ceiling || !memory_.fits(additionalKb)) break;
+    memory_.reserve(additionalKb);
     requests_.start(request, now_);
     emit(StartExecution{id});
   }
-  removeDepartedFromQueue();
+  removeStaleQueueEntries();
 }
 
-/// Sheds from the oldest end until the newest queued request need not wait longer than is tolerable for those
-/// ahead of it. Returns the seconds that it has to wait.
+/// Sheds the oldest requests until the newest one has to wait no longer than is tolerable for the requests
+/// ahead of it and the memory suffices. Returns the seconds that the newest request has to wait.
 double AdmissionController::trimQueue(double tolerableSeconds, bool callsWait) {
   double secondsAhead = queuedWorkSeconds(callsWait);
   if (!queue_.isEmpty())
@@ -282,19 +285,21 @@
 void AdmissionController::advanceDownstreamCalls(bool callsWait) {
   for (const RequestId id : std::exchange(awaitingCall_, {})) {
     RequestRecord* request = requests_.find(id);
-    if (!request || request->stage != RequestStage::awaitingCall || !request->isAnswerOwed) continue;
+    if (!request || request->stage != RequestStage::awaitingCall || !request->isResponsePending) continue;
     advanceDownstreamCall(*request, callsWait);
   }
 }
 
-/// Makes the call within the budget, skips it where that earns something, gives up where it comes too late.
+/// Makes the call if the budget allows. If the call would be late or has failed, skips it if a response
+/// without it earns weight, and sheds or fails the request if the call must not be repeated or would be of no
+/// use.
 void AdmissionController::advanceDownstreamCall(RequestRecord& request, bool callsWait) {
   const RequestId id = request.arrival.id;
   const HandlerPolicy& policy = policyOf(request);
   const int failures = request.consecutiveCallFailures;
   const bool isRepeatable = isIdempotent(request) || provesNotExecuted(request.lastCallOutcome);
   const bool late = now_ + fromSeconds(serviceTimes_.callSeconds() * callTimeMargin) > request.target;
-  // While calls are quick and take no share of a quota, one that fails or gets no reply is worth a retry.
+  // While calls are fast and use no quota, a call that fails or gets no reply should be retried.
   const bool mayRetryCalls =
       !callBudget_.hasQuota() && serviceTimes_.callSlowdown() < maxSlowdownForRetry && isRepeatable;
   const bool shouldRetry =
@@ -304,7 +309,7 @@
     requests_.moveTo(request, RequestStage::executing, now_);
     emit(SkipDownstreamCall{id});
   } else if ((failures > 0 && !isRepeatable) || failures >= maxCallFailures || (late && callsWait)) {
-    shedOrFail(request, ShedCause::futile);
+    shedOrFail(request, ShedCause::unservableAnywhere);
   } else if (!callBudget_.hasRoom(now_)) {
     awaitingCall_.push_back(id);
   } else {
@@ -321,8 +326,9 @@
   emit(CallDownstream{.id = request.arrival.id, .timeout = std::max(timeout, minCallTimeout)});
 }
 
-/// Answers what is owed before its deadline, executing or not, and what can earn nothing any more.
-void AdmissionController::answerOverdue() {
+/// Sheds or fails requests shortly before their deadline or the stop of the server, whether executing or not,
+/// and requests whose execution should be cancelled.
+void AdmissionController::shedOrFailOverdue() {
   std::set<RequestId> overdue;
   for (const auto& [deadline, id] : requests_.deadlines()) {
     if (std::min(deadline, drain_.stopTime() - tickInterval) - now_ > deadlineMargin) break;
@@ -330,13 +336,13 @@
   }
   if (canCancelExecutions()) {
     for (const RequestId id : requests_.executing())
-      if (isWorthless(requests_.at(id))) overdue.insert(id);
+      if (shouldCancelExecution(requests_.at(id))) overdue.insert(id);
     entriesScanned_ += requests_.executing().size();
   }
   entriesScanned_ += overdue.size();
   for (const RequestId id : overdue) {
     RequestRecord& request = requests_.at(id);
-    shedOrFail(request, now_ > request.target ? ShedCause::futile : ShedCause::localLoad);
+    shedOrFail(request, now_ > request.target ? ShedCause::unservableAnywhere : ShedCause::localLoad);
   }
 }
 
@@ -345,15 +351,15 @@
   if (value) emit(PublishLoadSignal{*value});
 }
 
-// What the path asks.
+// Conditions that the decision stages check.
 
 bool AdmissionController::isTooLate(const RequestRecord& request) const {
   return timing_.isTooLate(request, now_, overload_.isUnderPressure());
 }
 
-/// Whether an execution only keeps others from the cores: past its target, and late earns nothing.
-bool AdmissionController::isWorthless(const RequestRecord& request) const {
-  return request.isAnswerOwed && now_ > request.target && isCancellable(request) &&
+/// Whether the execution only occupies a core: its target has passed and a late response earns no weight.
+bool AdmissionController::shouldCancelExecution(const RequestRecord& request) const {
+  return request.isResponsePending && now_ > request.target && isCancellable(request) &&
          policyOf(request).lateWeight <= 0;
 }
 
@@ -371,19 +377,20 @@
 
 bool AdmissionController::mayRaiseLimit() const { return hasIdleCores_ && now_ >= nextLimitRaise_; }
 
-/// The limit on executions for this moment. Requests that stand unread can't be shed, and wait for the cores
-/// that executions share with reading: when they wait for long, reading gets one core more.
+/// Returns the current limit on executions. Unread requests can't be shed, and reading shares the cores with
+/// executions: if requests wait long to be read, one core is reserved for reading.
 double AdmissionController::executionLimit() const {
   const int reservedForReading = readDelays_.excessSeconds() > longReadDelaySeconds ? 1 : 0;
   return std::max(1.0, limiter_.limit() - reservedForReading);
 }
 
-/// Seconds on the cores of the queued requests, less those that wait until calls have room.
+/// Returns the seconds on the cores that the queued requests need, without those that stay queued because
+/// calls wait for the call budget.
 double AdmissionController::queuedWorkSeconds(bool callsWait) const {
   double total = 0;
   for (const RequestId id : queue_) {
     const RequestArrived& arrival = requests_.at(id).arrival;
-    if (callsWait && serviceTimes_.usuallyCalls(arrival.handler)) continue;
+    if (callsWait && serviceTimes_.usuallyCallsDownstream(arrival.handler)) continue;
     total += serviceTimes_.executionSeconds(arrival);
   }
   return total;
@@ -391,8 +398,8 @@
 
 // Duplicates.
 
-/// A duplicate of a keyed request that may have been executed, or of a read in progress, waits for its
-/// original. Returns whether the request is one.
+/// Makes a duplicate wait for its original if the request is keyed, since the original may have been
+/// executed, or if the original is retained, as for a shared read. Returns whether the request waits.
 bool AdmissionController::awaitOriginal(RequestRecord& request) {
   const auto& original = request.arrival.duplicateOf;
   if (!original) return false;
@@ -404,7 +411,8 @@
   return true;
 }
 
-/// Retains the request where duplicates may follow. Returns false where it must be and memory has no room.
+/// Retains the request if duplicates may follow. Returns false if the request must be retained but the memory
+/// does not suffice.
 bool AdmissionController::retainForDuplicates(const RequestRecord& request) {
   const HandlerPolicy& policy = policyOf(request);
   const Duration sharingDuration = settings_.sharing.sharingDuration;
@@ -421,17 +429,17 @@
   return true;
 }
 
-/// A request that never ran has no result: duplicates must be executed themselves.
+/// Drops a retained request that was never started: it has no result, so its duplicates must be executed.
 void AdmissionController::dropRetained(const RequestRecord& request) {
   if (request.hasStarted || !deduplication_.remove(request.arrival.id)) return;
   memory_.release(memory_.cachedEntryKb());
   emit(DropResult{request.arrival.id});
 }
 
-// Answers without a result.
+// Responses without a result.
 
-/// Answers the request for good. One that may have been executed and must not be repeated, or a duplicate of
-/// such a one, is never said to have been shed.
+/// Sends the final response of the request. A request that may have been executed and must not be repeated,
+/// and a duplicate of such a request, is never reported as shed.
 void AdmissionController::shedOrFail(RequestRecord& request, ShedCause cause) {
   const RequestId id = request.arrival.id;
   const bool isLocal = cause == ShedCause::localLoad;
@@ -443,13 +451,13 @@
   } else {
     emit(FailRequest{id});
   }
-  settleAnswer(request);
+  closeRequest(request);
 }
 
-/// No answer is owed any more: what has not started is over, an execution ends by itself unless it can be
-/// cancelled.
-void AdmissionController::settleAnswer(RequestRecord& request) {
-  requests_.settleAnswer(request);
+/// Closes a request that needs no response any more. A request that has not started is removed. An execution
+/// is cancelled if that is possible; otherwise it runs to its end.
+void AdmissionController::closeRequest(RequestRecord& request) {
+  requests_.clearPendingResponse(request);
   if (request.stage == RequestStage::executing && isCancellable(request))
     emit(CancelExecution{request.arrival.id});
   if (isStarted(request.stage)) return;
@@ -463,7 +471,7 @@
   requests_.remove(request.arrival.id);
 }
 
-void AdmissionController::removeDepartedFromQueue() {
+void AdmissionController::removeStaleQueueEntries() {
   entriesScanned_ += queue_.size();
   queue_.retainIf([this](RequestId id) {
     const RequestRecord* request = requests_.find(id);
@@ -477,9 +485,9 @@
   return fromSeconds(toSeconds(longest) * overload_.severity());
 }
 
-/// Where all servers are full, retries elsewhere fare no better and only add load. A server that is merely
-/// slow can't tell its own trouble from a storm of reading and accepting that its sheds feed, so only one
-/// that drains lets them go on.
+/// If all servers are overloaded, retries at other servers fail too and only add load. A slow server can't
+/// distinguish a problem of its own from a fleet-wide overload by reading and accepting, which retries of
+/// shed requests increase. So every overloaded server discourages retries, unless it is draining.
 bool AdmissionController::shouldDiscourageRetry() const {
   return !drain_.isDraining() && overload_.isOverloaded();
 }
--- a/src/decision/admission_controller.h
+++ b/src/decision/admission_controller.h
@@ -1,5 +1,5 @@
 /// @file
-/// The admission policy of one server: what becomes of each request, and when.
+/// The admission policy of one server: decides which requests to execute, queue, shed or fail, and when.
 #pragma once
 
 #include <cstdint>
@@ -25,11 +25,11 @@
 
 namespace rainhook {
 
-/// Takes the events into the parts that estimate and account, then moves all requests along their path:
-/// `processRequests` is that path, top to bottom. docs/design.md explains the decisions.
+/// Passes each event to the estimators and accounts that it concerns, then decides about all requests.
+/// `processRequests` lists the stages of these decisions in order. docs/design.md explains the decisions.
 class AdmissionController final : public AdmissionPolicy {
  public:
-  /// Keeps a copy of the settings.
+  /// Creates the policy of one server; keeps a copy of the settings.
   explicit AdmissionController(const PolicySettings& settings);
 
   [[nodiscard]] std::vector<Action> onEvents(Duration now, std::span<const Event> events) override;
@@ -39,8 +39,10 @@
  private:
   /// Why a request is answered without a result.
   enum class ShedCause {
-    localLoad,  ///< This server's load: it counts as a sign of overload, and another server may do better.
-    futile,     ///< A slow dependency, or too late: it would be no better on another server.
+    /// The load of this server. It counts as a sign of overload, and another server may still succeed.
+    localLoad,
+    /// A slow dependency, or too little time left: another server would not succeed either.
+    unservableAnywhere,
   };
 
   void onStart();
@@ -59,20 +61,20 @@
   void requeueCancelled(RequestRecord& request);
   [[nodiscard]] bool hasIdleCores(const TimerFired& gauges) const;
 
-  /// The path of a request.
+  /// Runs all decision stages in order.
   void processRequests(Duration elapsed);
   void admitArrivals();
-  void shedHopeless(double tolerableSeconds);
+  void shedUnservable(double tolerableSeconds);
   void startExecutions(double ceiling, bool callsWait);
   [[nodiscard]] double trimQueue(double tolerableSeconds, bool callsWait);
   void advanceDownstreamCalls(bool callsWait);
   void advanceDownstreamCall(RequestRecord& request, bool callsWait);
   void startDownstreamCall(RequestRecord& request, bool shouldRetryOutlier);
-  void answerOverdue();
+  void shedOrFailOverdue();
   void publishLoadSignal();
 
   [[nodiscard]] bool isTooLate(const RequestRecord& request) const;
-  [[nodiscard]] bool isWorthless(const RequestRecord& request) const;
+  [[nodiscard]] bool shouldCancelExecution(const RequestRecord& request) const;
   [[nodiscard]] bool isIdempotent(const RequestRecord& request) const;
   [[nodiscard]] bool isCancellable(const RequestRecord& request) const;
   [[nodiscard]] bool canCancelExecutions() const;
@@ -85,9 +87,9 @@
   void dropRetained(const RequestRecord& request);
 
   void shedOrFail(RequestRecord& request, ShedCause cause);
-  void settleAnswer(RequestRecord& request);
+  void closeRequest(RequestRecord& request);
   void remove(const RequestRecord& request);
-  void removeDepartedFromQueue();
+  void removeStaleQueueEntries();
   [[nodiscard]] Duration retryAfter() const;
   [[nodiscard]] bool shouldDiscourageRetry() const;
 
@@ -110,15 +112,15 @@
 
   ActiveRequests requests_;
   AdmissionQueue queue_;
-  /// Requests that were read since the last call of `processRequests`.
+  /// Requests that arrived since the last call of `processRequests`.
   std::vector<RequestId> arrivals_;
-  /// Requests whose downstream call has not been made, in the order in which they asked for it.
+  /// Requests whose downstream call has not been made yet, in the order in which they requested it.
   std::vector<RequestId> awaitingCall_;
 
   std::vector<Action> actions_;
   Duration now_{};
   Duration nextLimitRaise_{};
-  /// Whether the last gauges showed idle cores while requests were queued.
+  /// Whether the latest load gauges showed idle cores while requests were queued.
   bool hasIdleCores_ = false;
   bool hasStarted_ = false;
   std::uint64_t entriesScanned_ = 0;
--- a/src/decision/admission_policy.h
+++ b/src/decision/admission_policy.h
@@ -1,5 +1,5 @@
 /// @file
-/// The interface between a host (the real server or the simulator's adapter) and the decisions.
+/// The interface between a host (the server or the simulator adapter) and the admission policy.
 #pragma once
 
 #include <cstdint>
@@ -14,10 +14,10 @@
 
 namespace rainhook {
 
-/// Decides what one server does with its requests, from the server's start to its end.
+/// Decides what one server does with its requests, from the start of the server to its stop.
 ///
 /// An instance does no I/O, reads no clock and draws no random numbers: the same events at the same times
-/// give the same actions. It is not thread-safe; one thread at a time may use it.
+/// produce the same actions. It is not thread-safe; only one thread at a time may use it.
 class AdmissionPolicy {
  public:
   AdmissionPolicy() = default;
@@ -27,21 +27,21 @@
   AdmissionPolicy& operator=(AdmissionPolicy&&) = delete;
   virtual ~AdmissionPolicy() = default;
 
-  /// Takes what happened since the last call and returns what is to be done, both in order.
+  /// Processes the events since the last call in order and returns the actions to carry out in order.
   ///
-  /// All events are taken to happen at `now`, which must never decrease. The first call, at the start of the
-  /// instance, may carry no event. Events of unknown requests are passed over.
+  /// All events are treated as having happened at `now`, which must never decrease. The first call, at the
+  /// start of the instance, may carry no events. Events of unknown requests are ignored.
   [[nodiscard]] virtual std::vector<Action> onEvents(Duration now, std::span<const Event> events) = 0;
 
-  /// How many table entries all calls have gone through so far: the cost of the decisions, independent of
-  /// any clock.
+  /// The number of table entries that all calls have scanned so far: the cost of the decisions, measured
+  /// without a clock.
   [[nodiscard]] virtual std::uint64_t entriesScanned() const = 0;
 
-  /// The present limit on concurrent executions; it moves in fractions.
+  /// The current concurrency limit; it changes in fractions of an execution.
   [[nodiscard]] virtual double concurrencyLimit() const = 0;
 };
 
-/// Makes the policy of one server.
+/// Creates the admission policy of one server.
 [[nodiscard]] std::unique_ptr<AdmissionPolicy> makeAdmissionPolicy(const PolicySettings& settings);
 
 }  // namespace rainhook
--- a/src/decision/admission_queue.cpp
+++ b/src/decision/admission_queue.cpp
@@ -7,10 +7,10 @@
 
 using namespace std::chrono_literals;
 
-/// A queue that has been full for longer starts the newest first.
+/// A queue that has been full for longer than this starts the newest request first.
 constexpr Duration newestFirstAfter = 1s;
-/// A queue that has not been full for longer counts as relieved.
-constexpr Duration relievedAfter = 500ms;
+/// A queue that was last full longer ago than this counts as not full.
+constexpr Duration notFullAfter = 500ms;
 
 }  // namespace
 
@@ -28,7 +28,7 @@
 
 void AdmissionQueue::recordFullness(Duration now, bool isFull) {
   if (isFull) lastFullAt_ = now;
-  if (now - lastFullAt_ > relievedAfter) fullSince_ = now;
+  if (now - lastFullAt_ > notFullAfter) fullSince_ = now;
 }
 
 }  // namespace rainhook
--- a/src/decision/admission_queue.h
+++ b/src/decision/admission_queue.h
@@ -1,5 +1,5 @@
 /// @file
-/// The queue of requests that wait for their execution.
+/// The queue of requests that wait for their execution to start.
 #pragma once
 
 #include <chrono>
@@ -11,31 +11,31 @@
 
 namespace rainhook {
 
-/// Requests that were admitted and have not started, oldest first.
+/// Holds the admitted requests that have not started, oldest first.
 ///
-/// They start oldest first, but newest first once the queue has been full for a while: then the oldest are
-/// the least likely to be answered in time (adaptive LIFO).
+/// Requests start oldest first. Once the queue has been full for some time they start newest first, since the
+/// oldest are then the least likely to be answered in time (adaptive LIFO).
 class AdmissionQueue {
  public:
-  /// Whether no request is queued.
+  /// Whether the queue is empty.
   [[nodiscard]] bool isEmpty() const { return ids_.empty(); }
-  /// Number of queued requests.
+  /// The number of queued requests.
   [[nodiscard]] std::size_t size() const { return ids_.size(); }
   /// The position of the oldest request.
   [[nodiscard]] auto begin() const { return ids_.begin(); }
   /// The position past the newest request.
   [[nodiscard]] auto end() const { return ids_.end(); }
 
-  /// The request that came last; the queue must not be empty.
+  /// The request that was added last; the queue must not be empty.
   [[nodiscard]] RequestId newest() const { return ids_.back(); }
 
   /// Adds a request at the newest end.
   void push(RequestId id) { ids_.push_back(id); }
 
-  /// Puts a request whose execution was cancelled back to the oldest end.
+  /// Puts a request whose execution was cancelled back at the oldest end.
   void pushFront(RequestId id) { ids_.push_front(id); }
 
-  /// Takes out the oldest request; the queue must not be empty.
+  /// Removes and returns the oldest request; the queue must not be empty.
   [[nodiscard]] RequestId popOldest();
 
   /// Removes the requests for which the predicate is false.
@@ -44,13 +44,13 @@
     std::erase_if(ids_, [&isQueued](RequestId id) { return !isQueued(id); });
   }
 
-  /// A copy, for loops that change the queue.
+  /// Returns a copy, for loops that change the queue.
   [[nodiscard]] std::vector<RequestId> oldestFirst() const { return {ids_.begin(), ids_.end()}; }
 
-  /// A copy in the order in which requests are to start.
+  /// Returns a copy in the order in which requests should start.
   [[nodiscard]] std::vector<RequestId> startOrder(Duration now) const;
 
-  /// Reports whether the queue was full just now, that is, had to be trimmed.
+  /// Records whether the queue is full at `now`, that is, whether it had to be trimmed.
   void recordFullness(Duration now, bool isFull);
 
  private:
--- a/src/decision/attempt_age_estimator.h
+++ b/src/decision/attempt_age_estimator.h
@@ -1,5 +1,5 @@
 /// @file
-/// How old the attempt of a client already is when it arrives.
+/// Estimates the time between a client's first attempt and the attempt that arrives.
 #pragma once
 
 #include <array>
@@ -8,32 +8,32 @@
 
 namespace rainhook {
 
-/// Tells retries from first attempts by the time that their clients still wait.
+/// Distinguishes retries from first attempts by the time that the client will still wait.
 ///
-/// Clients wait for habitual shares of their timeout, which come again and again. Any other value is what a
-/// retry has left of the timeout, and tells the time since the first attempt. Where most values are unusual,
-/// as among servers that call servers, they tell nothing.
+/// In first attempts this time is one of a few shares of the client timeout that occur frequently. Any other
+/// value is taken as the rest of the timeout that a retry has left, which gives the time since the first
+/// attempt. If most values are infrequent, as with servers that call other servers, no age is estimated.
 class AttemptAgeEstimator {
  public:
-  /// The time since the first attempt, 0 where that is unknown; learns from the value.
+  /// Returns the time since the first attempt, 0 if unknown, and adds the value to the statistics.
   [[nodiscard]] Duration estimateAge(Duration timeRemaining, Duration clientTimeout);
 
  private:
-  /// A share of the timeout and how often it was seen lately.
-  struct Habit {
+  /// A share of the timeout and its decaying number of occurrences.
+  struct TrackedShare {
     double share = 0;
     double occurrences = 0;
   };
 
-  /// Counts the share; returns whether it is a habit.
+  /// Counts an occurrence of the share; returns whether the share is frequent.
   bool recordShare(double share);
 
-  static constexpr std::size_t maxHabits = 8;
+  static constexpr std::size_t maxTrackedShares = 8;
 
-  /// One row for each share; the rarest gives way to a new one.
-  std::array<Habit, maxHabits> habits_;
-  /// Moving average of the part of requests that wait for a habitual time.
-  double habitualPart_ = 0;
+  /// One entry for each share; a new share replaces the rarest.
+  std::array<TrackedShare, maxTrackedShares> trackedShares_;
+  /// Moving average of the fraction of requests that have a frequent share.
+  double frequentFraction_ = 0;
 };
 
 }  // namespace rainhook
--- a/src/decision/concurrency_limiter.cpp
+++ b/src/decision/concurrency_limiter.cpp
@@ -8,15 +8,15 @@
 namespace rainhook {
 namespace {
 
-/// Normalization of steps: one of two requests counts fully.
+/// Normalizes steps: a step of two executions or more counts as 1.
 constexpr double stepGain = 1.0 / 2;
-/// Normalization of latency changes: one by twice the least latency counts fully.
+/// Normalizes latency changes: a change by twice the minimum latency or more counts as 1.
 constexpr double latencyGain = 1.0 / 2;
 constexpr double firstStep = 1;
-/// A step of 0 would be the last one.
+/// Keeps the limit moving: after a step of 0 the rules would only return further steps of 0.
 constexpr double minStep = 0.25;
-/// An interval lasts until this many answers, for each core, tell of it.
-constexpr double answersPerCore = 10;
+/// An interval continues until this many responses for each core were recorded.
+constexpr double minResponsesPerCore = 10;
 
 }  // namespace
 
@@ -24,21 +24,21 @@
 
 void ConcurrencyLimiter::recordLatency(double relativeLatency) {
   latencySum_ += relativeLatency;
-  ++answers_;
+  ++responses_;
 }
 
 void ConcurrencyLimiter::update(Duration now) {
-  if (now < intervalEnd_ || answers_ < answersPerCore * minLimit_) return;
+  if (now < intervalEnd_ || responses_ < minResponsesPerCore * minLimit_) return;
   intervalEnd_ = now + interval;
-  const double meanLatency = latencySum_ / answers_;
-  // A limit that held nothing back did not cause the latency.
+  const double meanLatency = latencySum_ / responses_;
+  // A limit that was not reached did not cause the latency.
   if (isLimitReached_) {
     lastStep_ = nextStep(meanLatency);
     previousMeanLatency_ = meanLatency;
     limit_ += lastStep_;
   }
   latencySum_ = 0;
-  answers_ = 0;
+  responses_ = 0;
   isLimitReached_ = false;
 }
 
@@ -47,7 +47,7 @@
   const double latencyChange = (meanLatency - previousMeanLatency_) * latencyGain;
   const double step = fuzzyStep(lastStep_ * stepGain, latencyChange) / stepGain;
   if (std::abs(step) >= minStep) return step;
-  // Without an opinion, lean to fewer executions.
+  // If the rules favour neither direction, prefer fewer executions.
   return step > 0 ? minStep : -minStep;
 }
 
--- a/src/decision/concurrency_limiter.h
+++ b/src/decision/concurrency_limiter.h
@@ -1,5 +1,5 @@
 /// @file
-/// The limit on concurrent executions, found by fuzzy hill climbing.
+/// Finds the concurrency limit by fuzzy hill climbing.
 #pragma once
 
 #include <chrono>
@@ -8,29 +8,28 @@
 
 namespace rainhook {
 
-/// Moves the limit on concurrent executions towards the lowest latency, one step per interval by the rules of
-/// `fuzzyStep`.
+/// Moves the concurrency limit towards the lowest latency, one step per interval by the rules of `fuzzyStep`.
 ///
-/// docs/design.md lists the departures from the published controller.
+/// docs/design.md lists the differences from the published controller.
 class ConcurrencyLimiter {
  public:
-  /// The limit starts at the number of cores and never falls below it.
+  /// Starts with a limit equal to the number of cores; the limit never falls below that number.
   explicit ConcurrencyLimiter(int cores);
 
-  /// The present limit; it moves in fractions.
+  /// The current limit; it changes in fractions of an execution.
   [[nodiscard]] double limit() const { return limit_; }
 
-  /// Reports the latency of an answer, relative to the least latency of its handler.
+  /// Records the latency of a response relative to the minimum latency of its handler.
   void recordLatency(double relativeLatency);
 
-  /// Reports that a request was kept waiting by the limit and by nothing else.
+  /// Records that a request had to wait only because of the limit.
   void recordLimitReached() { isLimitReached_ = true; }
 
-  /// Ends the interval when it is due and moves the limit if the interval teaches anything.
+  /// Ends the interval when it is due and moves the limit if the limit was reached in the interval.
   void update(Duration now);
 
-  /// Raises the limit by one, at most to the ceiling: for idle cores while requests are queued, where the
-  /// limit is what stands in the way, whatever the latency says.
+  /// Raises the limit by one, at most to the ceiling, regardless of the latency. For use when cores are idle
+  /// while the limit keeps requests in the queue.
   void raiseByOne(double ceiling);
 
   /// Lowers the limit to the ceiling, but not below the number of cores.
@@ -46,7 +45,7 @@
   double lastStep_ = 0;
   double previousMeanLatency_ = 0;
   double latencySum_ = 0;
-  int answers_ = 0;
+  int responses_ = 0;
   bool isLimitReached_ = false;
   Duration intervalEnd_ = interval;
 };
--- a/src/decision/decaying_rate.h
+++ b/src/decision/decaying_rate.h
@@ -1,5 +1,5 @@
 /// @file
-/// A mean time per completion in which the past fades.
+/// A mean time per completed unit of work that gives recent measurements more weight.
 #pragma once
 
 #include <cmath>
@@ -9,14 +9,14 @@
 
 namespace rainhook {
 
-/// Measures the time spent for each unit completed, from the time that work has been active and the units
-/// that it completed, both decaying exponentially. It shows a stall while nothing has completed yet.
+/// Measures the time spent for each completed unit as the quotient of active time and completed units, both
+/// of which decay exponentially. Active time counts before a unit completes, so a stall is visible at once.
 class DecayingRate {
  public:
-  /// Starts with no past; what was seen counts half after each `halfLife`.
+  /// Starts without measurements; the weight of a measurement halves after each `halfLife`.
   explicit DecayingRate(Duration halfLife) : halfLifeSeconds_(toSeconds(halfLife)) {}
 
-  /// Time passes while `active` units are being worked on.
+  /// Accounts for elapsed time during which `active` units were in progress.
   void advance(Duration elapsed, double active) {
     const double seconds = toSeconds(elapsed);
     const double retained = std::exp2(-seconds / halfLifeSeconds_);
@@ -24,10 +24,11 @@
     completedUnits_ *= retained;
   }
 
-  /// Reports that so many units were completed.
+  /// Records the completion of `units` units.
   void recordCompletion(double units) { completedUnits_ += units; }
 
-  /// Seconds per unit, where `priorUnits` units of the expected time are added to what was seen.
+  /// Returns the seconds per unit. The prior, `priorUnits` units that took `expectedSeconds` each, is added
+  /// to the measurements.
   [[nodiscard]] double secondsPerUnit(double expectedSeconds, double priorUnits) const {
     return (activeSeconds_ + expectedSeconds * priorUnits) / (completedUnits_ + priorUnits);
   }
--- a/src/decision/decision.h
+++ b/src/decision/decision.h
@@ -1,5 +1,5 @@
 /// @file
-/// The whole public interface of the decision module: what hosts include.
+/// The complete public interface of the decision module, for hosts to include.
 #pragma once
 
 #include "decision/actions.h"           // IWYU pragma: export
--- a/src/decision/deduplication_index.h
+++ b/src/decision/deduplication_index.h
@@ -1,5 +1,5 @@
 /// @file
-/// The retained requests that duplicates may name.
+/// The retained requests that duplicates may refer to.
 #pragma once
 
 #include <map>
@@ -10,25 +10,25 @@
 
 namespace rainhook {
 
-/// Knows keyed requests, and reads whose result may answer others, by the id that a duplicate will name.
-/// Each entry is removed when its time is over; the cost of that is the number of entries removed.
+/// Holds the ids of retained requests, to which duplicates refer: keyed requests, and reads whose result may
+/// answer other requests. Entries are removed when they expire, at a cost proportional to the number removed.
 class DeduplicationIndex {
  public:
-  /// Whether there is an entry for the request.
+  /// Whether the index has an entry for the request.
   [[nodiscard]] bool contains(RequestId id) const { return retainedUntil_.contains(id); }
 
-  /// Adds an entry, or replaces it.
+  /// Adds an entry that expires at `until`, or replaces the existing one.
   void retain(RequestId id, Duration until);
 
-  /// Returns whether there was an entry.
+  /// Removes the entry of the request; returns false if there was none.
   bool remove(RequestId id);
 
-  /// Removes the entries whose time is over and returns their number.
+  /// Removes the entries that have expired by `now` and returns their number.
   [[nodiscard]] int removeExpired(Duration now);
 
  private:
   std::map<RequestId, Duration> retainedUntil_;
-  /// The same entries by time, so that those that stay are not scanned.
+  /// The same entries in order of expiry, so that removal scans no entry that has not expired.
   std::set<std::pair<Duration, RequestId>> byExpiry_;
 };
 
--- a/src/decision/downstream_call_budget.cpp
+++ b/src/decision/downstream_call_budget.cpp
@@ -10,12 +10,12 @@
 
 using namespace std::chrono_literals;
 
-/// Shares of the quota that are used while calls are quick, and at least.
+/// The share of the quota that is used while calls are fast, and the smallest share for slow calls.
 constexpr double maxUsedShare = 0.8;
 constexpr double minUsedShare = 0.3;
-/// Calls that take this many times the usual show that the downstream service is overloaded.
+/// If calls take this many times as long as usual, the downstream service is overloaded.
 constexpr double overloadSlowdown = 2;
-/// Stands for no limit on calls.
+/// The call limit without a quota.
 constexpr double unlimitedCalls = 1e6;
 
 }  // namespace
@@ -37,7 +37,7 @@
 }
 
 bool DownstreamCallBudget::hasRoom(Duration now) {
-  while (!lingeringUntil_.empty() && lingeringUntil_.front() <= now) lingeringUntil_.pop_front();
+  while (!abandonedUntil_.empty() && abandonedUntil_.front() <= now) abandonedUntil_.pop_front();
   const bool isUnderLimit = callsInFlight() + 1 <= std::max(1.0, callLimit());
   return isUnderLimit && (callLimit() >= 1 || bucketLevel_ < bucketCapacity() / 2);
 }
@@ -55,14 +55,14 @@
 void DownstreamCallBudget::recordCallEnd(Duration now, CallEnd end) {
   --openCalls_;
   if (end == CallEnd::abandoned && downstream_.maxAbandonedCallDuration > 0s)
-    lingeringUntil_.push_back(now + downstream_.maxAbandonedCallDuration);
+    abandonedUntil_.push_back(now + downstream_.maxAbandonedCallDuration);
 }
 
 int DownstreamCallBudget::callsInFlight() const {
-  return openCalls_ + static_cast<int>(lingeringUntil_.size());
+  return openCalls_ + static_cast<int>(abandonedUntil_.size());
 }
 
-/// The part of the quota that is left as a margin, in call-seconds over the window.
+/// The share of the quota that is kept as a margin, in call-seconds over the window.
 double DownstreamCallBudget::bucketCapacity() const {
   return downstream_.concurrentCallQuota * (1 - maxUsedShare) * toSeconds(downstream_.quotaWindow);
 }
--- a/src/decision/downstream_call_budget.h
+++ b/src/decision/downstream_call_budget.h
@@ -1,5 +1,5 @@
 /// @file
-/// How many downstream calls may be in flight, and for how long.
+/// Bounds the number and the duration of downstream calls in flight.
 #pragma once
 
 #include <deque>
@@ -10,55 +10,56 @@
 
 namespace rainhook {
 
-/// How a downstream call left this server's hands.
+/// How a downstream call ended for this server.
 enum class CallEnd {
-  finished,   ///< The downstream service is done with it.
-  abandoned,  ///< The downstream service may still be occupied by it.
+  finished,   ///< The downstream service has completed or rejected the call.
+  abandoned,  ///< The call may still occupy the downstream service.
 };
 
-/// Whether the outcome of a call proves that the downstream service did not execute it.
+/// Whether the outcome of a call proves that the downstream service did not execute the call.
 [[nodiscard]] bool provesNotExecuted(Outcome outcome);
 
 /// Keeps the downstream calls in flight under this server's quota.
 ///
-/// Abandoned calls count until they can't linger any more. While calls are slow less of the quota is used. A
-/// quota under one concurrent call is kept over time: calls in flight fill a leaky bucket of call-seconds
-/// that drains at the call limit, no call starts while the bucket is half full, and each is cut short before
-/// the bucket overflows. So the mean over the quota's window holds even if no call ever comes back.
+/// Abandoned calls count until they can no longer occupy the downstream service. While calls are slow, a
+/// smaller share of the quota is used. A quota below one concurrent call is kept as a mean over time: calls
+/// in flight fill a leaky bucket of call-seconds that drains at the call limit, no call starts while the
+/// bucket is at least half full, and each call times out before the bucket overflows. The mean over the
+/// quota's window therefore holds even if no call is ever answered.
 class DownstreamCallBudget {
  public:
   /// Starts with no calls in flight, under the quota of the profile.
   explicit DownstreamCallBudget(const DownstreamProfile& downstream);
 
-  /// Uses this share of the configured quota, 0 to 1, from now on. Calls in flight go on; after a smaller
-  /// share none starts before there is room again.
+  /// Sets the share of the configured quota, 0 to 1, to use from now on. Calls in flight continue; if the
+  /// share shrinks, no call starts until the calls in flight fit the new limit.
   void setQuotaShare(double share);
 
-  /// Time passes while calls take `callSlowdown` times as long as usual.
+  /// Accounts for elapsed time; calls currently take `callSlowdown` times as long as usual.
   void advance(Duration elapsed, double callSlowdown);
 
-  /// Whether another call may start now. Forgets abandoned calls whose time is over.
+  /// Whether another call may start now. Removes abandoned calls that no longer count.
   [[nodiscard]] bool hasRoom(Duration now);
 
-  /// The mean number of calls that may be in flight; very large without a quota.
+  /// The mean number of calls that may be in flight; 1e6 without a quota.
   [[nodiscard]] double callLimit() const;
 
-  /// How long a call that starts now may take; no limit where the quota allows a whole call.
+  /// How long a call that starts now may take; unlimited if the call limit is at least one call.
   [[nodiscard]] Duration maxCallDuration() const;
 
-  /// Calls started and not ended.
+  /// The number of calls that have started and not ended.
   [[nodiscard]] int openCalls() const { return openCalls_; }
 
-  /// Whether there is a quota at all.
+  /// Whether a quota is configured.
   [[nodiscard]] bool hasQuota() const { return configuredQuota_ > 0; }
 
-  /// Reports that a call was started.
+  /// Records that a call started.
   void recordCallStart() { ++openCalls_; }
-  /// Reports that an open call left this server's hands at `now`.
+  /// Records that an open call ended at `now`.
   void recordCallEnd(Duration now, CallEnd end);
 
  private:
-  /// Open calls and abandoned ones that may linger.
+  /// The number of open calls and of abandoned calls that may still occupy the downstream service.
   [[nodiscard]] int callsInFlight() const;
   [[nodiscard]] double bucketCapacity() const;
 
@@ -66,10 +67,10 @@
   const double configuredQuota_;
   int openCalls_ = 0;
   double usedShare_;
-  /// Seconds of calls in flight beyond what has drained at the call limit.
+  /// Call-seconds in the bucket: those of calls in flight less those that have drained at the call limit.
   double bucketLevel_ = 0;
-  /// When each abandoned call that may linger is over; ascending.
-  std::deque<Duration> lingeringUntil_;
+  /// For each abandoned call, the time until which it may occupy the downstream service; ascending.
+  std::deque<Duration> abandonedUntil_;
 };
 
 }  // namespace rainhook
--- a/src/decision/events.h
+++ b/src/decision/events.h
@@ -11,34 +11,34 @@
 
 /// How an execution or a downstream call ended.
 enum class Outcome {
-  completed,       ///< It ended with a result.
+  completed,       ///< It produced a result.
   failed,          ///< It ran and reported an error.
-  rejected,        ///< It was turned away before it ran.
-  timedOut,        ///< No reply came within the time limit; it may have run.
-  unreachable,     ///< No connection could be made; it did not run.
-  connectionLost,  ///< The connection broke before a reply; it may have run.
+  rejected,        ///< It was rejected before it ran.
+  timedOut,        ///< No reply arrived within the time limit; it may have run.
+  unreachable,     ///< No connection could be established; it did not run.
+  connectionLost,  ///< The connection was lost before a reply arrived; it may have run.
   cancelled,       ///< It was cancelled and its work is lost.
-  superseded,      ///< It became irrelevant before it ran.
+  superseded,      ///< It became unnecessary before it ran.
 };
 
 /// A request has been read from its connection.
 struct RequestArrived {
-  RequestId id{};             ///< Names the request in all later events and actions.
+  RequestId id{};             ///< Identifies the request in all later events and actions.
   HandlerId handler{};        ///< The kind of the request.
-  TenantId tenant{};          ///< On whose behalf it is made.
-  ClientId client{};          ///< The process that sent it.
-  ResourceKey resourceKey{};  ///< What it reads or writes; zero where it names none.
+  TenantId tenant{};          ///< The tenant on whose behalf the request is made.
+  ClientId client{};          ///< The process that sent the request.
+  ResourceKey resourceKey{};  ///< The resource that the request reads or writes; zero if it names none.
   /// The retained request that this one repeats, if any.
   std::optional<RequestId> duplicateOf;
-  /// Priority that the client states, 0 to 1. Not used by the policy.
+  /// The priority that the client states, 0 to 1. Not used by the policy.
   double clientPriority = 0;
   /// Memory that the request takes while it is queued.
   double queuedMemoryKb = 0;
-  /// Rough estimate of its time on a core, where the client gives one.
+  /// A rough estimate of its time on a core, if the client gives one.
   std::optional<Duration> estimatedWork;
-  /// How long its client still waits, where the client says so.
+  /// How much longer the client will wait, if the client states it.
   std::optional<Duration> timeRemaining;
-  /// Time since it reached the machine.
+  /// Time between its arrival at the machine and its reading.
   Duration readDelay{};
   bool isWrite = false;  ///< Whether it changes the resource; only reads can share results.
 };
@@ -46,8 +46,8 @@
 /// An execution, or the wait of a duplicate for its original, has ended.
 struct ExecutionEnded {
   RequestId id{};       ///< The request that was executed, or the duplicate.
-  Outcome outcome{};    ///< How it ended.
-  Duration duration{};  ///< Time that it took. Not used by the policy.
+  Outcome outcome{};    ///< How the execution or the wait ended.
+  Duration duration{};  ///< How long it took. Not used by the policy.
 };
 
 /// An execution has left its core and waits for a downstream call.
@@ -59,12 +59,12 @@
 struct DownstreamCallEnded {
   RequestId id{};       ///< The request whose execution made the call.
   Outcome outcome{};    ///< How the call ended.
-  Duration duration{};  ///< Time that the call was open.
+  Duration duration{};  ///< How long the call was open.
 };
 
-/// The client of a request has gone; no answer is owed any more.
+/// The client of a request has disconnected, so the request needs no response any more.
 struct ClientDisconnected {
-  RequestId id{};  ///< The request whose client has gone.
+  RequestId id{};  ///< The request whose client has disconnected.
 };
 
 /// The server will be stopped.
@@ -73,12 +73,12 @@
   Duration timeRemaining{};
 };
 
-/// A timer has expired; load gauges come with it where the host has them.
+/// A timer has fired. The host adds those load gauges that it has.
 struct TimerFired {
-  TimerId timer{};  ///< The timer, as set by `SetTimer`.
-  /// Share of the cores that is busy, 0 to 1; a short moving average.
+  TimerId timer{};  ///< The timer that was set by `SetTimer`.
+  /// Share of the cores that is busy, 0 to 1; a moving average over a short time.
   std::optional<double> cpuUtilization;
-  /// Number of tasks, executions included, that want a core at this moment.
+  /// Number of tasks, including executions, that are running or ready to run.
   std::optional<double> runnableTasks;
   /// Share of the memory in use, 0 to 1. Not used by the policy.
   std::optional<double> memoryUtilization;
@@ -86,20 +86,20 @@
   std::optional<double> openConnections;
 };
 
-/// Another part of the downstream quota may be used from now on.
+/// The share of the downstream quota that this server may use has changed.
 struct DownstreamQuotaChanged {
   /// Share of the configured quota, 0 to 1.
   double share = 1;
 };
 
-/// How the execution engine started, where that becomes known only after the first event.
+/// Reports how the execution engine started, if that becomes known only after the first event.
 struct ExecutionEngineStarted {
   bool coldStart = false;  ///< Whether the engine is slow at first.
-  /// Time since that start.
+  /// Time since the engine started.
   Duration elapsed{};
 };
 
-/// Any one event.
+/// Any event that a host reports.
 using Event = std::variant<RequestArrived, ExecutionEnded, DownstreamCallRequested, DownstreamCallEnded,
                            ClientDisconnected, ShutdownNotice, TimerFired, DownstreamQuotaChanged,
                            ExecutionEngineStarted>;
--- a/src/decision/execution_ceiling.cpp
+++ b/src/decision/execution_ceiling.cpp
@@ -23,8 +23,8 @@
   const double progress = warmUpProgress(now);
   const double speed =
       machine_.coldStart ? machine_.initialSpeed + (1 - machine_.initialSpeed) * progress : 1.0;
-  const double survivable = machine_.cores * (1 + (machine_.maxExecutionsPerCore - 1) * speed);
-  return std::max(1.0, survivable * usableShare - 1);
+  const double sustainable = machine_.cores * (1 + (machine_.maxExecutionsPerCore - 1) * speed);
+  return std::max(1.0, sustainable * usableShare - 1);
 }
 
 double ExecutionCeiling::warmUpProgress(Duration now) const {
--- a/src/decision/execution_ceiling.h
+++ b/src/decision/execution_ceiling.h
@@ -1,5 +1,5 @@
 /// @file
-/// How many executions the machine survives, with its slow start.
+/// Bounds the number of concurrent executions by what the machine can sustain, also after a cold start.
 #pragma once
 
 #include "decision/ids.h"
@@ -7,17 +7,19 @@
 
 namespace rainhook {
 
-/// The ceiling on executions that have started and not ended. Those at downstream calls count too, since they
-/// come back to the cores unasked. It only bounds the concurrency limit and never raises it.
+/// Computes the ceiling on executions that have started and not ended. Executions at downstream calls count
+/// too, since the policy does not control when they return to the cores. The ceiling only bounds the
+/// concurrency limit and never raises it.
 class ExecutionCeiling {
  public:
-  /// Takes the engine to have started at time 0, cold or warm as the profile says.
+  /// Assumes that the engine started at time 0, cold or warm as the profile states.
   explicit ExecutionCeiling(const MachineProfile& machine) : machine_(machine) {}
 
-  /// Corrects whether and when the execution engine started cold.
+  /// Sets when the execution engine started, and whether that was a cold start.
   void setEngineStart(bool isCold, Duration startedAt);
 
-  /// The ceiling now, at least 1. After a cold start it rises linearly as the machine warms up.
+  /// Returns the ceiling at `now`, at least 1. It rises linearly while the machine warms up after a cold
+  /// start.
   [[nodiscard]] double maxExecutions(Duration now) const;
 
  private:
--- a/src/decision/idle_connection_tuner.cpp
+++ b/src/decision/idle_connection_tuner.cpp
@@ -12,12 +12,12 @@
 constexpr Duration updateInterval = 1s;
 constexpr Duration minIdleTimeout = 100ms;
 constexpr double otherTasksGain = 0.02;
-/// More other tasks per core than this are a storm of reading and accepting.
-constexpr double stormTasksPerCore = 1;
-/// More open connections per core than this are too many.
+/// With more tasks other than executions per core than this, reading and accepting overload the cores.
+constexpr double overloadTasksPerCore = 1;
+/// With more open connections per core than this, the timeout is shortened.
 constexpr double manyConnectionsPerCore = 6;
-/// Changes of the timeout at each update.
-constexpr double stormFactor = 2;
+/// The factors that an update applies to the timeout.
+constexpr double overloadFactor = 2;
 constexpr double shorteningFactor = 0.5;
 constexpr double lengtheningFactor = 1.25;
 
@@ -33,16 +33,16 @@
 std::optional<Duration> IdleConnectionTuner::update(Duration now, double openConnections) {
   if (now < nextUpdate_) return std::nullopt;
   nextUpdate_ = now + updateInterval;
-  const Duration wanted = fromSeconds(toSeconds(timeout_) * timeoutFactor(openConnections));
+  const Duration unclamped = fromSeconds(toSeconds(timeout_) * timeoutFactor(openConnections));
   const Duration maxTimeout = std::max(minIdleTimeout, maxIdleTime_);
-  const Duration timeout = std::clamp(wanted, minIdleTimeout, maxTimeout);
+  const Duration timeout = std::clamp(unclamped, minIdleTimeout, maxTimeout);
   if (timeout == timeout_) return std::nullopt;
   timeout_ = timeout;
   return timeout;
 }
 
 double IdleConnectionTuner::timeoutFactor(double openConnections) const {
-  if (otherTasks_ > stormTasksPerCore * cores_) return stormFactor;
+  if (otherTasks_ > overloadTasksPerCore * cores_) return overloadFactor;
   return openConnections > manyConnectionsPerCore * cores_ ? shorteningFactor : lengtheningFactor;
 }
 
--- a/src/decision/idle_connection_tuner.h
+++ b/src/decision/idle_connection_tuner.h
@@ -1,5 +1,5 @@
 /// @file
-/// After which time idle client connections are closed.
+/// Tunes the time after which idle client connections are closed.
 #pragma once
 
 #include <chrono>
@@ -12,20 +12,21 @@
 
 /// Adapts the idle timeout of client connections to the number that are open.
 ///
-/// Open connections take from the cores, a full table turns clients away, and a new connection costs work;
-/// none of these is reported. So idle connections are closed the sooner the more are open. While much wants a
-/// core that is not an execution (reading, accepting) they stay open: opening them anew would add to it, and
-/// a full table keeps load out at no cost. It does harm where a connection costs far more to open than to
-/// keep.
+/// Open connections use core time, a full connection table rejects clients, and a new connection costs work,
+/// but the host reports none of these. So the more connections are open, the sooner idle ones are closed.
+/// While many tasks other than executions (reading, accepting) compete for the cores, idle connections stay
+/// open: reopening them would add to that load, and a full connection table rejects load at no cost. The
+/// method is harmful if a connection costs far more to open than to keep.
 class IdleConnectionTuner {
  public:
-  /// Tunes for so many cores; the timeout is lengthened at most to the fleet's `maxIdleTime`.
+  /// Tunes for a machine with `cores` cores; the timeout never exceeds the fleet's `maxIdleTime`, unless that
+  /// is below the minimum timeout of 100 ms.
   IdleConnectionTuner(int cores, const FleetProfile& fleet);
 
-  /// Reports how many tasks want a core, and how many of these are executions.
+  /// Records how many tasks are running or ready to run, and how many of these are executions.
   void recordRunnableTasks(double runnableTasks, int executing);
 
-  /// Returns the new idle timeout where it changes.
+  /// Returns the new idle timeout if it changes.
   [[nodiscard]] std::optional<Duration> update(Duration now, double openConnections);
 
  private:
@@ -33,7 +34,7 @@
 
   const int cores_;
   const Duration maxIdleTime_;
-  /// Moving average of the tasks that want a core and are no executions.
+  /// Moving average of the tasks, other than executions, that are running or ready to run.
   double otherTasks_ = 0;
   Duration nextUpdate_{};
   Duration timeout_ = std::chrono::seconds(2);
--- a/src/decision/ids.h
+++ b/src/decision/ids.h
@@ -1,5 +1,5 @@
 /// @file
-/// Identifiers and the time type of the decision module.
+/// The identifiers and the time type of the decision module.
 #pragma once
 
 #include <chrono>
@@ -8,10 +8,10 @@
 
 namespace rainhook {
 
-/// A span of time. A point in time is the span since the start of the policy instance.
+/// A span of time. A point in time is expressed as the span since the start of the policy instance.
 using Duration = std::chrono::nanoseconds;
 
-/// One request at this server; chosen by the host, never reused within an instance.
+/// Identifies a request at this server. The host assigns it and never reuses it within an instance.
 enum class RequestId : std::uint32_t {};
 
 /// The kind of a request; the index of its entry in `PolicySettings::handlers`.
@@ -23,17 +23,16 @@
 /// The process that sent a request.
 enum class ClientId : std::uint64_t {};
 
-/// The resource that a request reads or writes; zero where it names none.
+/// The resource that a request reads or writes; zero if the request names none.
 enum class ResourceKey : std::uint64_t {};
 
 /// A timer that the policy has set.
 enum class TimerId : std::uint32_t {};
 
-/// The random seed that a deployment hands to an instance. The policy takes none: it decides nothing by
-/// chance.
+/// The random seed that a deployment passes to an instance. The policy ignores it: no decision is random.
 enum class Seed : std::uint64_t {};
 
-/// The position of an identifier in a table that holds one row for each.
+/// Returns the index of an identifier in a table with one entry for each identifier.
 template <typename Id>
 [[nodiscard]] constexpr std::size_t indexOf(Id id) {
   return static_cast<std::size_t>(id);
--- a/src/decision/load_signal_encoder.cpp
+++ b/src/decision/load_signal_encoder.cpp
@@ -6,12 +6,13 @@
 namespace rainhook {
 namespace {
 
-/// Part of the openness that the worst overload takes away; a server that is not draining stays known.
-constexpr double overloadPart = 0.95;
+/// Reduction of the availability at the highest severity. It is below 1, so that a server that is not
+/// draining is never signalled as unavailable.
+constexpr double maxOverloadReduction = 0.95;
 /// Smaller changes are not published.
 constexpr double minChange = 0.03;
 constexpr double minClientCredit = 0.2;
-/// Credits given out for each execution that the limit allows, since not all clients use theirs.
+/// Credits for each execution that the limit allows; more than one, since not all clients use their credit.
 constexpr double creditPerExecution = 2;
 
 }  // namespace
@@ -21,26 +22,26 @@
 
 std::optional<double> LoadSignalEncoder::update(bool isDraining, double severity, double concurrencyLimit) {
   if (kind_ == LoadSignalKind::none) return std::nullopt;
-  const double openness = isDraining ? 0 : 1 - overloadPart * severity;
-  const double value = encode(openness, concurrencyLimit);
+  const double availability = isDraining ? 0 : 1 - maxOverloadReduction * severity;
+  const double value = encode(availability, concurrencyLimit);
   const bool isSmallChange = std::abs(value - published_) < minChange;
-  // The last change of a draining server is published however small.
+  // A draining server publishes every change, however small.
   if (isSmallChange && (value == published_ || !isDraining)) return std::nullopt;
   published_ = value;
   return value;
 }
 
-double LoadSignalEncoder::encode(double openness, double concurrencyLimit) const {
+double LoadSignalEncoder::encode(double availability, double concurrencyLimit) const {
   switch (kind_) {
     case LoadSignalKind::level:
-      return 1 - openness;
+      return 1 - availability;
     case LoadSignalKind::credit:
-      return openness * std::max(minClientCredit, creditPerExecution * concurrencyLimit / clients_);
+      return availability * std::max(minClientCredit, creditPerExecution * concurrencyLimit / clients_);
     case LoadSignalKind::none:
     case LoadSignalKind::weight:
       break;
   }
-  return openness;
+  return availability;
 }
 
 }  // namespace rainhook
--- a/src/decision/load_signal_encoder.h
+++ b/src/decision/load_signal_encoder.h
@@ -1,5 +1,5 @@
 /// @file
-/// The load signal that clients are given.
+/// Encodes the load signal that clients receive.
 #pragma once
 
 #include <optional>
@@ -8,22 +8,22 @@
 
 namespace rainhook {
 
-/// Expresses the severity of the overload as the kind of signal that the deployment uses, and publishes it
-/// only when it changes enough to matter.
+/// Converts the severity of an overload into the kind of signal that the deployment uses, and returns it only
+/// if it has changed enough to be published.
 class LoadSignalEncoder {
  public:
-  /// Takes the kind of signal, and the number of clients that share a credit.
+  /// Uses the kind of signal of `signaling`; a credit is divided among the clients of `fleet`.
   LoadSignalEncoder(const SignalingProfile& signaling, const FleetProfile& fleet);
 
   /// Returns the value to publish, if any.
   ///
-  /// @param isDraining whether a shutdown notice has come
-  /// @param severity 0 to 1, as of `OverloadDetector`
-  /// @param concurrencyLimit what the clients share where the signal is a credit
+  /// @param isDraining whether a shutdown notice was received
+  /// @param severity the severity that `OverloadDetector` reports, 0 to 1
+  /// @param concurrencyLimit the limit that a credit divides among the clients
   [[nodiscard]] std::optional<double> update(bool isDraining, double severity, double concurrencyLimit);
 
  private:
-  [[nodiscard]] double encode(double openness, double concurrencyLimit) const;
+  [[nodiscard]] double encode(double availability, double concurrencyLimit) const;
 
   const LoadSignalKind kind_;
   const int clients_;
--- a/src/decision/memory_budget.h
+++ b/src/decision/memory_budget.h
@@ -6,25 +6,27 @@
 
 namespace rainhook {
 
-/// Keeps what is reserved under the machine's memory, less a margin.
+/// Compares the reserved memory with the memory of the machine less a margin.
 ///
-/// It only counts: the caller reserves what it takes and releases exactly that.
+/// The class only counts: the caller reserves the memory that it uses and later releases the same amount.
 class MemoryBudget {
  public:
   /// Starts with nothing reserved.
   explicit MemoryBudget(const MachineProfile& machine);
 
-  /// Whether so many more kilobytes fit.
-  [[nodiscard]] bool fits(double moreKb) const { return reservedKb_ + moreKb <= capacityKb_ * usableShare; }
-  /// Whether more is reserved than may be.
+  /// Whether `additionalKb` more kilobytes fit.
+  [[nodiscard]] bool fits(double additionalKb) const {
+    return reservedKb_ + additionalKb <= capacityKb_ * usableShare;
+  }
+  /// Whether more memory is reserved than is usable.
   [[nodiscard]] bool isExceeded() const { return !fits(0); }
 
-  /// Reserves so many kilobytes, whether or not they fit.
+  /// Reserves `kb` kilobytes, whether or not they fit.
   void reserve(double kb) { reservedKb_ += kb; }
-  /// Releases so many reserved kilobytes.
+  /// Releases `kb` reserved kilobytes.
   void release(double kb) { reservedKb_ -= kb; }
 
-  /// Memory of a request in execution, from what it takes while it is queued.
+  /// Memory of a request in execution, calculated from its memory while it is queued.
   [[nodiscard]] double executionKb(double queuedKb) const { return queuedKb * executionMemoryFactor_; }
 
   /// Memory of one retained result.
--- a/src/decision/overload_detector.h
+++ b/src/decision/overload_detector.h
@@ -1,24 +1,25 @@
 /// @file
-/// How overloaded this server is.
+/// Measures the severity of an overload of this server.
 #pragma once
 
 #include "decision/ids.h"
 
 namespace rainhook {
 
-/// Forms the severity of the overload from two signs: the wait that a request arriving now would have, and
-/// the share of recent requests that were shed. The second one tells where the queue holds only one or two
-/// requests and its wait shows nothing.
+/// Derives the severity of an overload from two signs: the wait that a request arriving now would have, and
+/// the share of recent requests that were shed. The second sign is needed if the queue holds only one or two
+/// requests, when the wait does not show the overload.
 class OverloadDetector {
  public:
-  /// Time passes while a new request would wait that long, against what is tolerable. The level rises with
-  /// the excess and falls at a constant rate.
+  /// Accounts for elapsed time during which a new request would have waited `waitSeconds`. The level rises in
+  /// proportion to the excess over half of `tolerableSeconds`, up to a maximum rate; without an excess it
+  /// falls at a constant rate.
   void update(Duration elapsed, double waitSeconds, double tolerableSeconds);
 
-  /// Reports a request that was read: the share of shed requests falls.
+  /// Records a request that was read, which lowers the share of shed requests.
   void recordArrival();
 
-  /// Reports a request that was shed because of this server's own load.
+  /// Records a request that was shed because of this server's own load.
   void recordShed();
 
   /// Whether there is any sign of overload.
@@ -27,7 +28,7 @@
   /// Whether the signs are clear enough to ask clients not to retry.
   [[nodiscard]] bool isOverloaded() const;
 
-  /// 0 for none to 1 for an overload that can't get worse.
+  /// The severity, from 0 (no overload) to 1 (the highest severity).
   [[nodiscard]] double severity() const;
 
  private:
--- a/src/decision/read_delay_estimator.cpp
+++ b/src/decision/read_delay_estimator.cpp
@@ -8,9 +8,9 @@
 namespace {
 
 constexpr double meanGain = 0.1;
-/// Growth per second of the least delay.
+/// Relative growth of the minimum delay per second.
 constexpr double minDelayGrowth = 0.02;
-/// Delays up to this many times the least one are usual.
+/// Delays up to this many times the minimum delay are usual.
 constexpr double usualFactor = 2;
 
 }  // namespace
--- a/src/decision/read_delay_estimator.h
+++ b/src/decision/read_delay_estimator.h
@@ -1,22 +1,22 @@
 /// @file
-/// How long requests stand unread before the server reads them.
+/// Estimates how long requests wait before the server reads them.
 #pragma once
 
 #include "decision/ids.h"
 
 namespace rainhook {
 
-/// Averages the time between arrival and reading, and tells how much of it is more than usual. Requests that
-/// stand unread can't be shed; they wait for the cores that executions share with reading.
+/// Averages the time between the arrival of a request and its reading, and reports by how much the average
+/// exceeds the usual time. Unread requests can't be shed, and reading shares the cores with executions.
 class ReadDelayEstimator {
  public:
-  /// Reports the delay of one request; what is beyond its client's timeout is not averaged.
+  /// Records the delay of one request. In the average, the delay counts at most as the client timeout.
   void recordArrival(Duration readDelay, Duration clientTimeout);
 
-  /// Time passes; the least delay ages upward, so that it can be forgotten.
+  /// Accounts for elapsed time: the minimum delay rises slowly, so that an outdated minimum is replaced.
   void advance(Duration elapsed);
 
-  /// Seconds of the mean delay above twice the least one.
+  /// The seconds by which the mean delay exceeds twice the minimum delay.
   [[nodiscard]] double excessSeconds() const;
 
  private:
--- a/src/decision/request_record.h
+++ b/src/decision/request_record.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the admission controller knows of one request.
+/// The data that the admission controller keeps about one request.
 #pragma once
 
 #include "decision/events.h"
@@ -7,41 +7,41 @@
 
 namespace rainhook {
 
-/// Where a request stands on its path. The order matters: from `executing` on it has been started.
+/// The stage of a request. The order matters: at `executing` and all later stages, it has been started.
 enum class RequestStage {
-  arrived,           ///< Read, and not looked at yet.
+  arrived,           ///< Read, but not processed yet.
   queued,            ///< In the admission queue.
-  awaitingOriginal,  ///< A duplicate that is answered with the result of its original.
+  awaitingOriginal,  ///< A duplicate that waits for the result of its original.
   executing,         ///< On the cores.
-  awaitingCall,      ///< Off the cores; its downstream call has not been made.
+  awaitingCall,      ///< Off the cores; its downstream call has not been made yet.
   calling,           ///< Off the cores; its downstream call is open.
 };
 
-/// One request, from its arrival until both its answer and its execution are over.
+/// One request, from its arrival until its response is settled and its execution has ended.
 struct RequestRecord {
   RequestArrived arrival;  ///< The request as it was reported when it was read.
-  /// When it reached the machine, which is before it was read.
+  /// When it reached the machine, before it was read.
   Duration arrivedAt{};
-  /// When its client stops waiting; it must be answered before.
+  /// When its client stops waiting; the request must be answered before this time.
   Duration deadline{};
-  /// An answer up to here earns its full weight; at most the deadline.
+  /// A response until this time earns its full weight; at most the deadline.
   Duration target{};
-  RequestStage stage = RequestStage::arrived;  ///< Where it stands now.
+  RequestStage stage = RequestStage::arrived;  ///< The current stage.
   Duration startedAt{};                        ///< When its last execution started; 0 before the first.
   /// When it last left the cores for a downstream call.
   Duration leftCoresAt{};
-  /// Time since its start that it did not spend on the cores.
+  /// Time that it has spent off the cores since its start.
   Duration offCoreTime{};
-  int completedCalls = 0;           ///< Downstream calls that completed, over all its executions.
+  int completedCalls = 0;           ///< Downstream calls that completed, in all its executions.
   int consecutiveCallFailures = 0;  ///< Downstream calls that failed since the last completed one.
-  Outcome lastCallOutcome = Outcome::completed;  ///< Of its last call that ended, else `completed`.
-  bool isAnswerOwed = true;                      ///< Whether it still has to be answered.
-  bool hasStarted = false;  ///< Whether it was ever started, a cancelled execution included.
-  /// A duplicate of a request that may have been executed.
+  Outcome lastCallOutcome = Outcome::completed;  ///< Outcome of the last call that ended; `completed` before.
+  bool isResponsePending = true;                 ///< Whether it still needs a response.
+  bool hasStarted = false;  ///< Whether it was ever started, including cancelled executions.
+  /// Whether it is a duplicate of a request that may have been executed.
   bool isDuplicate = false;
 };
 
-/// Whether a request at this stage has been started and not ended.
+/// Whether a request at this stage has an execution that was started and has not ended.
 [[nodiscard]] inline bool isStarted(RequestStage stage) { return stage >= RequestStage::executing; }
 
 }  // namespace rainhook
--- a/src/decision/request_timing.cpp
+++ b/src/decision/request_timing.cpp
@@ -12,13 +12,13 @@
 
 using namespace std::chrono_literals;
 
-/// Part of the time to spare that requests may spend in the queue.
+/// The share of the slack that requests may spend in the queue.
 constexpr double queueShareOfSlack = 0.3;
 constexpr double minTolerableSeconds = 0.05;
-/// More seconds than any handler has to spare.
+/// More slack than any handler has.
 constexpr double unlimitedSlackSeconds = 1e9;
-/// Without pressure, an execution is believed to take only this part of the estimate.
-constexpr double benefitOfDoubt = 0.5;
+/// Without pressure, an execution is assumed to take only this share of the estimate.
+constexpr double optimisticShare = 0.5;
 
 }  // namespace
 
@@ -47,7 +47,7 @@
 bool RequestTiming::isTooLate(const RequestRecord& request, Duration now, bool isUnderPressure) const {
   const HandlerPolicy& policy = policyOf(request.arrival);
   const double executionSeconds =
-      (isUnderPressure ? 1 : benefitOfDoubt) * serviceTimes_.executionSeconds(request.arrival);
+      (isUnderPressure ? 1 : optimisticShare) * serviceTimes_.executionSeconds(request.arrival);
   const Duration expected =
       fromSeconds(executionSeconds + serviceTimes_.downstreamSeconds(request.arrival.handler));
   if (now + expected <= request.target) return false;
--- a/src/decision/request_timing.h
+++ b/src/decision/request_timing.h
@@ -1,5 +1,5 @@
 /// @file
-/// When a request must be answered, and whether it can be.
+/// Calculates when a request must be answered, and whether that is possible.
 #pragma once
 
 #include <vector>
@@ -13,23 +13,25 @@
 
 namespace rainhook {
 
-/// Sets the deadline and the target of each request and forecasts whether it can meet them.
+/// Sets the deadline and the target of each request and estimates whether the request can meet them.
 ///
-/// Keeps references to the handlers and to the estimator; it must not outlive them.
+/// The object keeps references to the handlers and to the estimator, which must outlive it.
 class RequestTiming {
  public:
-  /// Starts with nothing learned about retries.
+  /// Starts without statistics about retries.
   RequestTiming(const std::vector<HandlerPolicy>& handlers, const ServiceTimeEstimator& serviceTimes);
 
-  /// The record of a request that was read at `now`, with its deadline and its target. Learns from the time
-  /// that the client still waits whether the request is a retry.
+  /// Creates the record, with deadline and target, of a request that was read at `now`. Estimates the age of
+  /// the attempt from the time that the client will still wait, so that the target of a retry is earlier.
   [[nodiscard]] RequestRecord makeRecord(const RequestArrived& arrival, Duration now);
 
-  /// Whether the request could not be answered in time even if it started now, judged by what executions and
-  /// calls take at present. Without pressure a doubtful one is tried, and one that still earns when late.
+  /// Whether the request could not be answered in time even if it started now, estimated from the current
+  /// durations of executions and calls. Without pressure the estimate is optimistic, and a request that still
+  /// earns weight after its target is too late only if it would miss its deadline.
   [[nodiscard]] bool isTooLate(const RequestRecord& request, Duration now, bool isUnderPressure) const;
 
-  /// How long requests may wait in the queue: a part of the time to spare of the handler that has the least.
+  /// How long requests may wait in the queue: a share of the slack (the latency objective less the estimated
+  /// execution and call times) of the handler with the least slack.
   [[nodiscard]] double tolerableQueueSeconds() const;
 
  private:
--- a/src/decision/service_time_estimator.cpp
+++ b/src/decision/service_time_estimator.cpp
@@ -10,23 +10,23 @@
 
 using namespace std::chrono_literals;
 
-/// Time on a core before any execution was seen, as a share of the handler's latency objective.
+/// The initial estimate of the time on the cores, as a share of the handler's latency objective.
 constexpr double initialShareOfObjective = 0.1;
-/// Half-life of what is remembered of the present speed.
+/// Half-life of the measurements that determine the current speed.
 constexpr Duration halfLife = 1500ms;
-/// Growth per second of the least latency.
+/// Relative growth of the minimum latency per second.
 constexpr double minLatencyGrowth = 0.02;
 constexpr double minLatencySeconds = 0.001;
-/// A call that takes this many times the usual is an outlier.
+/// A call that takes this many times as long as usual is an outlier.
 constexpr double outlierFactor = 8;
 constexpr double minCallSamplesForOutliers = 10;
-/// Long-term means weigh a new sample by one over the samples, these at most.
+/// A long-term mean gives a new sample a weight of one over the number of samples, which is capped.
 constexpr double maxExecutionSamples = 50;
 constexpr double maxCallSamples = 200;
-/// Weight, in units, of the expectation in the measured rates.
+/// Weight of the expected value in the measured rates, in units of completed work.
 constexpr double executionPriorUnits = 0.5;
 constexpr double callPriorUnits = 1;
-/// Calls per execution from which on a handler is taken for one that calls.
+/// A handler with at least this many calls per execution counts as one that makes downstream calls.
 constexpr double minCallsPerExecution = 0.1;
 
 }  // namespace
@@ -69,12 +69,13 @@
   return executionSeconds(arrival.handler) * relativeWork(arrival);
 }
 
-/// Seconds spent for each second of work expected.
+/// The seconds spent for each expected second of work.
 double ServiceTimeEstimator::executionSlowdown() const {
   return executionRate_.secondsPerUnit(1, executionPriorUnits);
 }
 
-/// The estimated work of a request over the mean of its handler; 1 where it came without an estimate.
+/// The estimated work of a request over the mean of its handler; 1 if the request or the handler has no
+/// estimate.
 double ServiceTimeEstimator::relativeWork(const RequestArrived& arrival) const {
   const double meanWorkSeconds = handlers_[indexOf(arrival.handler)].estimatedWorkSeconds;
   if (!arrival.estimatedWork || meanWorkSeconds <= 0) return 1;
@@ -93,7 +94,7 @@
   return handlers_[indexOf(handler)].callsPerExecution;
 }
 
-bool ServiceTimeEstimator::usuallyCalls(HandlerId handler) const {
+bool ServiceTimeEstimator::usuallyCallsDownstream(HandlerId handler) const {
   return callsPerExecution(handler) >= minCallsPerExecution;
 }
 
--- a/src/decision/service_time_estimator.h
+++ b/src/decision/service_time_estimator.h
@@ -1,5 +1,5 @@
 /// @file
-/// How long executions and downstream calls take at this server now.
+/// Estimates how long executions and downstream calls currently take at this server.
 #pragma once
 
 #include <vector>
@@ -11,27 +11,28 @@
 
 namespace rainhook {
 
-/// Estimates the time that a request needs from what executions and downstream calls took lately.
+/// Estimates the time that a request needs from the durations of recent executions and downstream calls.
 ///
-/// Each handler has a long-term mean; the present slowdown is measured across all handlers, so a stall shows
-/// before any execution has ended. Memory: one row for each handler.
+/// Each handler has a long-term mean. The current slowdown is measured across all handlers, so a stall is
+/// visible before any execution has ended. The object keeps one entry for each handler.
 class ServiceTimeEstimator {
  public:
-  /// Starts each handler from a part of its latency objective.
+  /// Starts with a tenth of each handler's latency objective as its execution time.
   explicit ServiceTimeEstimator(const std::vector<HandlerPolicy>& handlers);
 
-  /// Time passes while that many requests are executing and that many calls are open.
+  /// Accounts for elapsed time during which `executing` requests were on the cores and `openCalls` calls were
+  /// open.
   void advance(Duration elapsed, int executing, int openCalls);
 
-  /// An execution has completed after that time on the cores and that many downstream calls.
+  /// Records an execution that completed after `coreTime` on the cores and `calls` downstream calls.
   void recordExecution(const RequestArrived& arrival, Duration coreTime, int calls);
 
-  /// A downstream call has ended, whatever its outcome.
+  /// Records a downstream call that ended, with any outcome.
   void recordCall(Duration duration);
 
-  /// Expected seconds on the cores, at the present speed.
+  /// Expected seconds on the cores at the current speed.
   [[nodiscard]] double executionSeconds(HandlerId handler) const;
-  /// Expected seconds on the cores for this request, by its estimated work where it has one.
+  /// Expected seconds on the cores for this request, scaled by its estimated work if it has an estimate.
   [[nodiscard]] double executionSeconds(const RequestArrived& arrival) const;
 
   /// Expected seconds of one downstream call.
@@ -43,17 +44,17 @@
   /// Mean number of downstream calls of one execution.
   [[nodiscard]] double callsPerExecution(HandlerId handler) const;
 
-  /// Whether executions of this handler often make downstream calls.
-  [[nodiscard]] bool usuallyCalls(HandlerId handler) const;
+  /// Whether executions of this handler make at least 0.1 downstream calls on average.
+  [[nodiscard]] bool usuallyCallsDownstream(HandlerId handler) const;
 
-  /// How much longer calls take now than on the long-term mean; 1 where that is unknown.
+  /// The current duration of calls over their long-term mean; 1 if that is unknown.
   [[nodiscard]] double callSlowdown() const;
 
-  /// The time after which a call is far longer than the others; no limit until enough calls were seen.
+  /// The time after which a call counts as an outlier; unlimited until enough calls were recorded.
   [[nodiscard]] Duration callOutlierTimeout() const;
 
-  /// The latency over the least latency of the handler, which it updates. The least ages upward, so that it
-  /// can be forgotten.
+  /// Updates the minimum latency of the handler and returns the latency divided by it. The minimum rises
+  /// slowly, so that an outdated minimum is replaced.
   [[nodiscard]] double normalizeLatency(HandlerId handler, double latencySeconds);
 
  private:
--- a/src/decision/settings.h
+++ b/src/decision/settings.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a policy is told at its start about its machine, its handlers and its surroundings.
+/// The settings that a policy receives at its start: its machine, its handlers and its environment.
 #pragma once
 
 #include <chrono>
@@ -11,12 +11,12 @@
 
 /// Whether a request may be executed more than once.
 enum class Idempotency {
-  idempotent,     ///< Repeating it does no harm.
-  keyed,          ///< Duplicates name the original and must not be executed again within the window.
+  idempotent,     ///< It may be executed repeatedly.
+  keyed,          ///< Duplicates name the original and must not be executed within the deduplication window.
   nonIdempotent,  ///< It must be executed at most once, and duplicates can't be recognized.
 };
 
-/// What the execution engine does when it is asked to cancel an execution.
+/// What the execution engine does when it cancels an execution.
 enum class CancellationMode {
   none,         ///< Executions can't be cancelled.
   discardWork,  ///< The work done so far is lost.
@@ -25,116 +25,116 @@
 
 /// How the load of this server is expressed to its clients.
 enum class LoadSignalKind {
-  none,    ///< Not at all.
-  level,   ///< 0 (idle) to 1 (overloaded).
-  credit,  ///< How many requests each client may have in flight.
-  weight,  ///< 1 (takes its full share) down to 0 (takes nothing).
+  none,    ///< No load signal.
+  level,   ///< From 0 (idle) to 1 (overloaded).
+  credit,  ///< The number of requests that each client may have in flight.
+  weight,  ///< From 1 (should receive its full share of requests) down to 0 (should receive none).
 };
 
-/// What the handlers call downstream.
+/// The kind of service that the handlers call.
 enum class DownstreamKind {
-  none,      ///< Nothing.
+  none,      ///< Handlers make no downstream calls.
   shared,    ///< A dependency that all servers share under a quota.
-  nextTier,  ///< Another tier of servers, which protects itself.
+  nextTier,  ///< Another tier of servers, which protects itself from overload.
 };
 
 /// The machine and its execution engine.
 struct MachineProfile {
   int cores = 1;        ///< Number of cores.
   double memoryKb = 0;  ///< Memory for requests and retained results, in kilobytes.
-  /// Memory of a request in execution over that of a queued one.
+  /// Memory of a request in execution, as a multiple of its memory while queued.
   double executionMemoryFactor = 1;
-  /// Memory of one entry of the deduplication cache.
+  /// Memory of one entry of the deduplication cache, in kilobytes.
   double cachedEntryKb = 0;
   /// Whether the engine has just started and is slow at first.
   bool coldStart = false;
-  /// Least share of the full speed after a cold start.
+  /// Share of the full speed directly after a cold start.
   double initialSpeed = 1;
-  /// Longest time from a cold start to the full speed.
+  /// Longest time from a cold start until the full speed is reached.
   Duration warmUpDuration{};
-  /// Concurrent executions, for each core, that a warm server survives.
+  /// Concurrent executions, for each core, that a warm server can sustain.
   double maxExecutionsPerCore = 1;
-  /// How long the server survives more than that. Not used by the policy.
+  /// How long the server can sustain more executions than that. Not used by the policy.
   Duration overcommitWindow{};
-  CancellationMode cancellation = CancellationMode::none;  ///< What a cancellation does to the work.
+  CancellationMode cancellation = CancellationMode::none;  ///< The effect of a cancellation.
 };
 
-/// The terms of one kind of request.
+/// The settings of one handler, that is, one kind of request.
 struct HandlerPolicy {
-  /// An answer earns its full weight up to this time after the arrival.
+  /// A response earns its full weight until this time after the arrival.
   Duration latencyObjective{};
   /// The latency objective grows by this many times the estimated work of the request.
   double objectiveWorkFactor = 0;
-  /// How long a client waits where the request does not say.
+  /// How long a client waits if the request does not state it.
   Duration clientTimeout{};
-  /// What an answer in time is worth, relative to other handlers.
+  /// Weight of a response within the latency objective, relative to other handlers.
   double priorityWeight = 1;
-  /// What an answer after the latency objective is worth.
+  /// Weight of a response after the latency objective.
   double lateWeight = 0;
-  /// Share of the weight that an answer without its downstream call earns; 0 where there is none.
+  /// Share of the weight that a response earns if the downstream call was skipped; 0 if it can't be skipped.
   double degradedWeight = 0;
   bool callsDownstream = false;                       ///< Whether executions may make downstream calls.
-  Idempotency idempotency = Idempotency::idempotent;  ///< Whether it may be executed more than once.
-  /// How long after the arrival of a keyed request duplicates may follow.
+  Idempotency idempotency = Idempotency::idempotent;  ///< Whether requests may be executed more than once.
+  /// How long after the arrival of a keyed request duplicates may arrive.
   Duration deduplicationWindow{};
 };
 
-/// The downstream service and the part of it that this server may use.
+/// The downstream service and this server's quota of it.
 struct DownstreamProfile {
-  DownstreamKind kind = DownstreamKind::none;  ///< What is called.
-  /// Concurrent calls that this server may hold on average; 0 where unlimited.
+  DownstreamKind kind = DownstreamKind::none;  ///< The kind of service.
+  /// Mean number of concurrent calls that this server may have open; 0 for no limit.
   double concurrentCallQuota = 0;
-  /// The window over which that average is taken.
+  /// The window over which that mean is taken.
   Duration quotaWindow{};
-  /// How long a call that was abandoned may still occupy the downstream service.
+  /// How long an abandoned call may continue to occupy the downstream service.
   Duration maxAbandonedCallDuration{};
 };
 
-/// Bounds that the protocol sets.
+/// The limits that the protocol sets.
 struct ProtocolLimits {
-  /// How late an answer may be after the client's deadline.
+  /// How long after the client's deadline a response may still be sent.
   Duration answerSlack{};
-  /// How long after a shutdown notice arriving requests may still be executed.
+  /// How long after a shutdown notice requests that arrive may still be executed.
   Duration drainGrace{};
 };
 
-/// How this server may inform its clients.
+/// How this server informs its clients about its load.
 struct SignalingProfile {
-  LoadSignalKind signalKind = LoadSignalKind::none;  ///< How the load is expressed.
-  /// How long a client keeps a load signal in mind.
+  LoadSignalKind signalKind = LoadSignalKind::none;  ///< The kind of the load signal.
+  /// How long a client uses a load signal that it has received.
   Duration signalLifetime{};
   /// Whether the endpoint registry follows the published health.
   bool registryFollowsHealth = false;
-  /// Longest advice to stay away; 0 where such advice is not passed on.
+  /// Longest retry-after advice; 0 if clients do not receive such advice.
   Duration maxRetryAfter{};
 };
 
-/// How results count, and whether they may be shared among requests.
+/// How results are weighted, and whether requests may share them.
 struct ResultSharing {
-  /// Whether an answer counts by the work of its request instead of one each.
+  /// Whether a response counts in proportion to the work of its request; otherwise each response counts 1.
   bool weightByWork = false;
   /// How long the result of a read may answer other reads of the same resource; 0 for never.
   Duration sharingDuration{};
 };
 
-/// The fleet around this server.
+/// The servers and clients of the deployment.
 struct FleetProfile {
-  int servers = 1;  ///< Number of servers, this one included. Not used by the policy.
+  int servers = 1;  ///< Number of servers, including this one. Not used by the policy.
   int clients = 1;  ///< Number of client processes.
-  /// Clients close connections that are idle for longer.
+  /// Clients close connections that stay idle for longer than this.
   Duration maxIdleTime = std::chrono::seconds(1);
 };
 
-/// Everything that a policy is told at its start. The policy keeps a copy.
+/// All settings that a policy receives at its start. The policy keeps a copy.
 struct PolicySettings {
   MachineProfile machine;  ///< The machine of this server.
   /// One entry for each `HandlerId`.
   std::vector<HandlerPolicy> handlers;
-  DownstreamProfile downstream;  ///< What the handlers call.
-  ProtocolLimits limits;         ///< What the protocol allows.
-  SignalingProfile signaling;    ///< How clients may be informed.
-  ResultSharing sharing;         ///< How results count and are shared.
-  FleetProfile fleet;            ///< The other servers and the clients.
+  DownstreamProfile downstream;  ///< The service that the handlers call.
+  ProtocolLimits limits;         ///< The limits that the protocol sets.
+  SignalingProfile signaling;    ///< How clients are informed about the load.
+  ResultSharing sharing;         ///< How results are weighted and shared.
+  FleetProfile fleet;            ///< The servers and clients of the deployment.
 };
 
 }  // namespace rainhook
--- a/src/decision/time_conversion.h
+++ b/src/decision/time_conversion.h
@@ -1,5 +1,5 @@
 /// @file
-/// Conversions between `Duration` and seconds as floating-point numbers, in which estimates are calculated.
+/// Conversions between `Duration` and floating-point seconds, which the estimates use.
 #pragma once
 
 #include <algorithm>
@@ -9,12 +9,13 @@
 
 namespace rainhook {
 
-/// The duration in seconds.
+/// Returns the duration in seconds.
 [[nodiscard]] inline double toSeconds(Duration duration) {
   return std::chrono::duration<double>(duration).count();
 }
 
-/// Limited to the range from 0 to a million seconds, so that no estimate can overflow a `Duration`.
+/// Converts seconds to a duration, clamped to between 0 and a million seconds so that no estimate can
+/// overflow a `Duration`.
 [[nodiscard]] inline Duration fromSeconds(double seconds) {
   constexpr double maxSeconds = 1e6;
   constexpr double nanosecondsPerSecond = 1e9;
--- a/tests/decision/admission_queue_test.cpp
+++ b/tests/decision/admission_queue_test.cpp
@@ -23,12 +23,12 @@
   AdmissionQueue queue;
 };
 
-TEST_F(AdmissionQueueTest, StartsTheOldestFirst) {
+TEST_F(AdmissionQueueTest, StartsOldestFirstWhenNotFull) {
   queue.recordFullness(10s, false);
   EXPECT_THAT(queue.startOrder(10s), ElementsAre(first, second, third));
 }
 
-TEST_F(AdmissionQueueTest, StartsTheNewestFirstOnceItHasBeenFullForASecond) {
+TEST_F(AdmissionQueueTest, StartsNewestFirstWhenFullForMoreThanOneSecond) {
   queue.recordFullness(10s, false);
   queue.recordFullness(10s + 400ms, true);
   EXPECT_THAT(queue.startOrder(11s), ElementsAre(first, second, third));
@@ -36,20 +36,20 @@
   EXPECT_THAT(queue.startOrder(11s + 1ms), ElementsAre(third, second, first));
 }
 
-TEST_F(AdmissionQueueTest, StartsTheOldestFirstAgainOnceItIsRelieved) {
+TEST_F(AdmissionQueueTest, StartsOldestFirstAgainWhenNoLongerFull) {
   queue.recordFullness(10s, true);
   queue.recordFullness(10s + 501ms, false);
   EXPECT_THAT(queue.startOrder(11s), ElementsAre(first, second, third));
 }
 
-TEST_F(AdmissionQueueTest, PutsARequeuedRequestToTheOldestEnd) {
+TEST_F(AdmissionQueueTest, PutsRequestAtOldestEndWhenRequeued) {
   EXPECT_EQ(queue.popOldest(), first);
   queue.pushFront(first);
   EXPECT_THAT(queue.oldestFirst(), ElementsAre(first, second, third));
   EXPECT_EQ(queue.newest(), third);
 }
 
-TEST_F(AdmissionQueueTest, RetainsOnlyWhatThePredicateSelects) {
+TEST_F(AdmissionQueueTest, RetainIfRemovesRequestsWhenPredicateIsFalse) {
   queue.retainIf([](RequestId id) { return id != second; });
   EXPECT_THAT(queue.oldestFirst(), ElementsAre(first, third));
 }
--- a/tests/decision/attempt_age_estimator_test.cpp
+++ b/tests/decision/attempt_age_estimator_test.cpp
@@ -9,18 +9,18 @@
 
 constexpr Duration timeout = 2s;
 
-TEST(AttemptAgeEstimatorTest, KnowsNoAgeBeforeThereAreHabits) {
+TEST(AttemptAgeEstimatorTest, ReturnsZeroWhenNoShareIsFrequent) {
   AttemptAgeEstimator estimator;
   EXPECT_EQ(estimator.estimateAge(500ms, timeout), 0s);
 }
 
-TEST(AttemptAgeEstimatorTest, TakesAnUnusualWaitForWhatIsLeftOfTheTimeout) {
+TEST(AttemptAgeEstimatorTest, DerivesAgeFromTimeRemainingWhenShareIsInfrequent) {
   AttemptAgeEstimator estimator;
   for (int i = 0; i < 100; ++i) EXPECT_EQ(estimator.estimateAge(1s, timeout), 0s);
   EXPECT_EQ(estimator.estimateAge(500ms, timeout), 1500ms);
 }
 
-TEST(AttemptAgeEstimatorTest, LearnsANewHabitBesideAnOldOne) {
+TEST(AttemptAgeEstimatorTest, ReturnsZeroWhenASecondShareBecomesFrequent) {
   AttemptAgeEstimator estimator;
   for (int i = 0; i < 100; ++i) EXPECT_EQ(estimator.estimateAge(1s, timeout), 0s);
   EXPECT_GT(estimator.estimateAge(500ms, timeout), 0s);
--- a/tests/decision/deduplication_index_test.cpp
+++ b/tests/decision/deduplication_index_test.cpp
@@ -10,7 +10,7 @@
 constexpr RequestId first{1};
 constexpr RequestId second{2};
 
-TEST(DeduplicationIndexTest, RemovesExactlyWhatHasExpired) {
+TEST(DeduplicationIndexTest, RemoveExpiredKeepsEntryWhenNotExpired) {
   DeduplicationIndex index;
   index.retain(first, 2s);
   index.retain(second, 3s);
@@ -20,7 +20,7 @@
   EXPECT_TRUE(index.contains(second));
 }
 
-TEST(DeduplicationIndexTest, TakesTheLastTimeOfAnEntryRetainedAgain) {
+TEST(DeduplicationIndexTest, ReplacesExpiryWhenEntryIsRetainedAgain) {
   DeduplicationIndex index;
   index.retain(first, 2s);
   index.retain(first, 5s);
@@ -28,7 +28,7 @@
   EXPECT_EQ(index.removeExpired(5s), 1);
 }
 
-TEST(DeduplicationIndexTest, TellsWhetherThereWasAnEntryToRemove) {
+TEST(DeduplicationIndexTest, RemoveReturnsFalseWhenEntryDoesNotExist) {
   DeduplicationIndex index;
   index.retain(first, 2s);
   EXPECT_TRUE(index.remove(first));
--- a/tests/decision/downstream_call_budget_test.cpp
+++ b/tests/decision/downstream_call_budget_test.cpp
@@ -16,14 +16,14 @@
 
 constexpr double usualSpeed = 1;
 
-TEST(DownstreamCallBudgetTest, HasNoBoundsWithoutAQuota) {
+TEST(DownstreamCallBudgetTest, HasNoLimitsWhenNoQuotaIsConfigured) {
   DownstreamCallBudget budget{DownstreamProfile{}};
   for (int i = 0; i < 1000; ++i) budget.recordCallStart();
   EXPECT_TRUE(budget.hasRoom(0s));
   EXPECT_EQ(budget.maxCallDuration(), Duration::max());
 }
 
-TEST(DownstreamCallBudgetTest, UsesFourFifthsOfTheQuotaWhileCallsAreQuick) {
+TEST(DownstreamCallBudgetTest, UsesFourFifthsOfQuotaWhenCallsAreFast) {
   DownstreamCallBudget budget{sharedWithQuota(5)};
   for (int i = 0; i < 4; ++i) {
     EXPECT_TRUE(budget.hasRoom(0s)) << i;
@@ -32,7 +32,7 @@
   EXPECT_FALSE(budget.hasRoom(0s));
 }
 
-TEST(DownstreamCallBudgetTest, UsesLessWhileCallsAreSlowButAlwaysThreeTenths) {
+TEST(DownstreamCallBudgetTest, UsesLessButAtLeastThreeTenthsOfQuotaWhenCallsAreSlow) {
   DownstreamCallBudget budget{sharedWithQuota(10)};
   budget.advance(1ms, 4 * usualSpeed);
   EXPECT_DOUBLE_EQ(budget.callLimit(), 4);
@@ -40,7 +40,7 @@
   EXPECT_DOUBLE_EQ(budget.callLimit(), 3);
 }
 
-TEST(DownstreamCallBudgetTest, CountsAnAbandonedCallUntilItCannotLinger) {
+TEST(DownstreamCallBudgetTest, CountsAbandonedCallUntilItsMaximumDurationHasPassed) {
   DownstreamCallBudget budget{sharedWithQuota(1.25)};
   budget.recordCallStart();
   budget.recordCallEnd(1s, CallEnd::abandoned);
@@ -48,26 +48,27 @@
   EXPECT_TRUE(budget.hasRoom(1200ms));
 }
 
-TEST(DownstreamCallBudgetTest, ForgetsAFinishedCallAtOnce) {
+TEST(DownstreamCallBudgetTest, FreesRoomImmediatelyWhenCallFinishes) {
   DownstreamCallBudget budget{sharedWithQuota(1.25)};
   budget.recordCallStart();
   budget.recordCallEnd(1s, CallEnd::finished);
   EXPECT_TRUE(budget.hasRoom(1s));
 }
 
-TEST(DownstreamCallBudgetTest, CutsCallsShortUnderAQuotaOfLessThanOne) {
+TEST(DownstreamCallBudgetTest, LimitsCallDurationWhenQuotaIsBelowOneCall) {
   DownstreamCallBudget budget{sharedWithQuota(0.5)};
-  // The margin of 0.1 calls over 5 s, filled at 0.6 calls net of what drains, less the linger.
+  // The bucket holds 0.1 calls over 5 s and fills at 0.6 calls after draining; 0.2 s are for an abandoned
+  // call.
   EXPECT_NEAR(static_cast<double>(budget.maxCallDuration().count()), 0.5e9 / 0.6 - 0.2e9, 1e3);
   budget.recordCallStart();
   budget.advance(500ms, usualSpeed);
   budget.recordCallEnd(500ms, CallEnd::finished);
-  EXPECT_FALSE(budget.hasRoom(500ms));  // The bucket is over half.
+  EXPECT_FALSE(budget.hasRoom(500ms));  // The bucket is more than half full.
   budget.advance(500ms, usualSpeed);
   EXPECT_TRUE(budget.hasRoom(1s));
 }
 
-TEST(DownstreamCallBudgetTest, StartsNoCallAfterTheShareShrinksUntilThereIsRoom) {
+TEST(DownstreamCallBudgetTest, StartsNoCallWhenShareShrinksUntilCallsFit) {
   DownstreamCallBudget budget{sharedWithQuota(5)};
   budget.recordCallStart();
   budget.recordCallStart();
@@ -77,7 +78,7 @@
   EXPECT_TRUE(budget.hasRoom(0s));
 }
 
-TEST(DownstreamCallBudgetTest, TakesOnlyEarlyOutcomesForProofThatACallDidNotExecute) {
+TEST(DownstreamCallBudgetTest, ProvesNotExecutedOnlyWhenCallEndedBeforeExecution) {
   EXPECT_TRUE(provesNotExecuted(Outcome::rejected));
   EXPECT_TRUE(provesNotExecuted(Outcome::unreachable));
   EXPECT_TRUE(provesNotExecuted(Outcome::superseded));
--- a/tests/decision/execution_ceiling_test.cpp
+++ b/tests/decision/execution_ceiling_test.cpp
@@ -14,25 +14,25 @@
       .cores = 2, .coldStart = true, .initialSpeed = 0.5, .warmUpDuration = 10s, .maxExecutionsPerCore = 11};
 }
 
-TEST(ExecutionCeilingTest, RisesLinearlyAfterAColdStart) {
+TEST(ExecutionCeilingTest, RisesLinearlyWhenStartedCold) {
   const ExecutionCeiling ceiling{coldMachine()};
   EXPECT_DOUBLE_EQ(ceiling.maxExecutions(0s), 2 * 6 * 0.9 - 1);
   EXPECT_DOUBLE_EQ(ceiling.maxExecutions(5s), 2 * 8.5 * 0.9 - 1);
   EXPECT_DOUBLE_EQ(ceiling.maxExecutions(20s), 2 * 11 * 0.9 - 1);
 }
 
-TEST(ExecutionCeilingTest, IsFullOnceTheEngineIsKnownToBeWarm) {
+TEST(ExecutionCeilingTest, IsAtFullValueWhenEngineIsReportedWarm) {
   ExecutionCeiling ceiling{coldMachine()};
   ceiling.setEngineStart(false, 0s);
   EXPECT_DOUBLE_EQ(ceiling.maxExecutions(0s), 2 * 11 * 0.9 - 1);
 }
 
-TEST(ExecutionCeilingTest, IsAtLeastOne) {
+TEST(ExecutionCeilingTest, IsAtLeastOneWhenMachineIsSmall) {
   const ExecutionCeiling ceiling{MachineProfile{.cores = 1, .maxExecutionsPerCore = 1}};
   EXPECT_EQ(ceiling.maxExecutions(0s), 1);
 }
 
-TEST(MemoryBudgetTest, KeepsAMarginAndGivesBackWhatIsReleased) {
+TEST(MemoryBudgetTest, KeepsMarginAndFreesMemoryWhenReleased) {
   MemoryBudget memory{MachineProfile{.memoryKb = 1000, .executionMemoryFactor = 4}};
   EXPECT_TRUE(memory.fits(940));
   EXPECT_FALSE(memory.fits(941));
--- a/tests/decision/overload_detector_test.cpp
+++ b/tests/decision/overload_detector_test.cpp
@@ -7,14 +7,14 @@
 
 using namespace std::chrono_literals;
 
-TEST(OverloadDetectorTest, SeesNoneAtHalfTheTolerableWait) {
+TEST(OverloadDetectorTest, ReportsNoPressureWhenWaitIsHalfOfTolerable) {
   OverloadDetector detector;
   detector.update(10s, 0.5, 1.0);
   EXPECT_FALSE(detector.isUnderPressure());
   EXPECT_EQ(detector.severity(), 0);
 }
 
-TEST(OverloadDetectorTest, RisesWithTheWaitAndFallsAtRest) {
+TEST(OverloadDetectorTest, SeverityRisesWithWaitAndFallsWhenWaitEnds) {
   OverloadDetector detector;
   detector.update(1s, 1.0, 1.0);
   EXPECT_DOUBLE_EQ(detector.severity(), 0.4);
@@ -25,7 +25,7 @@
   EXPECT_FALSE(detector.isUnderPressure());
 }
 
-TEST(OverloadDetectorTest, SeesItInTheShareOfShedRequestsWithoutAnyWait) {
+TEST(OverloadDetectorTest, DetectsOverloadFromShedShareWhenThereIsNoWait) {
   OverloadDetector detector;
   for (int i = 0; i < 4; ++i) {
     detector.recordArrival();
--- a/tests/decision_recording_test.cpp
+++ b/tests/decision_recording_test.cpp
@@ -1,20 +1,20 @@
 /// @file
-/// Holds the decision module to its recorded behaviour.
+/// Compares the behaviour of the decision module with a recording.
 ///
-/// Some hundred simulated histories hand it batches of events and carry out its actions; every action of
-/// every batch goes, field by field, into a hash that is compared with tests/data/decision_recording.txt.
-/// This says nothing of whether a decision is good: it shows that a change meant to keep the behaviour did
-/// keep it.
+/// Several hundred simulated histories report batches of events to the policy and carry out its actions.
+/// Every field of every action is hashed, and the hashes are compared with tests/data/decision_recording.txt.
+/// The test does not judge whether a decision is good: it shows that a change that is meant to keep the
+/// behaviour did keep it.
 ///
-/// After a change that is meant to decide otherwise, record anew and review the change by the other tests:
+/// After a change that is meant to decide differently, record again and review the change by the other tests:
 ///
 ///     RAINHOOK_RECORD=1 rainhook_tests --gtest_filter='DecisionRecording.*'
 ///
 /// Such a run fails by design, so that no check passes by recording.
 ///
-/// The random source is this file's own and draws integers, so that the histories are the same on any
-/// machine. The module itself calculates in doubles: the recording holds for x86-64 with the C library's
-/// std::exp2, at any level of optimization that keeps to IEEE 754.
+/// This file has its own random number generator, which draws integers, so the histories are the same on
+/// every machine. The module itself calculates in doubles: the recording is valid for x86-64 with the C
+/// library's std::exp2, at any optimization level that conforms to IEEE 754.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -46,8 +46,8 @@
 constexpr int seeds = 40;
 constexpr int batchesPerHash = 10;
 
-/// splitmix64, with draws that need no library. Durations are multiples of a
-/// grain: where it is coarse, times are exactly equal and the edges of comparisons show.
+/// SplitMix64 with draws that need no library. Durations are multiples of a grain: a coarse grain produces
+/// exactly equal times, which tests the boundaries of comparisons.
 class RandomSource {
  public:
   RandomSource(std::uint64_t seed, Duration grain) : state_(seed), grain_(grain) {}
@@ -65,7 +65,7 @@
   }
   bool percent(int share) { return between(0, 99) < share; }
   bool permille(int share) { return between(0, 999) < share; }
-  /// One division of two whole numbers: rounded the same everywhere.
+  /// Divides two integers only once, so that the result is rounded the same on every machine.
   double thousandths(std::int64_t least, std::int64_t most) {
     return static_cast<double>(between(least, most)) / 1000;
   }
@@ -83,7 +83,7 @@
   const Duration grain_;
 };
 
-/// FNV-1a over 64-bit words, their lowest byte first.
+/// FNV-1a over 64-bit words, lowest byte first.
 class Hash {
  public:
   void add(std::uint64_t word) {
@@ -103,12 +103,12 @@
   std::uint64_t value_ = 0xcbf29ce484222325;
 };
 
-/// The numbers in the recording: they stay whatever the order of `Action`.
+/// The codes of actions in the recording; they do not depend on the order of `Action`.
 enum class ActionCode : std::uint64_t {
   start = 1,
   shed = 2,
   fail = 3,
-  stop = 4,
+  cancel = 4,
   call = 5,
   skipDownstreamCall = 6,
   retain = 7,
@@ -121,8 +121,8 @@
   diagnosticMessage = 14,
 };
 
-/// The canonical encoding of an action: its code, then its fields in order. The text of a diagnostic message
-/// is left out, since texts for people are reworded.
+/// Hashes an action in a canonical encoding: its code, then its fields in order. The text of a diagnostic
+/// message is omitted, since its wording may change.
 class Encoder {
  public:
   explicit Encoder(Hash& hash) : hash_(hash) {}
@@ -132,7 +132,7 @@
     fields(ActionCode::shed, action.id, action.retryAfter, action.discourageRetry);
   }
   void encode(const FailRequest& action) { fields(ActionCode::fail, action.id); }
-  void encode(const CancelExecution& action) { fields(ActionCode::stop, action.id); }
+  void encode(const CancelExecution& action) { fields(ActionCode::cancel, action.id); }
   void encode(const CallDownstream& action) { fields(ActionCode::call, action.id, action.timeout); }
   void encode(const SkipDownstreamCall& action) { fields(ActionCode::skipDownstreamCall, action.id); }
   void encode(const RetainResult& action) { fields(ActionCode::retain, action.id, action.retention); }
@@ -158,7 +158,7 @@
   Hash& hash_;
 };
 
-/// How often each thing was seen in the whole recording, so that it can't become empty unnoticed.
+/// The number of occurrences of each action in all histories, so that a loss of coverage is noticed.
 struct ActionCounts {
   int batches = 0;
   int starts = 0;
@@ -232,9 +232,9 @@
     machine.overcommitWindow = 500ms;
     machine.maxExecutionsPerCore = random.thousandths(2000, 5000);
   }
-  const bool drops = variant == Variant::drop || variant == Variant::tightMemoryDrop ||
-                     variant == Variant::shareUnderOne || variant == Variant::crowded;
-  if (drops) machine.cancellation = CancellationMode::discardWork;
+  const bool discardsWork = variant == Variant::drop || variant == Variant::tightMemoryDrop ||
+                            variant == Variant::shareUnderOne || variant == Variant::crowded;
+  if (discardsWork) machine.cancellation = CancellationMode::discardWork;
   if (variant == Variant::pause) machine.cancellation = CancellationMode::pauseWork;
   return machine;
 }
@@ -303,40 +303,40 @@
   return settings;
 }
 
-/// Where a request stands, as the simulation knows it.
+/// The state of a request in the simulation.
 enum class SimulatedState { queued, awaitingOriginal, executing, awaitingCall, calling };
 
 struct SimulatedRequest {
   SimulatedState state = SimulatedState::queued;
   HandlerId handler{};
   ResourceKey resourceKey{};
-  /// Work left until it calls or ends.
+  /// Work left until the execution makes a downstream call or ends.
   Duration remainingWork{};
-  /// Work of each part after a call.
+  /// Work of each part that follows a downstream call.
   Duration workAfterCall{};
   int remainingCalls = 0;
   Duration callEndsAt{};
   Duration callDuration{};
   Duration callTimeout{};
   Duration originalEndsAt{};
-  /// No answer is owed any more.
-  bool isAnswered = false;
+  /// Whether it was answered or its client disconnected, so that it needs no response any more.
+  bool isClosed = false;
   bool isCancelling = false;
 };
 
-/// What the surroundings are like for a while.
+/// The conditions of the environment during 20 batches.
 struct LoadConditions {
-  /// Arriving work, in thousandths of what the cores can do.
+  /// Arriving work in thousandths of the capacity of the cores.
   int loadPermille = 500;
   bool isReadingLate = false;
-  /// Many tasks want a core that are no executions.
-  bool isStorm = false;
+  /// Whether many tasks other than executions are ready to run.
+  bool hasManyOtherTasks = false;
   bool areCoresIdle = false;
   int callMs = 10;
   int callFailurePercent = 0;
 };
 
-/// One simulated history: makes a policy and plays its surroundings, batch by batch.
+/// One simulated history: creates a policy and simulates its environment, batch by batch.
 class History {
  public:
   History(Variant variant, int seed)
@@ -346,18 +346,18 @@
         batches_(static_cast<int>(random_.between(100, 200))),
         drains_(random_.percent(35)),
         reportsGauges_(random_.percent(80)),
-        habits_{random_.thousandths(200, 500), random_.thousandths(600, 900)},
+        frequentShares_{random_.thousandths(200, 500), random_.thousandths(600, 900)},
         statedTimeoutPercent_(static_cast<int>(random_.oneOf(std::array{0, 50, 100}))) {
     policy_ = makeAdmissionPolicy(settings_);
   }
 
-  /// Plays all batches; returns the hash after every ten of them, and after the last.
+  /// Simulates all batches; returns the hash after every ten batches and after the last.
   std::vector<std::uint64_t> run(ActionCounts& counts) {
     std::vector<std::uint64_t> hashes;
     for (batch_ = 1; batch_ <= batches_; ++batch_) {
       if (batch_ > 1) collectEvents();
       const std::vector<Action> actions = policy_->onEvents(now_, events_);
-      for (const Action& action : actions) write(action, counts);
+      for (const Action& action : actions) process(action, counts);
       hash_.add(policy_->concurrencyLimit());
       hash_.add(policy_->entriesScanned());
       ++counts.batches;
@@ -367,19 +367,19 @@
   }
 
  private:
-  void write(const Action& action, ActionCounts& counts) {
+  void process(const Action& action, ActionCounts& counts) {
     Encoder encoder(hash_);
     std::visit([&encoder](const auto& each) { encoder.encode(each); }, action);
     std::visit([&counts](const auto& each) { counts.count(each); }, action);
     std::visit([this](const auto& each) { apply(each); }, action);
   }
 
-  // The actions of the policy.
+  // Actions of the policy.
   void apply(const StartExecution& action) {
     if (SimulatedRequest* request = find(action.id)) request->state = SimulatedState::executing;
   }
-  void apply(const ShedRequest& action) { settleAnswer(action.id); }
-  void apply(const FailRequest& action) { settleAnswer(action.id); }
+  void apply(const ShedRequest& action) { closeRequest(action.id); }
+  void apply(const FailRequest& action) { closeRequest(action.id); }
   void apply(const CancelExecution& action) {
     if (SimulatedRequest* request = find(action.id)) request->isCancelling = true;
   }
@@ -417,11 +417,12 @@
     request.remainingWork = request.workAfterCall;
     --request.remainingCalls;
   }
-  /// What has not started is over with its answer; an execution ends later.
-  void settleAnswer(RequestId id) {
+  /// Closes a request that needs no response any more: removes it if it has not started; an execution ends
+  /// later.
+  void closeRequest(RequestId id) {
     SimulatedRequest* request = find(id);
     if (!request) return;
-    request->isAnswered = true;
+    request->isClosed = true;
     if (request->state == SimulatedState::queued || request->state == SimulatedState::awaitingOriginal)
       requests_.erase(id);
   }
@@ -430,7 +431,7 @@
     return found == requests_.end() ? nullptr : &found->second;
   }
 
-  /// Collects what happens until the next batch.
+  /// Collects the events until the next batch.
   void collectEvents() {
     events_.clear();
     if (batch_ % 20 == 2) changeConditions();
@@ -457,13 +458,13 @@
   void changeConditions() {
     conditions_.loadPermille = random_.oneOf(std::array{200, 400, 600, 800, 1100, 2000});
     conditions_.isReadingLate = random_.percent(15);
-    conditions_.isStorm = random_.percent(30);
+    conditions_.hasManyOtherTasks = random_.percent(30);
     conditions_.areCoresIdle = random_.percent(60);
     conditions_.callMs = random_.oneOf(std::array{5, 15, 40, 120});
     conditions_.callFailurePercent = random_.oneOf(std::array{0, 2, 10, 60});
   }
 
-  /// Executions, calls and duplicates go on, in the order of their ids.
+  /// Advances executions, calls and duplicates in the order of their ids.
   void proceed(Duration passed) {
     std::int64_t running = 0;
     for (const auto& [id, request] : requests_)
@@ -486,10 +487,10 @@
         execute(id, request, worked);
         break;
       case SimulatedState::awaitingCall:
-        if (request.isAnswered) {
+        if (request.isClosed) {
           endExecution(id, Outcome::connectionLost);
         } else if (random_.permille(3)) {
-          cancelUnasked(id, request);
+          cancelUnrequested(id, request);
         }
         break;
       case SimulatedState::calling:
@@ -498,7 +499,7 @@
         } else if (random_.permille(3)) {
           endExecution(id, random_.percent(10) ? Outcome::superseded : Outcome::failed);
         } else if (random_.permille(3)) {
-          cancelUnasked(id, request);
+          cancelUnrequested(id, request);
         }
         break;
     }
@@ -511,7 +512,7 @@
     }
     request.remainingWork -= worked;
     if (request.remainingWork > 0s) {
-      if (random_.permille(5)) cancelUnasked(id, request);
+      if (random_.permille(5)) cancelUnrequested(id, request);
       return;
     }
     if (request.remainingCalls > 0) {
@@ -522,10 +523,10 @@
     endExecution(id, executionOutcome());
   }
 
-  /// An execution that the engine itself gave up: its work is lost, and where an answer is owed it is queued
-  /// again.
-  void cancelUnasked(RequestId id, SimulatedRequest& request) {
-    if (request.isAnswered) {
+  /// Cancels an execution without a request of the policy. Its work is lost, and the request is queued again
+  /// if it still needs a response.
+  void cancelUnrequested(RequestId id, SimulatedRequest& request) {
+    if (request.isClosed) {
       endExecution(id, Outcome::cancelled);
       return;
     }
@@ -574,10 +575,10 @@
     if (requests_.empty() || !random_.percent(15)) return;
     const RequestId id = anyRequestId();
     events_.emplace_back(ClientDisconnected{id});
-    settleAnswer(id);
+    closeRequest(id);
   }
 
-  /// Each request takes its work from what the load has brought since the last batch.
+  /// Generates requests until they use up the work that has arrived since the last batch.
   void generateArrivals(Duration passed) {
     workBacklog_ += passed * settings_.machine.cores * conditions_.loadPermille / 1000;
     if (random_.percent(3)) workBacklog_ += random_.millis(100, 400) * settings_.machine.cores;
@@ -608,7 +609,8 @@
     addRequest(event, policy, remainingWork);
   }
 
-  /// Names an earlier request, a retained one where there is any, and asks for the same.
+  /// Makes the request a duplicate of an earlier one, preferably a retained one, with its handler and
+  /// resource.
   void makeDuplicate(RequestArrived& event) {
     if (!retained_.empty() && random_.percent(70)) {
       const std::int64_t last = static_cast<std::int64_t>(retained_.size()) - 1;
@@ -622,11 +624,11 @@
     }
   }
 
-  /// Clients wait for one of two shares of the timeout, or for what is left of it at a retry.
+  /// Draws one of two frequent shares of the client timeout or, as for a retry, any other share.
   Duration timeRemainingOf(const HandlerPolicy& policy) {
     const std::int64_t whole = policy.clientTimeout.count();
     if (random_.percent(15)) return Duration(whole * random_.between(50, 999) / 1000);
-    const double share = habits_[static_cast<std::size_t>(random_.between(0, 1))];
+    const double share = frequentShares_[static_cast<std::size_t>(random_.between(0, 1))];
     return Duration(whole / 1000 * static_cast<std::int64_t>(share * 1000));
   }
 
@@ -661,7 +663,7 @@
       event.cpuUtilization = random_.thousandths(300, 900);
       event.runnableTasks = cores * random_.thousandths(0, 1200);
     }
-    if (conditions_.isStorm) event.runnableTasks = cores * random_.thousandths(2000, 20'000);
+    if (conditions_.hasManyOtherTasks) event.runnableTasks = cores * random_.thousandths(2000, 20'000);
     if (random_.percent(5)) event.cpuUtilization.reset();
     if (random_.percent(5)) event.runnableTasks.reset();
     event.memoryUtilization = random_.thousandths(100, 900);
@@ -680,7 +682,7 @@
       events_.emplace_back(ShutdownNotice{random_.millis(200, 1500)});
   }
 
-  /// Late events: for requests long over, and of a timer that was never set.
+  /// Adds events that name an unknown request or a timer that was never set.
   void reportUnknownRequests() {
     const RequestId unknown{1'000'000'000};
     if (random_.percent(2)) events_.emplace_back(DownstreamCallEnded{unknown, Outcome::completed, 5ms});
@@ -692,7 +694,7 @@
     if (random_.percent(2)) events_.emplace_back(unknownTimer);
   }
 
-  /// Late events: of a call, for a request that has none open.
+  /// Adds call events for a request without a matching call.
   void reportStaleCalls() {
     if (requests_.empty() || !random_.percent(10)) return;
     const RequestId id = anyRequestId();
@@ -707,9 +709,9 @@
   const int batches_;
   const bool drains_;
   const bool reportsGauges_;
-  /// How long clients wait, as shares of their timeout.
-  const std::array<double, 2> habits_;
-  /// Part of the requests that say how long their client waits.
+  /// The two frequent shares of the client timeout for which clients wait.
+  const std::array<double, 2> frequentShares_;
+  /// Percentage of the requests that state how long their client will wait.
   const int statedTimeoutPercent_;
   std::unique_ptr<AdmissionPolicy> policy_;
   Hash hash_;
@@ -735,8 +737,8 @@
   return line.str();
 }
 
-/// A line for each history: its variant, its seed, its hashes.
-std::vector<std::string> playAllHistories(ActionCounts& counts) {
+/// Returns one line for each history: its variant, its seed and its hashes.
+std::vector<std::string> simulateAllHistories(ActionCounts& counts) {
   std::vector<std::string> lines;
   for (std::size_t variant = 0; variant < variantNames.size(); ++variant)
     for (int seed = 1; seed <= seeds; ++seed) {
@@ -759,36 +761,38 @@
   for (const std::string& line : lines) out << line << '\n';
 }
 
-/// Tells which batches are the first that differ.
-std::string firstDifference(const std::string& recorded, const std::string& played) {
+/// Describes the first group of batches that differs.
+std::string firstDifference(const std::string& recorded, const std::string& simulated) {
   std::istringstream recordedWords(recorded);
-  std::istringstream playedWords(played);
+  std::istringstream simulatedWords(simulated);
   std::string variant;
   std::string seed;
   recordedWords >> variant >> seed;
-  playedWords >> variant >> seed;
+  simulatedWords >> variant >> seed;
   std::string recordedHash;
-  std::string playedHash;
+  std::string simulatedHash;
   int group = 0;
-  while (recordedWords >> recordedHash && playedWords >> playedHash && recordedHash == playedHash) ++group;
-  return "history " + variant + " " + seed + ": first difference in the batches " +
+  while (recordedWords >> recordedHash && simulatedWords >> simulatedHash && recordedHash == simulatedHash)
+    ++group;
+  return "history " + variant + " " + seed + " differs first in batches " +
          std::to_string(group * batchesPerHash + 1) + " to " + std::to_string((group + 1) * batchesPerHash);
 }
 
-void expectAsRecorded(const std::vector<std::string>& played) {
+void expectMatchesRecording(const std::vector<std::string>& simulated) {
   const std::vector<std::string> recorded = readRecording();
-  ASSERT_EQ(recorded.size(), played.size()) << recordingFile;
+  ASSERT_EQ(recorded.size(), simulated.size()) << recordingFile;
   int differing = 0;
-  for (std::size_t history = 0; history < played.size(); ++history) {
-    if (recorded[history] == played[history]) continue;
+  for (std::size_t history = 0; history < simulated.size(); ++history) {
+    if (recorded[history] == simulated[history]) continue;
     ++differing;
-    if (differing <= 10) ADD_FAILURE() << firstDifference(recorded[history], played[history]);
+    if (differing <= 10) ADD_FAILURE() << firstDifference(recorded[history], simulated[history]);
   }
-  EXPECT_EQ(differing, 0) << "histories differ, of " << played.size();
+  EXPECT_EQ(differing, 0) << "of " << simulated.size() << " histories differ from the recording";
 }
 
-/// Some two thirds of what was counted at the first recording; histories that show less hold less.
-void expectEnoughSeen(const ActionCounts& counts) {
+/// The minimum counts are about two thirds of the counts at the first recording: histories with fewer actions
+/// would test less.
+void expectEnoughActions(const ActionCounts& counts) {
   EXPECT_GE(counts.batches, 47'000);
   EXPECT_GE(counts.starts, 71'000);
   EXPECT_GE(counts.shedsDiscouragingRetry, 130'000);
@@ -813,15 +817,15 @@
   return requested && std::string(requested) == "1";
 }
 
-TEST(DecisionRecording, RepeatsEveryRecordedBatch) {
+TEST(DecisionRecording, MatchesRecordingWhenAllHistoriesAreSimulated) {
   ActionCounts counts;
-  const std::vector<std::string> played = playAllHistories(counts);
-  expectEnoughSeen(counts);
+  const std::vector<std::string> simulated = simulateAllHistories(counts);
+  expectEnoughActions(counts);
   if (isRecordingRequested()) {
-    record(played);
-    FAIL() << "recorded anew, not compared: " << recordingFile;
+    record(simulated);
+    FAIL() << "recorded again, not compared: " << recordingFile;
   }
-  expectAsRecorded(played);
+  expectMatchesRecording(simulated);
 }
 
 }  // namespace
--- a/tests/decision_test.cpp
+++ b/tests/decision_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The decisions of the admission policy as a whole, one test for each failure that was found once.
+/// Tests of the complete admission policy. Each guards against a failure that occurred once.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -22,7 +22,7 @@
   int executing() const { return model.countIn(RequestState::executing); }
   RequestState stateOf(RequestId id) const { return model.requests.at(id).state; }
 
-  /// A request arrives and the policy decides at once.
+  /// Lets a request arrive and the policy decide about it immediately.
   RequestId arriveNow(int handler = 0, Duration timeRemaining = 3s, Duration readDelay = 0ms) {
     const RequestId id = model.arrive(handler, timeRemaining, readDelay);
     model.advance(0ms);
@@ -39,7 +39,8 @@
     model.advance(0ms);
   }
 
-  /// The cores need `each` for a request, however many share them; `queued` requests are kept waiting.
+  /// Simulates a load in which the cores together complete one request every `each` / cores and `queued`
+  /// requests always wait.
   void loadFor(Duration duration, Duration each, int queued) {
     const Duration until = model.now + duration;
     while (model.now < until) {
@@ -57,17 +58,19 @@
 
 using ConcurrencyLimitTest = AdmissionPolicyTest;
 
-TEST_F(ConcurrencyLimitTest, StartsAtTheCoresAndQueuesTheRest) {
+// Guards against a limit that changes on a few responses, whose latencies are mostly noise.
+TEST_F(ConcurrencyLimitTest, StartsAtCoreCountAndQueuesOtherRequests) {
   model.open();
   for (int i = 0; i < 4; ++i) model.arrive();
   model.advance(0ms);
   EXPECT_EQ(executing(), cores());
   EXPECT_EQ(model.countIn(RequestState::queued), 2);
-  loadFor(1900ms, 200ms, 2);  // Few answers are noise and teach nothing.
+  loadFor(1900ms, 200ms, 2);  // Too few responses to adjust the limit.
   EXPECT_EQ(executing(), cores());
 }
 
-TEST_F(ConcurrencyLimitTest, FirstStepsUpByOneAndLeansDownWhenLatencyIsEven) {
+// Guards against a limit that keeps rising although more executions do not lower the latency.
+TEST_F(ConcurrencyLimitTest, StepsUpByOneFirstAndFallsWhenLatencyIsUnchanged) {
   model.open();
   loadFor(1500ms, 50ms, 2);
   EXPECT_EQ(executing(), cores() + 1);
@@ -75,8 +78,10 @@
   EXPECT_EQ(executing(), cores());
 }
 
-TEST_F(ConcurrencyLimitTest, RisesQuicklyOnlyWhileCoresAreIdle) {
-  model.cpuUtilization = 0.3;  // A moving average lags: by itself it does not say that a core is idle now.
+// Guards against a quick rise of the limit on an outdated gauge, and against cores that stay idle while
+// requests are queued.
+TEST_F(ConcurrencyLimitTest, RisesQuicklyOnlyWhenCoresAreIdle) {
+  model.cpuUtilization = 0.3;  // A moving average lags, so it alone does not show that a core is idle now.
   model.open();
   for (int i = 0; i < 6; ++i) model.arrive();
   model.advance(300ms);
@@ -86,8 +91,9 @@
   EXPECT_GT(executing(), cores());
 }
 
-// What stands unread can't be shed: a slow server executes one fewer so that reading gets the core.
-TEST_F(ConcurrencyLimitTest, LeavesACoreForReadingWhenRequestsStandUnreadForLong) {
+// Guards against requests that wait unread for too long, when they can't be shed: a server that reads slowly
+// executes one request fewer, which leaves a core for reading.
+TEST_F(ConcurrencyLimitTest, LeavesOneCoreForReadingWhenRequestsWaitLongUnread) {
   model.open();
   for (int i = 0; i < 30; ++i) {
     const RequestId id = arriveNow(0, 3s, i < 5 ? 0ms : 400ms);
@@ -102,8 +108,9 @@
 
 using LatenessTest = AdmissionPolicyTest;
 
-// An estimate far above the mean of the handler: not begun where much is shed.
-TEST_F(LatenessTest, ShedsARequestOfMuchWorkOnlyUnderPressure) {
+// Guards against starting a request whose estimated work is far above the mean of its handler while the
+// server sheds many requests.
+TEST_F(LatenessTest, ShedsRequestWithMuchWorkOnlyWhenUnderPressure) {
   model.open();
   const auto arriveWithEstimate = [this](Duration work, Duration timeRemaining) {
     const RequestId id = model.arrive(0, timeRemaining);
@@ -120,28 +127,31 @@
     EXPECT_EQ(arriveWithEstimate(100ms, 3s), RequestState::executing);
     endExecutionAfter(200ms);
   }
-  EXPECT_EQ(arriveWithEstimate(700ms, 3s), RequestState::executing);  // Doubtful, but little is shed.
+  // The request may be late, but the server sheds few requests.
+  EXPECT_EQ(arriveWithEstimate(700ms, 3s), RequestState::executing);
   endExecutionAfter(950ms);
   for (int i = 0; i < 20; ++i) arriveWithEstimate(100ms, 20ms);
-  EXPECT_EQ(arriveWithEstimate(700ms, 3s), RequestState::over);
+  EXPECT_EQ(arriveWithEstimate(700ms, 3s), RequestState::ended);
 }
 
-TEST_F(LatenessTest, CancelsAnExecutionPastItsTargetWhereLateEarnsNothing) {
+// Guards against executions that occupy cores although their late responses would earn no weight.
+TEST_F(LatenessTest, CancelsExecutionWhenPastTargetAndLateWeightIsZero) {
   model.settings.machine.cancellation = CancellationMode::discardWork;
   model.open();
   const RequestId id = model.arrive();
   model.advance(980ms);
   EXPECT_EQ(stateOf(id), RequestState::executing);
   model.advance(60ms);
-  EXPECT_EQ(stateOf(id), RequestState::over);
+  EXPECT_EQ(stateOf(id), RequestState::ended);
   EXPECT_EQ(model.requests.at(id).shedCount, 1);
   EXPECT_EQ(executing(), 0);
 }
 
 using AttemptAgeTest = AdmissionPolicyTest;
 
-// Clients wait for a habitual time, or for what is left of their timeout: that tells the age of a retry.
-TEST_F(AttemptAgeTest, IsToldByWhatIsLeftOfTheTimeoutWhereOthersAreHabitual) {
+// Guards against executing retries that are past their target. The client of a first attempt waits for one of
+// a few frequent times; an infrequent time is the rest of the client timeout and gives the age of a retry.
+TEST_F(AttemptAgeTest, IsDerivedFromTimeRemainingWhenMostTimesAreFrequent) {
   model.open();
   const auto wasStarted = [this](Duration timeRemaining) {
     const RequestId id = arriveNow(0, timeRemaining);
@@ -150,23 +160,24 @@
     model.advance(20ms);
     return hasStarted;
   };
-  for (int i = 0; i < 60; ++i) EXPECT_TRUE(wasStarted(i % 2 ? 2s : 1s));  // Two habits.
-  EXPECT_FALSE(wasStarted(1500ms));                                       // 1.5 s old, past its target.
-  int startedUnusual = 0;  // Where hardly any wait comes again, it tells nothing.
+  for (int i = 0; i < 60; ++i) EXPECT_TRUE(wasStarted(i % 2 ? 2s : 1s));  // Two frequent times.
+  EXPECT_FALSE(wasStarted(1500ms));                                       // 1.5 s old, so past its target.
+  int startedWithRareTime = 0;  // If hardly any time occurs again, no age is derived from it.
   for (int i = 0; i < 100; ++i)
-    if (wasStarted(1200ms + 17ms * i)) ++startedUnusual;
-  EXPECT_GT(startedUnusual, 60);
+    if (wasStarted(1200ms + 17ms * i)) ++startedWithRareTime;
+  EXPECT_GT(startedWithRareTime, 60);
 }
 
-// A client whose habit is the rarer one does not retry: the common habit leaves room to learn it.
-TEST_F(AttemptAgeTest, IsZeroForARareHabitBesideACommonOne) {
+// Guards against taking first attempts for retries: the entries of a common time must leave an entry for the
+// rarer time of other clients.
+TEST_F(AttemptAgeTest, IsZeroWhenRareTimeOccursBesideCommonOne) {
   model.open();
   int shed = 0;
   for (int i = 0; i < 400; ++i) {
-    const bool isRare = i > 50 && i % 5 == 4;  // It comes later than the common one.
+    const bool isRare = i > 50 && i % 5 == 4;  // The rare time first occurs after the common one.
     const RequestId id = model.arrive(0, isRare ? 1550ms : 1500ms);
     model.advance(5ms);
-    if (i > 200 && isRare && stateOf(id) == RequestState::over) ++shed;
+    if (i > 200 && isRare && stateOf(id) == RequestState::ended) ++shed;
     if (stateOf(id) == RequestState::executing) model.endExecution(id);
     model.advance(5ms);
   }
@@ -175,8 +186,9 @@
 
 using EventCostTest = AdmissionPolicyTest;
 
-// What a batch scans is what came in it and what is queued, not what is retained or at downstream calls.
-TEST_F(EventCostTest, DoesNotGrowWithRetainedResultsAndOpenCalls) {
+// Guards against a cost per batch that grows with the retained results and open downstream calls: a batch
+// scans only its own events and the queued requests.
+TEST_F(EventCostTest, DoesNotGrowWhenResultsAreRetainedAndCallsAreOpen) {
   model.settings.machine = {.cores = 8,
                             .memoryKb = 1e6,
                             .executionMemoryFactor = 4,
@@ -198,26 +210,26 @@
     EXPECT_EQ(stateOf(id), RequestState::executing);
     return id;
   };
-  const auto entriesScannedInAQuietSecond = [this] {
+  const auto entriesScannedInOneIdleSecond = [this] {
     const std::uint64_t before = model.policy->entriesScanned();
     model.advance(1s);
     return model.policy->entriesScanned() - before;
   };
-  const std::uint64_t scannedWhenEmpty = entriesScannedInAQuietSecond();
+  const std::uint64_t scannedWhenEmpty = entriesScannedInOneIdleSecond();
   for (int i = 0; i < 500; ++i) endExecutionNow(arriveAndStart(1));
   for (int i = 0; i < 300; ++i) requestCallNow(arriveAndStart(0));
   EXPECT_THAT(model.retainedUntil, SizeIs(500));
   EXPECT_EQ(model.countIn(RequestState::calling), 300);
-  EXPECT_LE(entriesScannedInAQuietSecond(), scannedWhenEmpty);
-  model.advance(31s);  // Each is looked at once more, at its deadline.
+  EXPECT_LE(entriesScannedInOneIdleSecond(), scannedWhenEmpty);
+  model.advance(31s);  // Each call is scanned once more, at its deadline.
   for (const RequestId id : model.idsIn(RequestState::calling)) model.endExecution(id, Outcome::cancelled);
   EXPECT_THAT(model.violations, IsEmpty());
 }
 
 using DeduplicationTest = AdmissionPolicyTest;
 
-// Retained results take memory until their window is over, and then give it back, time after time.
-TEST_F(DeduplicationTest, ReleasesItsMemoryWhenTheWindowsAreOver) {
+// Guards against leaking the memory of retained results: each deduplication window that ends must release it.
+TEST_F(DeduplicationTest, ReleasesMemoryWhenWindowsEnd) {
   model.settings.handlers = {{.latencyObjective = 1s,
                               .clientTimeout = 3s,
                               .idempotency = Idempotency::keyed,
@@ -243,7 +255,8 @@
 
 using QueueTrimTest = AdmissionPolicyTest;
 
-TEST_F(QueueTrimTest, ShedsFromTheOldestEnd) {
+// Guards against shedding the requests that arrived last, which are the most likely to be answered in time.
+TEST_F(QueueTrimTest, ShedsOldestRequestsWhenQueueIsFull) {
   model.open();
   loadFor(2s, 100ms, 1);
   std::vector<RequestId> ids;
@@ -253,8 +266,9 @@
   EXPECT_EQ(model.requests.at(ids.back()).shedCount, 0);
 }
 
-// Few cores and long work: one request alone is more than may wait, yet nothing is ahead of it.
-TEST_F(QueueTrimTest, DoesNotShedARequestForItsOwnWork) {
+// Guards against shedding the only request because its own work exceeds the tolerable wait, as happens with
+// few cores and long executions: no request is ahead of it.
+TEST_F(QueueTrimTest, KeepsRequestWhenOnlyItsOwnWorkIsQueued) {
   model.open();
   for (int i = 0; i < 10; ++i) {
     const RequestId id = model.arrive();
@@ -267,8 +281,9 @@
 
 using DownstreamCallTest = AdmissionPolicyTest;
 
-// A dependency that is slow for a while: what would only wait for a call stays queued, others go on.
-TEST_F(DownstreamCallTest, KeepsCallingRequestsQueuedWhileCallsWaitForRoom) {
+// Guards against executions that only wait for a downstream call while the dependency is slow: requests that
+// usually call stay queued, others start.
+TEST_F(DownstreamCallTest, KeepsCallingRequestsQueuedWhenCallsWaitForQuota) {
   model.settings.downstream = {.kind = DownstreamKind::shared,
                                .concurrentCallQuota = 2,
                                .quotaWindow = 5s,
@@ -281,7 +296,7 @@
     for (const RequestId id : model.idsIn(RequestState::executing)) model.requestCall(id);
     model.advance(0ms);
   };
-  for (int i = 0; i < 10; ++i) {  // The policy learns that handler 1 calls.
+  for (int i = 0; i < 10; ++i) {  // Teaches the policy that handler 1 makes downstream calls.
     startCall();
     for (const RequestId id : model.idsIn(RequestState::calling)) {
       model.endCall(id, Outcome::completed);
@@ -299,8 +314,9 @@
   EXPECT_EQ(stateOf(plain), RequestState::executing);
 }
 
-// Hundreds of servers with a quota under one call each: kept over time, even while no call comes back.
-TEST_F(DownstreamCallTest, KeepsAQuotaUnderOneCallOverTime) {
+// Guards against exceeding a quota below one call per server, as with hundreds of servers: it must hold over
+// time even if no call is ever answered.
+TEST_F(DownstreamCallTest, KeepsQuotaBelowOneCallWhenNoCallIsAnswered) {
   model.settings.downstream = {.kind = DownstreamKind::shared,
                                .concurrentCallQuota = 0.4,
                                .quotaWindow = 5s,
@@ -318,7 +334,9 @@
   EXPECT_THAT(model.violations, IsEmpty());
 }
 
-TEST_F(DownstreamCallTest, RecoversWhenALongSlownessIsOver) {
+// Guards against shedding all requests that make downstream calls because of an estimate from a slow phase
+// that has ended.
+TEST_F(DownstreamCallTest, RecoversWhenCallsAreFastAgain) {
   firstHandler().callsDownstream = true;
   model.open();
   const auto executeWithCall = [this](Duration callDuration) {
@@ -339,11 +357,12 @@
   EXPECT_TRUE(executeWithCall(20ms));
 }
 
-// A connection that broke under a call says nothing of the dependency: an idempotent request calls once more,
-// then goes on without. One that must not be called twice goes on without at once.
+// Guards against unsafe or missing retries after a lost connection, which does not show that the dependency
+// is overloaded: an idempotent request repeats its call once and then continues without it; a request whose
+// call must not be repeated continues without it immediately.
 class BrokenCallTest : public AdmissionPolicyTest, public ::testing::WithParamInterface<Idempotency> {};
 
-TEST_P(BrokenCallTest, IsRetriedOnceOnlyWhereThatIsSafe) {
+TEST_P(BrokenCallTest, IsRetriedOnceOnlyWhenIdempotent) {
   const bool isSafe = GetParam() == Idempotency::idempotent;
   firstHandler().degradedWeight = 0.3;
   firstHandler().callsDownstream = true;
@@ -359,18 +378,19 @@
   EXPECT_EQ(model.callsMade, isSafe ? 2 : 1);
   if (isSafe) model.endCall(id, Outcome::connectionLost);
   model.advance(10ms);
-  EXPECT_EQ(stateOf(id), RequestState::executing);  // Without its call.
+  EXPECT_EQ(stateOf(id), RequestState::executing);  // It continues without its call.
   EXPECT_THAT(model.violations, IsEmpty());
 }
 
 INSTANTIATE_TEST_SUITE_P(Idempotencies, BrokenCallTest,
                          ::testing::Values(Idempotency::idempotent, Idempotency::nonIdempotent));
 
-// While calls are quick, a reply that is far later than usual is not waited for: an idempotent request calls
-// again in time. Where all calls are slow it waits, since another call would only add to the load.
+// Guards against waiting for a single lost reply: while calls are fast, an idempotent request repeats a call
+// that takes far longer than usual. If all calls are slow it waits, since another call would only add to the
+// load.
 class UnansweredCallTest : public AdmissionPolicyTest, public ::testing::WithParamInterface<Duration> {};
 
-TEST_P(UnansweredCallTest, IsRetriedWhileOthersAreQuick) {
+TEST_P(UnansweredCallTest, IsRetriedOnlyWhenOtherCallsAreFast) {
   const Duration usualCall = GetParam();
   firstHandler().degradedWeight = 0.3;
   firstHandler().callsDownstream = true;
@@ -389,7 +409,7 @@
     model.endExecution(id);
   }
   const int callsBefore = model.callsMade;
-  const RequestId id = arriveAndCall(300ms);  // No reply comes.
+  const RequestId id = arriveAndCall(300ms);  // No reply arrives.
   EXPECT_EQ(model.callsMade, callsBefore + (usualCall == 10ms ? 2 : 1));
   EXPECT_EQ(stateOf(id), RequestState::calling);
   EXPECT_THAT(model.violations, IsEmpty());
@@ -399,28 +419,30 @@
 
 using RetryAdviceTest = AdmissionPolicyTest;
 
-// Where all servers are full, a retry only costs another reading. Slowness does not tell: the storm that
-// sheds feed makes every server slow (seen in a simulated day: five attempts a request, 8% served).
-TEST_F(RetryAdviceTest, DiscouragesRetriesUnderLoadHoweverSlowTheServer) {
+// Guards against retries while all servers are overloaded: each retry only has to be read once more. A slow
+// server must discourage retries too, since the retries of shed requests slow down every server; otherwise,
+// in one simulated day, there were five attempts per request and 8% of the requests were served.
+TEST_F(RetryAdviceTest, DiscouragesRetriesWhenOverloadedEvenIfServerIsSlow) {
   model.open();
-  const auto discouragedInABurst = [this] {
+  const auto discouragedRetriesInBurst = [this] {
     model.discouragedRetries = 0;
     for (int i = 0; i < 40; ++i) model.arrive();
     model.advance(0ms);
     return model.discouragedRetries;
   };
   loadFor(3s, 50ms, 40);
-  EXPECT_GT(discouragedInABurst(), 0);
-  model.advance(4s);  // The cores stand still.
-  EXPECT_GT(discouragedInABurst(), 0);
+  EXPECT_GT(discouragedRetriesInBurst(), 0);
+  model.advance(4s);  // No execution ends.
+  EXPECT_GT(discouragedRetriesInBurst(), 0);
 }
 
-// A queue of one or two requests shows no wait, whatever is shed: the sheds themselves must tell.
-TEST_F(RetryAdviceTest, DiscouragesRetriesAfterManyShedsHoweverShortTheQueue) {
+// Guards against missing an overload while the queue holds only one or two requests and shows no wait: the
+// share of shed requests must reveal it.
+TEST_F(RetryAdviceTest, DiscouragesRetriesWhenManyAreShedEvenIfQueueIsShort) {
   model.open();
   loadFor(2s, 300ms, 1);
   for (int i = 0; i < 40; ++i) {
-    arriveNow(0, 2s, 950ms);  // Read too late to be of use.
+    arriveNow(0, 2s, 950ms);  // Read too late to be answered in time.
     EXPECT_TRUE(i > 4 || model.discouragedRetries == 0);
   }
   EXPECT_GT(model.discouragedRetries, 25);
@@ -428,8 +450,9 @@
 
 using IdleConnectionTest = AdmissionPolicyTest;
 
-// Hundreds of clients fill a connection table whose size is not reported.
-TEST_F(IdleConnectionTest, AreClosedTheSoonerTheMoreAreOpenUnlessReadingIsAStorm) {
+// Guards against a full connection table, whose size is not reported: hundreds of clients can fill it. Idle
+// connections are closed sooner the more are open, except while reading and accepting overload the cores.
+TEST_F(IdleConnectionTest, AreClosedSoonerWhenManyAreOpenUnlessReadingOverloadsCores) {
   model.settings.fleet.maxIdleTime = 30s;
   model.runnableTasks = 1;
   model.open();
@@ -439,14 +462,16 @@
   model.runnableTasks = 1;
   model.advance(10s);
   EXPECT_LE(model.idleTimeout, 100ms);
-  model.runnableTasks = 9;  // A storm of reading and connecting, which closing would feed.
+  model.runnableTasks = 9;  // Overload by reading and connecting, which closing would increase.
   model.advance(12s);
   EXPECT_EQ(model.idleTimeout, 30s);
 }
 
 using GracefulShutdownTest = AdmissionPolicyTest;
 
-TEST_F(GracefulShutdownTest, StartsNothingAfterTheGraceAndAnswersAllBeforeTheStop) {
+// Guards against executions that the stop of the server would interrupt, and against requests without a
+// response at the stop.
+TEST_F(GracefulShutdownTest, StartsNothingAfterGracePeriodAndAnswersAllBeforeStop) {
   model.open();
   const RequestId before = arriveNow(0, 9s);
   model.announceShutdown(3s);
--- a/tests/protocol_model.h
+++ b/tests/protocol_model.h
@@ -1,5 +1,5 @@
 /// @file
-/// A plain model of one server's surroundings and of the rules of the protocol.
+/// A simple model of the environment of one server and of the rules of the protocol.
 #pragma once
 
 #include <algorithm>
@@ -21,10 +21,10 @@
 
 using namespace std::chrono_literals;
 
-/// Where a request stands, as the server's surroundings see it.
-enum class RequestState { queued, executing, awaitingCall, calling, awaitingOriginal, over };
+/// The state of a request as seen by the environment of the server.
+enum class RequestState { queued, executing, awaitingCall, calling, awaitingOriginal, ended };
 
-/// One request and what was done with it.
+/// One request and the actions of the policy on it.
 struct ModelRequest {
   RequestArrived arrival;
   Duration arrivedAt{};
@@ -34,16 +34,16 @@
   int answerCount = 0;
   int startCount = 0;
   int shedCount = 0;
-  bool hasClientLeft = false;
+  bool hasClientDisconnected = false;
   bool mayCallHaveRun = false;
-  /// The first attempt of the same keyed request, or itself.
+  /// The first attempt of the same keyed request; the request itself if it is the first.
   RequestId original{};
 };
 
-/// Hands events to the policy, carries out its actions and writes down every rule that breaks.
+/// Reports events to the policy, carries out its actions and records every violation of a rule.
 ///
 /// A test sets `settings` and the gauges, calls `open`, then lets requests arrive and time pass. Events wait
-/// in `pendingEvents` until `advance` hands them over.
+/// in `pendingEvents` until `advance` reports them to the policy.
 class ProtocolModel {
  public:
   PolicySettings settings{.machine = {.cores = 2,
@@ -59,7 +59,7 @@
                           .sharing = {},
                           .fleet = {.servers = 4, .clients = 2}};
 
-  // The gauges that come with each timer.
+  // The gauges that each `TimerFired` event reports.
   double cpuUtilization = 1;
   double runnableTasks = 100;
   double openConnections = 0;
@@ -67,15 +67,15 @@
   std::unique_ptr<AdmissionPolicy> policy;
   std::vector<Event> pendingEvents;
   std::map<RequestId, ModelRequest> requests;
-  /// Until when each retained request is kept.
+  /// For each retained request, the time until which it is retained.
   std::map<RequestId, Duration> retainedUntil;
-  /// The rules that were broken, in words.
+  /// Descriptions of the rules that were violated.
   std::vector<std::string> violations;
 
   Duration now{};
   Duration notifiedAt = Duration::max();
   Duration stopAt = Duration::max();
-  /// The idle timeout of connections that the policy asked for last.
+  /// The last idle timeout of connections that the policy set.
   Duration idleTimeout{};
   std::uint32_t lastId = 0;
   int discouragedRetries = 0;
@@ -101,9 +101,9 @@
     return policyOf(request).idempotency;
   }
 
-  // What happens to the server.
+  // Events of the environment.
 
-  /// A request arrives; `retryOf` names an earlier attempt of the same request.
+  /// Lets a request arrive; `retryOf` names an earlier attempt of the same request.
   RequestId arrive(int handler = 0, Duration timeRemaining = 3s, Duration readDelay = 0ms,
                    std::optional<RequestId> retryOf = {}) {
     RequestArrived arrival;
@@ -123,10 +123,10 @@
 
   void endExecution(RequestId id, Outcome outcome = Outcome::completed) {
     ModelRequest& request = requests.at(id);
-    request.state = RequestState::over;
+    request.state = RequestState::ended;
     pendingEvents.emplace_back(ExecutionEnded{id, outcome, {}});
     const bool hasResult = outcome == Outcome::completed || outcome == Outcome::failed;
-    if (hasResult && !request.hasClientLeft && request.answerCount == 0) answer(request);
+    if (hasResult && !request.hasClientDisconnected && request.answerCount == 0) answer(request);
     for (auto& [other, duplicate] : requests) {
       if (duplicate.state != RequestState::awaitingOriginal || duplicate.original != request.original)
         continue;
@@ -138,25 +138,25 @@
     ModelRequest& request = requests.at(id);
     request.state = RequestState::awaitingCall;
     pendingEvents.emplace_back(DownstreamCallRequested{id});
-    if (request.answerCount > 0 || request.hasClientLeft) endExecution(id, Outcome::cancelled);
+    if (request.answerCount > 0 || request.hasClientDisconnected) endExecution(id, Outcome::cancelled);
   }
 
   void endCall(RequestId id, Outcome outcome) {
     ModelRequest& request = requests.at(id);
     pendingEvents.emplace_back(DownstreamCallEnded{id, outcome, {}});
     if (outcome == Outcome::timedOut)
-      lingeringUntil_.push_back(now + settings.downstream.maxAbandonedCallDuration);
+      abandonedUntil_.push_back(now + settings.downstream.maxAbandonedCallDuration);
     request.state = outcome == Outcome::completed ? RequestState::executing : RequestState::awaitingCall;
     request.mayCallHaveRun =
         outcome == Outcome::failed || outcome == Outcome::timedOut || outcome == Outcome::connectionLost;
   }
 
-  /// The client has gone, and the server is told so.
+  /// Disconnects the client of the request and reports it to the policy.
   void disconnect(RequestId id) {
     ModelRequest& request = requests.at(id);
-    request.hasClientLeft = true;
+    request.hasClientDisconnected = true;
     pendingEvents.emplace_back(ClientDisconnected{id});
-    endWithoutAnswer(request);
+    closeRequest(request);
   }
 
   void announceShutdown(Duration timeRemaining) {
@@ -165,7 +165,7 @@
     pendingEvents.emplace_back(ShutdownNotice{timeRemaining});
   }
 
-  /// Time passes in small steps; timers fire, and what is pending is handed to the policy.
+  /// Lets time pass in steps of at most 5 ms; fires timers and reports pending events to the policy.
   void advance(Duration duration) {
     const Duration until = now + duration;
     do {
@@ -191,7 +191,7 @@
 
   void reportViolation(const char* rule) { violations.emplace_back(rule); }
 
-  /// The attempt of the same keyed request that is retained; the last one, should there be several.
+  /// The retained attempt of the same keyed request; the last one if there are several.
   [[nodiscard]] std::optional<RequestId> retainedAttemptOf(RequestId original) const {
     std::optional<RequestId> retained;
     for (const auto& [id, request] : requests)
@@ -199,24 +199,25 @@
     return retained;
   }
 
-  // Answers.
+  // Responses.
 
   void answer(ModelRequest& request) {
     ++request.answerCount;
-    if (request.answerCount > 1) reportViolation("two answers");
-    if (!request.hasClientLeft && now > request.deadline + settings.limits.answerSlack)
-      reportViolation("late answer");
+    if (request.answerCount > 1) reportViolation("answered twice");
+    if (!request.hasClientDisconnected && now > request.deadline + settings.limits.answerSlack)
+      reportViolation("answered after the deadline and the slack");
   }
 
-  /// Requests that do not occupy a core end with their answer; executions end by themselves.
-  void endWithoutAnswer(ModelRequest& request) {
+  /// Ends a request that needs no response any more and does not occupy a core; an execution runs to its end.
+  void closeRequest(ModelRequest& request) {
     if (request.state == RequestState::queued || request.state == RequestState::awaitingOriginal)
-      request.state = RequestState::over;
+      request.state = RequestState::ended;
     if (request.state == RequestState::awaitingCall || request.state == RequestState::calling)
       endExecution(request.arrival.id, Outcome::cancelled);
   }
 
-  /// Whether the same keyed request was executed so lately that it must not be executed again.
+  /// Whether the same keyed request was executed within the deduplication window and must not be executed
+  /// again.
   [[nodiscard]] bool wasExecutedWithinWindow(const ModelRequest& request) const {
     if (idempotencyOf(request) != Idempotency::keyed) return false;
     const auto executed = executedArrivals_.find(request.original);
@@ -230,10 +231,11 @@
     ModelRequest& request = requests.at(action.id);
     if (request.state != RequestState::queued) return;
     if (idempotencyOf(request) != Idempotency::idempotent && request.startCount > 0)
-      reportViolation("executed twice");
-    if (wasExecutedWithinWindow(request)) reportViolation("effect twice");
+      reportViolation("request that is not idempotent executed twice");
+    if (wasExecutedWithinWindow(request))
+      reportViolation("keyed request executed twice within the deduplication window");
     if (notifiedAt < Duration::max() && request.arrivedAt > notifiedAt + settings.limits.drainGrace)
-      reportViolation("executed after the grace");
+      reportViolation("executed a request that arrived after the drain grace");
     executedArrivals_[request.original] = request.arrivedAt;
     ++request.startCount;
     request.state = RequestState::executing;
@@ -241,58 +243,60 @@
   void apply(const ShedRequest& action) {
     if (action.discourageRetry) ++discouragedRetries;
     ModelRequest& request = requests.at(action.id);
-    if (request.state == RequestState::over || request.hasClientLeft) return;
+    if (request.state == RequestState::ended || request.hasClientDisconnected) return;
     const bool mayHaveEffect = request.startCount > 0 || wasExecutedWithinWindow(request);
     if (request.arrival.handler != HandlerId{} && idempotencyOf(request) != Idempotency::idempotent &&
         mayHaveEffect)
-      reportViolation("shed what had been executed");
+      reportViolation("shed a request that may have been executed and must not be repeated");
     ++request.shedCount;
     answer(request);
-    endWithoutAnswer(request);
+    closeRequest(request);
   }
   void apply(const FailRequest& action) {
     ModelRequest& request = requests.at(action.id);
-    if (request.state == RequestState::over || request.hasClientLeft) return;
+    if (request.state == RequestState::ended || request.hasClientDisconnected) return;
     answer(request);
-    endWithoutAnswer(request);
+    closeRequest(request);
   }
   void apply(const CancelExecution& action) {
     ModelRequest& request = requests.at(action.id);
     const CancellationMode cancellation = settings.machine.cancellation;
-    if (cancellation == CancellationMode::none) reportViolation("cancelled what can't be cancelled");
+    if (cancellation == CancellationMode::none)
+      reportViolation("cancelled an execution although the engine can't cancel");
     if (request.state != RequestState::executing || cancellation != CancellationMode::discardWork) return;
-    const bool isAnswered = request.answerCount > 0 || request.hasClientLeft;
-    request.state = isAnswered ? RequestState::over : RequestState::queued;
+    const bool isAnswered = request.answerCount > 0 || request.hasClientDisconnected;
+    request.state = isAnswered ? RequestState::ended : RequestState::queued;
     pendingEvents.emplace_back(ExecutionEnded{action.id, Outcome::cancelled, {}});
   }
   void apply(const CallDownstream& action) {
     ModelRequest& request = requests.at(action.id);
     if (request.state != RequestState::awaitingCall) return;
     if (request.mayCallHaveRun && idempotencyOf(request) != Idempotency::idempotent)
-      reportViolation("call repeated without proof");
+      reportViolation("repeated a downstream call that may have been executed");
     request.state = RequestState::calling;
     request.callDeadline = now + action.timeout;
     ++callsMade;
   }
   void apply(const SkipDownstreamCall& action) {
     ModelRequest& request = requests.at(action.id);
-    if (policyOf(request).degradedWeight <= 0) reportViolation("skipped call earns nothing");
+    if (policyOf(request).degradedWeight <= 0) reportViolation("skipped a downstream call that is required");
     if (request.state == RequestState::awaitingCall) request.state = RequestState::executing;
   }
   void apply(const RetainResult& action) { retainedUntil[action.id] = now + action.retention; }
   void apply(const DropResult& action) {
-    if (requests.at(action.id).startCount > 0) reportViolation("dropped what had been executed");
+    if (requests.at(action.id).startCount > 0)
+      reportViolation("dropped the result of a request that was executed");
     retainedUntil.erase(action.id);
   }
   void apply(const AnswerFromOriginal& action) {
     ModelRequest& request = requests.at(action.id);
     request.state = RequestState::awaitingOriginal;
     if (!request.arrival.duplicateOf) {
-      reportViolation("no original to answer from");
+      reportViolation("duplicate without an original to answer from");
       return;
     }
     const auto original = requests.find(*request.arrival.duplicateOf);
-    if (original != requests.end() && original->second.state == RequestState::over)
+    if (original != requests.end() && original->second.state == RequestState::ended)
       endExecution(action.id, Outcome::completed);
   }
   void apply(const SetIdleConnectionTimeout& action) { idleTimeout = action.timeout; }
@@ -301,17 +305,17 @@
   void apply(const PublishLoadSignal&) {}
   void apply(const DiagnosticMessage&) {}
 
-  // The passing of time.
+  // Elapsed time.
 
   void expire() {
     std::erase_if(retainedUntil, [this](const auto& entry) { return entry.second < now; });
-    std::erase_if(lingeringUntil_, [this](Duration until) { return until < now; });
+    std::erase_if(abandonedUntil_, [this](Duration until) { return until < now; });
     for (const RequestId id : idsIn(RequestState::calling))
       if (requests.at(id).callDeadline <= now) endCall(id, Outcome::timedOut);
   }
 
   void accountForCalls(Duration elapsed) {
-    const double inFlight = countIn(RequestState::calling) + static_cast<double>(lingeringUntil_.size());
+    const double inFlight = countIn(RequestState::calling) + static_cast<double>(abandonedUntil_.size());
     callSeconds_.emplace_back(now, inFlight * toSeconds(elapsed));
     const Duration windowStart = now - settings.downstream.quotaWindow;
     while (!callSeconds_.empty() && callSeconds_.front().first <= windowStart) callSeconds_.pop_front();
@@ -328,20 +332,21 @@
     }
   }
 
-  // What must hold after every batch of events.
+  // Invariants after every batch of events.
 
   void checkInvariants() {
     checkAnswers();
-    if (memoryInUse() > settings.machine.memoryKb) reportViolation("memory");
-    if (countIn(RequestState::executing) > survivableExecutions()) reportViolation("too many executions");
+    if (memoryInUse() > settings.machine.memoryKb) reportViolation("memory limit exceeded");
+    if (countIn(RequestState::executing) > sustainableExecutions())
+      reportViolation("more concurrent executions than the machine can sustain");
     checkCallQuota();
   }
 
   void checkAnswers() {
     for (const auto& [id, request] : requests) {
       const Duration latest = std::min(request.deadline + settings.limits.answerSlack, stopAt);
-      if (!request.hasClientLeft && request.answerCount == 0 && now > latest)
-        reportViolation("no answer in time");
+      if (!request.hasClientDisconnected && request.answerCount == 0 && now > latest)
+        reportViolation("not answered by the deadline and the slack or by the stop");
     }
   }
 
@@ -351,13 +356,13 @@
       const double queuedKb = request.arrival.queuedMemoryKb;
       if (request.state == RequestState::queued || request.state == RequestState::awaitingOriginal)
         totalKb += queuedKb;
-      else if (request.state != RequestState::over)
+      else if (request.state != RequestState::ended)
         totalKb += queuedKb * settings.machine.executionMemoryFactor;
     }
     return totalKb;
   }
 
-  [[nodiscard]] double survivableExecutions() const {
+  [[nodiscard]] double sustainableExecutions() const {
     const MachineProfile& machine = settings.machine;
     const double progress = std::min(1.0, toSeconds(now) / toSeconds(machine.warmUpDuration));
     const double speed = machine.coldStart ? machine.initialSpeed + (1 - machine.initialSpeed) * progress : 1;
@@ -369,14 +374,14 @@
     double total = 0;
     for (const auto& [at, seconds] : callSeconds_) total += seconds;
     const double allowed = downstream.concurrentCallQuota * toSeconds(downstream.quotaWindow);
-    if (downstream.concurrentCallQuota > 0 && total > allowed) reportViolation("downstream quota");
+    if (downstream.concurrentCallQuota > 0 && total > allowed) reportViolation("downstream quota exceeded");
   }
 
   std::multimap<Duration, TimerId> timers_;
-  /// By original: when the attempt that was executed arrived.
+  /// For each original, the arrival time of the attempt that was executed.
   std::map<RequestId, Duration> executedArrivals_;
-  std::vector<Duration> lingeringUntil_;
-  /// Call-seconds of each step within the quota's window.
+  std::vector<Duration> abandonedUntil_;
+  /// The call-seconds of each step within the quota's window.
   std::deque<std::pair<Duration, double>> callSeconds_;
 };
 
--- a/tests/rules_test.cpp
+++ b/tests/rules_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Generated histories against the plain model of the protocol's rules, and the fuzzy rules against their
-/// table.
+/// Property tests: the policy keeps the rules of the protocol model in generated histories, and `fuzzyStep`
+/// agrees with the table of its rules.
 #include <gtest/gtest.h>
 #include <rapidcheck.h>
 
@@ -15,7 +15,7 @@
 namespace rainhook {
 namespace {
 
-/// One generated step of a history; `choice` selects among what is possible.
+/// One generated step of a history: `kind` selects the operation, `choice` its parameters.
 struct Step {
   unsigned kind;
   unsigned choice;
@@ -34,7 +34,7 @@
   return pick(outcomes, choice);
 }
 
-void arriveInABurst(ProtocolModel& model, unsigned choice) {
+void arriveInBurst(ProtocolModel& model, unsigned choice) {
   const int handler = static_cast<int>(choice % model.settings.handlers.size());
   const Duration timeRemaining = Duration(50ms) * (1 + choice % 60);
   for (unsigned i = 0; i <= choice % 6; ++i) model.arrive(handler, timeRemaining);
@@ -48,23 +48,23 @@
   model.arrive(static_cast<int>(request.arrival.handler), 2s, 0ms, id);
 }
 
-void endAnExecution(ProtocolModel& model, unsigned choice) {
+void endExecution(ProtocolModel& model, unsigned choice) {
   const std::vector<RequestId> executing = model.idsIn(RequestState::executing);
   if (executing.empty()) return;
   model.endExecution(pick(executing, choice), choice % 7 ? Outcome::completed : Outcome::failed);
 }
 
-void requestACall(ProtocolModel& model, unsigned choice) {
+void requestCall(ProtocolModel& model, unsigned choice) {
   const std::vector<RequestId> executing = model.idsIn(RequestState::executing);
   if (!executing.empty()) model.requestCall(pick(executing, choice));
 }
 
-void endACall(ProtocolModel& model, unsigned choice) {
+void endCall(ProtocolModel& model, unsigned choice) {
   const std::vector<RequestId> calling = model.idsIn(RequestState::calling);
   if (!calling.empty()) model.endCall(pick(calling, choice), pickCallOutcome(choice / 8));
 }
 
-void disconnectAClient(ProtocolModel& model, unsigned choice) {
+void disconnectClient(ProtocolModel& model, unsigned choice) {
   const RequestState state = choice % 2 ? RequestState::executing : RequestState::queued;
   const std::vector<RequestId> ids = model.idsIn(state);
   if (!ids.empty()) model.disconnect(pick(ids, choice / 2));
@@ -75,13 +75,13 @@
   model.announceShutdown(Duration(500ms) * (1 + choice % 5));
 }
 
-void play(ProtocolModel& model, const Step& step) {
+void applyStep(ProtocolModel& model, const Step& step) {
   switch (step.kind) {
     case 0:
     case 1:
     case 2:
     case 3:
-      arriveInABurst(model, step.choice);
+      arriveInBurst(model, step.choice);
       break;
     case 4:
       retry(model, step.choice);
@@ -89,17 +89,17 @@
     case 5:
     case 6:
     case 7:
-      endAnExecution(model, step.choice);
+      endExecution(model, step.choice);
       break;
     case 8:
-      requestACall(model, step.choice);
+      requestCall(model, step.choice);
       break;
     case 9:
     case 10:
-      endACall(model, step.choice);
+      endCall(model, step.choice);
       break;
     case 11:
-      disconnectAClient(model, step.choice);
+      disconnectClient(model, step.choice);
       break;
     case 12:
       announceShutdownOnce(model, step.choice);
@@ -150,26 +150,27 @@
   settings.handlers[0].degradedWeight = reducedWeight;
 }
 
-TEST(ProtocolRules, HoldInEveryGeneratedHistory) {
-  const bool isHeld = rc::check("the rules of the protocol", [] {
+// Guards against violations of the protocol by sequences of events that no other test arranges.
+TEST(ProtocolRules, HoldWhenHistoriesAreGenerated) {
+  const bool holds = rc::check("the rules of the protocol", [] {
     ProtocolModel model;
     generateSettings(model.settings);
     model.open();
     const auto steps = *rc::gen::container<std::vector<Step>>(rc::gen::construct<Step>(
         rc::gen::inRange(0u, 14u), rc::gen::inRange(0u, 1000u), rc::gen::inRange(0, 120)));
     for (const Step& step : steps) {
-      play(model, step);
+      applyStep(model, step);
       RC_ASSERT(model.violations == std::vector<std::string>{});
     }
-    model.advance(std::min<Duration>(4s, model.stopAt - model.now));  // Every answer is owed by then.
+    model.advance(std::min<Duration>(4s, model.stopAt - model.now));  // Every response is due by then.
     RC_ASSERT(model.violations == std::vector<std::string>{});
   });
-  EXPECT_TRUE(isHeld);
+  EXPECT_TRUE(holds);
 }
 
-// The table of the paper, written out plainly.
-TEST(FuzzyRules, FollowTheTable) {
-  const bool isHeld = rc::check("the table of four rules", [] {
+// Guards against errors in `fuzzyStep` by evaluating the table of the paper directly.
+TEST(FuzzyRules, MatchTableOfPaperWhenInputsAreGenerated) {
+  const bool holds = rc::check("the table of four rules", [] {
     const double lastStep = *rc::gen::inRange(-200, 201) / 100.0;
     const double latencyChange = *rc::gen::inRange(-200, 201) / 100.0;
     const auto membership = [](double value, double peak) {
@@ -183,12 +184,12 @@
       for (const double changePeak : {-1.0, 1.0}) {
         const double rule = std::min(membership(step, stepPeak), membership(change, changePeak));
         weight += rule;
-        // The latency fell: the same direction again; it rose: the other one.
+        // If the latency fell, keep the direction; if it rose, reverse it.
         moment += rule * (changePeak < 0 ? stepPeak : -stepPeak);
       }
     RC_ASSERT(std::abs(fuzzyStep(lastStep, latencyChange) - moment / weight) < 1e-9);
   });
-  EXPECT_TRUE(isHeld);
+  EXPECT_TRUE(holds);
 }
 
 }  // namespace
