--- a/src/pools/pool_limiter.cpp
+++ b/src/pools/pool_limiter.cpp
@@ -7,27 +7,27 @@
 namespace rainhook::pools {
 namespace {
 
-/// As many answers as the decision module's limiter asks for.
-constexpr int leastAnswers = 10;
+/// The same number of responses as `ConcurrencyLimiter` requires for each core.
+constexpr int minResponses = 10;
 /// The first step, in executions.
 constexpr double firstStep = 1;
-/// The gains of the decision module's limiter: a step of two executions counts fully, and so does a change of
-/// latency by twice the least latency.
+/// The gains of `ConcurrencyLimiter`: a step of two executions, or a change of the latency by twice the
+/// minimum latency, counts as 1.
 constexpr double stepGain = 0.5;
 constexpr double latencyGain = 0.5;
-/// A smaller step would show nothing.
-constexpr double leastStep = 0.25;
+/// A smaller step would have no measurable effect on the latency.
+constexpr double minStep = 0.25;
 
 }  // namespace
 
-void PoolLimiter::onAnswer(double latencyRatio) {
+void PoolLimiter::onResponse(double latencyRatio) {
   latencyRatioSum_ += latencyRatio;
-  ++answers_;
+  ++responses_;
 }
 
 double PoolLimiter::endInterval() {
-  if (answers_ < leastAnswers) return 0;
-  const double mean = latencyRatioSum_ / answers_;
+  if (responses_ < minResponses) return 0;
+  const double mean = latencyRatioSum_ / responses_;
   double change = 0;
   if (isLimitReached_) {
     change = nextStep(mean);
@@ -35,7 +35,7 @@
     lastMeanLatencyRatio_ = mean;
   }
   latencyRatioSum_ = 0;
-  answers_ = 0;
+  responses_ = 0;
   isLimitReached_ = false;
   return change;
 }
@@ -44,8 +44,8 @@
   if (lastMeanLatencyRatio_ == 0) return firstStep;
   const double latencyChange = meanLatencyRatio - lastMeanLatencyRatio_;
   const double step = fuzzyStep(lastStep_ * stepGain, latencyChange * latencyGain) / stepGain;
-  if (std::abs(step) >= leastStep) return step;
-  return step > 0 ? leastStep : -leastStep;
+  if (std::abs(step) >= minStep) return step;
+  return step > 0 ? minStep : -minStep;
 }
 
 }  // namespace rainhook::pools
--- a/src/pools/pool_limiter.h
+++ b/src/pools/pool_limiter.h
@@ -1,34 +1,34 @@
 /// @file
-/// Adapts one work pool's concurrency limit to its latency.
+/// Adapts the concurrency limit of one work pool to its latency.
 #pragma once
 
 namespace rainhook::pools {
 
-/// Fuzzy hill climbing on the pool's own latency, by the four rules of Diao, Hellerstein and Parekh, as the
-/// decision module's limiter for the whole server does. docs/pools.md states where this departs from the
-/// paper. Constant size; not thread-safe.
+/// Moves the limit of one pool by fuzzy hill climbing on the latency of that pool. It uses the four rules of
+/// Diao, Hellerstein and Parekh, as `ConcurrencyLimiter` does for the whole server. docs/pools.md states the
+/// differences from the paper. The object has a constant size and is not thread-safe.
 class PoolLimiter {
  public:
-  /// `latencyRatio`: an answer's latency over the least latency of its handler.
-  void onAnswer(double latencyRatio);
-  /// The limit has kept a request of the pool waiting in this interval.
+  /// Records a response; `latencyRatio` is its latency over the minimum latency of its handler.
+  void onResponse(double latencyRatio);
+  /// Records that the limit made a request of the pool wait in this interval.
   void onLimitReached() { isLimitReached_ = true; }
-  /// Whether the limit has kept a request waiting in this interval.
+  /// Whether the limit made a request of the pool wait in this interval.
   [[nodiscard]] bool isLimitReached() const { return isLimitReached_; }
 
-  /// Ends an interval and returns the change of the limit, in executions. An interval with few answers goes
-  /// on and changes nothing; one in which the limit was not reached says nothing about it and changes
-  /// nothing.
+  /// Ends the interval and returns the change of the limit, in executions. If the interval has fewer than ten
+  /// responses it continues and the change is 0. If the limit was not reached, the latency does not depend on
+  /// the limit and the change is 0.
   [[nodiscard]] double endInterval();
 
  private:
   [[nodiscard]] double nextStep(double meanLatencyRatio) const;
 
-  double lastStep_ = 0;              ///< the last change of the limit, in executions
-  double lastMeanLatencyRatio_ = 0;  ///< the mean that led to it; 0: there was none
-  double latencyRatioSum_ = 0;       ///< of this interval
-  int answers_ = 0;                  ///< of this interval
-  bool isLimitReached_ = false;      ///< in this interval
+  double lastStep_ = 0;              ///< the previous change of the limit, in executions
+  double lastMeanLatencyRatio_ = 0;  ///< the mean that led to that change; 0 before the first change
+  double latencyRatioSum_ = 0;       ///< sum over the responses of this interval
+  int responses_ = 0;                ///< number of responses in this interval
+  bool isLimitReached_ = false;      ///< whether the limit was reached in this interval
 };
 
 }  // namespace rainhook::pools
--- a/src/pools/pool_settings.h
+++ b/src/pools/pool_settings.h
@@ -1,5 +1,5 @@
 /// @file
-/// The values that work pools are told: settings, loads and reports of executions.
+/// The inputs of work pools: settings, loads and reports of executions.
 #pragma once
 
 #include <cstdint>
@@ -7,31 +7,31 @@
 
 namespace rainhook::pools {
 
-/// A pool's index in the settings that WorkPools was made with.
+/// The index of a pool in the settings from which `WorkPools` was created.
 enum class PoolId : std::uint8_t {};
 
-/// What an operator states of one pool, which holds one handler or several.
+/// The operator's settings of one pool, which holds one or more handlers.
 struct PoolSettings {
-  std::string name;           ///< as the operator states it
-  double priorityWeight = 1;  ///< of one answer within its latency objective
-  /// Ratio of the total limit that the pool keeps under any load, from 0 to under 1; of all pools together
-  /// under 1.
+  std::string name;           ///< name of the pool
+  double priorityWeight = 1;  ///< weight of one response within its latency objective
+  /// Share of the total limit that is reserved for the pool under any load, from 0 to below 1. The sum over
+  /// all pools must be below 1.
   double reservedRatio = 0;
-  /// Core seconds that one execution takes, as assumed until executions have been measured.
+  /// Core seconds that one execution takes, assumed until executions have been measured.
   double initialServiceSeconds = 0.1;
 };
 
-/// What a pool has at this moment.
+/// The current requests of a pool.
 struct PoolLoad {
-  int queued = 0;     ///< requests that wait for their execution
-  int executing = 0;  ///< requests that execute
+  int queued = 0;     ///< requests that wait for their execution to start
+  int executing = 0;  ///< requests in execution
 };
 
-/// What is known of an execution at its end.
+/// The measurements of an execution at its end.
 struct ExecutionReport {
   double coreSeconds = 0;   ///< time on the cores
-  double latencyRatio = 0;  ///< its latency over the least latency of its handler
-  double earnedWeight = 0;  ///< 0 if it ended after its latency objective or nobody waits for its answer
+  double latencyRatio = 0;  ///< its latency over the minimum latency of its handler
+  double earnedWeight = 0;  ///< 0 if it ended after its latency objective or its client no longer waits
 };
 
 }  // namespace rainhook::pools
--- a/src/pools/pool_statistics.cpp
+++ b/src/pools/pool_statistics.cpp
@@ -6,16 +6,16 @@
 namespace rainhook::pools {
 namespace {
 
-/// Short, so that a jump of the arrival rate is noticed at once.
+/// Short, so that a jump of the arrival rate is noticed quickly.
 constexpr double arrivalHalfLifeSeconds = 0.1;
-/// Long enough that a few executions don't change what the pool earns.
+/// Long enough that a few executions hardly change the weight per core second.
 constexpr double weightHalfLifeSeconds = 4;
-/// How much of the difference each execution adds to the service time.
+/// The share of the difference that each execution adds to the service time.
 constexpr double serviceTimeGain = 0.05;
-/// The settings count like this many executions in the earned weight.
+/// In the weight per core second, the settings count like this many executions.
 constexpr double priorExecutions = 4;
-/// Keeps the earned weight per core second finite.
-constexpr double leastServiceSeconds = 1e-6;
+/// Keeps the weight per core second finite.
+constexpr double minServiceSeconds = 1e-6;
 
 double retainedAfter(double elapsedSeconds, double halfLifeSeconds) {
   return std::exp2(-elapsedSeconds / halfLifeSeconds);
@@ -45,7 +45,7 @@
 double PoolStatistics::weightPerCoreSecond() const {
   const double weight = earnedWeight_ + priorExecutions * priorityWeight_;
   const double coreSeconds =
-      spentCoreSeconds_ + priorExecutions * std::max(serviceSeconds_, leastServiceSeconds);
+      spentCoreSeconds_ + priorExecutions * std::max(serviceSeconds_, minServiceSeconds);
   return weight / coreSeconds;
 }
 
--- a/src/pools/pool_statistics.h
+++ b/src/pools/pool_statistics.h
@@ -1,31 +1,33 @@
 /// @file
-/// What one work pool's requests have been like of late.
+/// Recent statistics of the requests of one work pool.
 #pragma once
 
 #include "pools/pool_settings.h"
 
 namespace rainhook::pools {
 
-/// Arrival rate, service time and earned weight of one pool, all of them fading. Constant size; not
+/// Measures the arrival rate, service time and earned weight of one pool. Older measurements lose weight with
+/// time, those of the service time with each execution. The object has a constant size and is not
 /// thread-safe.
 class PoolStatistics {
  public:
-  /// Begins with the weight and the service time of the settings, and without arrivals.
+  /// Starts with the weight and the service time of the settings and without arrivals.
   explicit PoolStatistics(const PoolSettings& settings);
 
-  /// Counts a request for the arrival rate.
+  /// Counts a request in the arrival rate.
   void onRequestArrived() { ++arrivals_; }
   /// Adds an execution to the service time and to the earned weight.
   void onExecutionEnded(const ExecutionReport& report);
-  /// Lets what was counted fade by the time since the last call. No time at all changes nothing.
+  /// Reduces the weight of older measurements by the time since the last call. Has no effect if no time
+  /// elapsed.
   void advance(double elapsedSeconds);
 
-  /// Core seconds that one execution takes.
+  /// Estimated core seconds of one execution.
   [[nodiscard]] double serviceSeconds() const { return serviceSeconds_; }
-  /// How many executions at a time the arriving requests ask for (Little's law).
+  /// The number of concurrent executions that the arriving requests need (Little's law).
   [[nodiscard]] double demand() const { return arrivalRate_ * serviceSeconds_; }
-  /// Weight earned within the latency objective for each core second; near the settings' while little has
-  /// run.
+  /// Weight earned within the latency objective for each core second; close to the value of the settings
+  /// while few executions were recorded.
   [[nodiscard]] double weightPerCoreSecond() const;
 
  private:
@@ -34,7 +36,7 @@
   double earnedWeight_ = 0;
   double spentCoreSeconds_ = 0;
   double arrivalRate_ = 0;  ///< requests per second
-  int arrivals_ = 0;        ///< since the last call of advance
+  int arrivals_ = 0;        ///< requests since the last call of `advance`
 };
 
 }  // namespace rainhook::pools
--- a/src/pools/work_pools.cpp
+++ b/src/pools/work_pools.cpp
@@ -10,20 +10,22 @@
 
 using namespace std::chrono_literals;
 
-/// As the decision module's limiter for the whole server.
+/// The same interval as that of `ConcurrencyLimiter` for the whole server.
 constexpr Duration adjustmentInterval = 1s;
-/// A pool whose demand is this multiple of its limit can't wait for the adjustments of its limiter.
+/// If the demand of a pool exceeds its limit by this factor, the limit is raised without waiting for the
+/// adjustments of its limiter.
 constexpr double demandJumpFactor = 1.2;
-/// Keeps a limit that is a whole number but for rounding errors from being rounded down.
+/// Prevents a limit that is slightly below a whole number because of rounding errors from being rounded down.
 constexpr double roundingTolerance = 1e-9;
-/// Bounds the rate at which a pool with very short executions gains or loses credit.
-constexpr double leastCreditSeconds = 1e-3;
+/// The minimum service time in the calculation of credit, which bounds how fast a pool with very short
+/// executions gains or loses credit.
+constexpr double minCreditSeconds = 1e-3;
 
 double toSeconds(Duration span) { return std::chrono::duration<double>(span).count(); }
 
 int roundDown(double limit) { return static_cast<int>(limit + roundingTolerance); }
 
-int wanted(const PoolLoad& load) { return load.queued + load.executing; }
+int activeRequests(const PoolLoad& load) { return load.queued + load.executing; }
 
 }  // namespace
 
@@ -35,7 +37,7 @@
 
 void WorkPools::onExecutionEnded(PoolId pool, const ExecutionReport& report) {
   at(pool).statistics.onExecutionEnded(report);
-  if (report.earnedWeight > 0) at(pool).limiter.onAnswer(report.latencyRatio);
+  if (report.earnedWeight > 0) at(pool).limiter.onResponse(report.latencyRatio);
 }
 
 std::span<const int> WorkPools::concurrencyLimits(Duration now, double total,
@@ -63,7 +65,8 @@
   for (Pool& pool : pools_) pool.limit = total / static_cast<double>(pools_.size());
 }
 
-/// A pool whose requests arrive faster than its limit can serve them gets what they ask for at once.
+/// Raises the limit of a pool to its demand immediately if its requests arrive faster than the limit can
+/// serve them.
 void WorkPools::followDemand(double total, std::span<const PoolLoad> loads) {
   for (std::size_t i = 0; i < pools_.size(); ++i) {
     Pool& pool = pools_[i];
@@ -72,9 +75,9 @@
   }
 }
 
-/// Makes the limits sum up to the total. An excess is taken from the pools that earn least per core second,
-/// down to their reserves. What is left over goes to the pool that earns most among those whose limit was
-/// reached.
+/// Adjusts the limits so that their sum equals the total. Takes an excess from the pools that earn the least
+/// weight per core second, down to their reserves. Gives an unused rest to the pool that earns the most among
+/// those whose limit was reached, or among all pools if no limit was reached.
 void WorkPools::fitToTotal(double total) {
   const std::vector<std::size_t> byWeight = poolsByWeight();
   double excess = clampLimits(total);
@@ -92,8 +95,8 @@
   pools_[receiver].limit -= excess;
 }
 
-/// Keeps each limit between the pool's reserve and the total. Returns by how much their sum exceeds the
-/// total; negative if it is less.
+/// Clamps each limit to between the pool's reserve and the total. Returns by how much the sum of the limits
+/// exceeds the total; negative if the sum is less.
 double WorkPools::clampLimits(double total) {
   double excess = -total;
   for (Pool& pool : pools_) {
@@ -103,7 +106,7 @@
   return excess;
 }
 
-/// The pools' indices, those first that earn least for a core second.
+/// Returns the indices of the pools in ascending order of their weight per core second.
 std::vector<std::size_t> WorkPools::poolsByWeight() const {
   std::vector<std::size_t> indices(pools_.size());
   std::iota(indices.begin(), indices.end(), std::size_t{0});
@@ -113,57 +116,60 @@
   return indices;
 }
 
-/// Gives each pool what it wants of the whole part of its limit. Returns how many executions are left.
+/// Grants each pool as many executions as it needs, up to its limit rounded down. Returns the number of
+/// executions that remain of the total.
 int WorkPools::grantWholeLimits(double total, std::span<const PoolLoad> loads) {
   int remainder = roundDown(total);
   for (std::size_t i = 0; i < pools_.size(); ++i) {
-    limits_[i] = std::min({wanted(loads[i]), roundDown(pools_[i].limit), remainder});
+    limits_[i] = std::min({activeRequests(loads[i]), roundDown(pools_[i].limit), remainder});
     remainder -= limits_[i];
   }
   return remainder;
 }
 
-/// Gives what is left one by one to the pool that wants more and has most credit. So a pool that wants less
-/// than its limit lends the rest.
+/// Grants the remaining executions one by one to the pool with the highest credit that needs more. In this
+/// way a pool that needs less than its limit lends the rest.
 void WorkPools::grantRemainder(int remainder, std::span<const PoolLoad> loads) {
   for (; remainder > 0; --remainder) {
-    const std::optional<std::size_t> pool = poolWithMostCredit(loads);
+    const std::optional<std::size_t> pool = poolWithHighestCredit(loads);
     if (!pool) return;
     ++limits_[*pool];
   }
 }
 
-/// Of the pools that want more than they were given, the one whose limit and credit exceed that most.
-std::optional<std::size_t> WorkPools::poolWithMostCredit(std::span<const PoolLoad> loads) const {
+/// Returns, among the pools that need more than they were granted, the one whose limit plus rounding credit
+/// exceeds its grant the most; none if no pool needs more.
+std::optional<std::size_t> WorkPools::poolWithHighestCredit(std::span<const PoolLoad> loads) const {
   std::optional<std::size_t> best;
-  double mostCredit = 0;
+  double highestCredit = 0;
   for (std::size_t i = 0; i < pools_.size(); ++i) {
     const double credit = pools_[i].limit + pools_[i].roundingCredit - limits_[i];
-    if (!wantsMore(i, loads) || (best && credit <= mostCredit)) continue;
+    if (!needsMore(i, loads) || (best && credit <= highestCredit)) continue;
     best = i;
-    mostCredit = credit;
+    highestCredit = credit;
   }
   return best;
 }
 
-/// Credit grows with the time in which a pool that wants more executes less than its limit. A pool that wants
-/// nothing more has none, and what it has had too much fades.
+/// Updates the rounding credits. A pool that needs more gains credit while it executes less than its limit
+/// and loses credit while it executes more. A pool that needs no more loses positive credit immediately, and
+/// its negative credit decays with a half-life of one second.
 void WorkPools::updateCredits(double elapsedSeconds, std::span<const PoolLoad> loads) {
   for (std::size_t i = 0; i < pools_.size(); ++i) {
     Pool& pool = pools_[i];
-    if (!wantsMore(i, loads)) {
+    if (!needsMore(i, loads)) {
       pool.roundingCredit = std::min(pool.roundingCredit, 0.0) * std::exp2(-elapsedSeconds);
       continue;
     }
     pool.limiter.onLimitReached();
-    const double serviceSeconds = std::max(pool.statistics.serviceSeconds(), leastCreditSeconds);
+    const double serviceSeconds = std::max(pool.statistics.serviceSeconds(), minCreditSeconds);
     const double gained = (pool.limit - loads[i].executing) * elapsedSeconds / serviceSeconds;
     pool.roundingCredit = std::clamp(pool.roundingCredit + gained, -1.0, 1.0);
   }
 }
 
-bool WorkPools::wantsMore(std::size_t pool, std::span<const PoolLoad> loads) const {
-  return wanted(loads[pool]) > limits_[pool];
+bool WorkPools::needsMore(std::size_t pool, std::span<const PoolLoad> loads) const {
+  return activeRequests(loads[pool]) > limits_[pool];
 }
 
 }  // namespace rainhook::pools
--- a/src/pools/work_pools.h
+++ b/src/pools/work_pools.h
@@ -1,6 +1,6 @@
 /// @file
-/// Divides a server's concurrency limit among work pools, so that cores go where they earn most weight and
-/// every pool keeps its reserve. docs/pools.md explains the method.
+/// Divides the concurrency limit of a server among work pools, so that the pools that earn the most weight
+/// get most of the cores and every pool keeps its reserve. docs/pools.md explains the method.
 #pragma once
 
 #include <cstddef>
@@ -15,40 +15,40 @@
 
 namespace rainhook::pools {
 
-/// The limits of all pools under one total, which they don't set themselves. Deterministic: events and the
-/// time go in, limits come out; no clock, I/O or randomness.
+/// Calculates the limits of all pools from a total limit that the caller passes in. The calculation is
+/// deterministic: it depends only on events and times and uses no clock, I/O or randomness.
 ///
 /// Invariants:
-/// - The pools' limits sum up to the total at most, and to all of it while enough requests are queued.
+/// - The pools' limits add up to at most the total, and to all of it while enough requests are queued.
 /// - A pool with requests never gets less than its reserve.
-/// - A pool lends what it does not use. It has it back once the borrower's executions end, because none of
-/// the
-///   borrower's requests is started any more.
+/// - A pool lends the part of its limit that it does not use. It regains that part when the borrower's
+///   executions end, because no further requests of the borrower start.
 ///
-/// Constant size for each pool; nothing grows with the requests. Not thread-safe.
+/// Each pool has a constant size; no data grows with the number of requests. Not thread-safe.
 class WorkPools {
  public:
-  /// Makes one pool for each entry; a PoolId is its index.
+  /// Creates one pool for each entry; the index of the entry is the `PoolId`.
   explicit WorkPools(std::span<const PoolSettings> settings);
 
-  /// Counts a request for the pool's arrival rate.
+  /// Counts a request in the arrival rate of the pool.
   void onRequestArrived(PoolId pool) { at(pool).statistics.onRequestArrived(); }
-  /// Takes what is known of an execution of the pool; its latency counts only if it earned weight.
+  /// Records an execution of the pool; its latency counts only if the execution earned weight.
   void onExecutionEnded(PoolId pool, const ExecutionReport& report);
 
-  /// How many requests of each pool may execute now, of `total` on the whole server. To be asked before
-  /// executions start, with the loads at that moment. One entry for each pool, valid until the next call.
+  /// Returns how many requests of each pool may execute at `now`, out of `total` on the whole server. Call it
+  /// before executions start, with the loads at that moment. The result has one entry for each pool and is
+  /// valid until the next call.
   [[nodiscard]] std::span<const int> concurrencyLimits(Duration now, double total,
                                                        std::span<const PoolLoad> loads);
 
-  /// What the pool would have of the total if all pools wanted more than they get; with the part of an
-  /// execution.
+  /// The pool's share of the total, in executions including fractions, if all pools needed more than they
+  /// get.
   [[nodiscard]] double limit(PoolId pool) const { return at(pool).limit; }
-  /// Weight that the pool has earned of late for each core second, by which the total is divided.
+  /// The recent weight of the pool for each core second, by which the total is divided.
   [[nodiscard]] double weightPerCoreSecond(PoolId pool) const {
     return at(pool).statistics.weightPerCoreSecond();
   }
-  /// How many pools there are.
+  /// The number of pools.
   [[nodiscard]] std::size_t size() const { return pools_.size(); }
 
  private:
@@ -56,8 +56,8 @@
     PoolStatistics statistics;
     double reservedRatio = 0;
     PoolLimiter limiter;
-    double limit = 0;           ///< executions
-    double roundingCredit = 0;  ///< executions, -1 to 1, that rounding its limit has kept from it
+    double limit = 0;           ///< in executions, including fractions
+    double roundingCredit = 0;  ///< executions, -1 to 1, that the pool lost to rounding
   };
 
   [[nodiscard]] Pool& at(PoolId pool) { return pools_[static_cast<std::size_t>(pool)]; }
@@ -70,9 +70,9 @@
   [[nodiscard]] std::vector<std::size_t> poolsByWeight() const;
   [[nodiscard]] int grantWholeLimits(double total, std::span<const PoolLoad> loads);
   void grantRemainder(int remainder, std::span<const PoolLoad> loads);
-  [[nodiscard]] std::optional<std::size_t> poolWithMostCredit(std::span<const PoolLoad> loads) const;
+  [[nodiscard]] std::optional<std::size_t> poolWithHighestCredit(std::span<const PoolLoad> loads) const;
   void updateCredits(double elapsedSeconds, std::span<const PoolLoad> loads);
-  [[nodiscard]] bool wantsMore(std::size_t pool, std::span<const PoolLoad> loads) const;
+  [[nodiscard]] bool needsMore(std::size_t pool, std::span<const PoolLoad> loads) const;
 
   std::vector<Pool> pools_;
   std::vector<int> limits_;
--- a/tests/pool_limiter_test.cpp
+++ b/tests/pool_limiter_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// When and in which direction the limiter of one work pool moves its limit.
+/// Tests when and in which direction the limiter of one work pool moves the limit.
 #include "pools/pool_limiter.h"
 
 #include <gtest/gtest.h>
@@ -7,12 +7,12 @@
 namespace rainhook::pools {
 namespace {
 
-constexpr int enoughAnswers = 10;
+constexpr int enoughResponses = 10;
 
 class PoolLimiterTest : public testing::Test {
  protected:
-  double runInterval(int answers, double latencyRatio, bool isLimitReached) {
-    for (int answer = 0; answer < answers; ++answer) limiter_.onAnswer(latencyRatio);
+  double runInterval(int responses, double latencyRatio, bool isLimitReached) {
+    for (int response = 0; response < responses; ++response) limiter_.onResponse(latencyRatio);
     if (isLimitReached) limiter_.onLimitReached();
     return limiter_.endInterval();
   }
@@ -20,20 +20,22 @@
   PoolLimiter limiter_;
 };
 
-TEST_F(PoolLimiterTest, BeginsWithAStepOfOneExecution) { EXPECT_EQ(runInterval(enoughAnswers, 1, true), 1); }
+TEST_F(PoolLimiterTest, StepsUpByOneExecutionWhenFirstIntervalEnds) {
+  EXPECT_EQ(runInterval(enoughResponses, 1, true), 1);
+}
 
-TEST_F(PoolLimiterTest, GoesOnWhenLatencyHasFallenAndTurnsBackWhenItHasRisen) {
-  runInterval(enoughAnswers, 4, true);
-  EXPECT_GT(runInterval(enoughAnswers, 2, true), 0);
-  EXPECT_LT(runInterval(enoughAnswers, 6, true), 0);
+TEST_F(PoolLimiterTest, RepeatsStepWhenLatencyFellAndReversesItWhenLatencyRose) {
+  runInterval(enoughResponses, 4, true);
+  EXPECT_GT(runInterval(enoughResponses, 2, true), 0);
+  EXPECT_LT(runInterval(enoughResponses, 6, true), 0);
 }
 
-TEST_F(PoolLimiterTest, ChangesNothingWhenTheLimitWasNotReached) {
-  EXPECT_EQ(runInterval(enoughAnswers, 1, false), 0);
+TEST_F(PoolLimiterTest, KeepsLimitWhenLimitWasNotReached) {
+  EXPECT_EQ(runInterval(enoughResponses, 1, false), 0);
 }
 
-TEST_F(PoolLimiterTest, ContinuesAnIntervalWithTooFewAnswers) {
-  EXPECT_EQ(runInterval(enoughAnswers - 1, 1, true), 0);
+TEST_F(PoolLimiterTest, ContinuesIntervalWhenResponsesAreTooFew) {
+  EXPECT_EQ(runInterval(enoughResponses - 1, 1, true), 0);
   EXPECT_TRUE(limiter_.isLimitReached());
   EXPECT_EQ(runInterval(1, 1, false), 1);
   EXPECT_FALSE(limiter_.isLimitReached());
--- a/tests/work_pools_recording_test.cpp
+++ b/tests/work_pools_recording_test.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// Holds the work pools to their recorded behaviour; see recording.h. Simulated servers of two to four pools
-/// start executions as the pools allow, under loads that change; limits count by their bit patterns. The
-/// recording also depends on the C library's std::exp2.
+/// Compares the behaviour of the work pools with a recording; see recording.h. Simulated servers with two to
+/// four pools start executions within the limits of the pools under changing loads. Limits are hashed by
+/// their bit patterns. The recording also depends on the C library's std::exp2.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -22,20 +22,20 @@
 
 constexpr int runCount = 120;
 constexpr int stepsPerHash = 100;
-constexpr int mostQueued = 60;
+constexpr int maxQueued = 60;
 
-/// How often each thing was seen, so that the recording can't become empty unnoticed.
+/// The number of occurrences of each event, so that a loss of coverage is noticed.
 struct Tally {
   int steps = 0;
-  int stepsAtLimit = 0;     ///< some pool has requests queued that may not start
-  int stepsWithChange = 0;  ///< some pool's limit moved
+  int stepsAtLimit = 0;     ///< a limit kept requests of at least one pool in the queue
+  int stepsWithChange = 0;  ///< the limit of at least one pool changed
   int completions = 0;
 };
 
 struct SimulatedPool {
   PoolLoad load;
   std::vector<Duration> completionTimes;
-  std::int64_t arrivalsPerMille = 0;  ///< requests in a thousand milliseconds
+  std::int64_t arrivalsPerSecond = 0;  ///< mean arrival rate
   std::int64_t serviceMillis = 50;
   double lastLimit = 0;
 };
@@ -59,7 +59,7 @@
         complete(pool, tally);
         arrive(pool);
       }
-      const std::span<const int> limits = askForLimits();
+      const std::span<const int> limits = calculateLimits();
       addStep(limits, tally);
       start(limits);
       ++tally.steps;
@@ -88,8 +88,8 @@
   void drawWorkload(SimulatedPool& pool) {
     pool.serviceMillis = random_.between(5, 150);
     const double atCapacity = total_ * 1000 / static_cast<double>(pool.serviceMillis);
-    const auto mostArrivals = static_cast<std::int64_t>(atCapacity * 1.5) + 1;
-    pool.arrivalsPerMille = random_.percent(15) ? 0 : random_.between(0, mostArrivals);
+    const auto maxArrivals = static_cast<std::int64_t>(atCapacity * 1.5) + 1;
+    pool.arrivalsPerSecond = random_.percent(15) ? 0 : random_.between(0, maxArrivals);
   }
 
   void advance() {
@@ -102,9 +102,9 @@
 
   void complete(std::size_t index, Tally& tally) {
     SimulatedPool& pool = simulated_[index];
-    const auto isOver = [this](Duration time) { return time <= now_; };
-    const auto completed = std::count_if(pool.completionTimes.begin(), pool.completionTimes.end(), isOver);
-    std::erase_if(pool.completionTimes, isOver);
+    const auto hasEnded = [this](Duration time) { return time <= now_; };
+    const auto completed = std::count_if(pool.completionTimes.begin(), pool.completionTimes.end(), hasEnded);
+    std::erase_if(pool.completionTimes, hasEnded);
     for (std::int64_t i = 0; i < completed; ++i) {
       --pool.load.executing;
       const double coreSeconds = random_.thousandths(pool.serviceMillis / 2, pool.serviceMillis * 2);
@@ -118,13 +118,13 @@
   void arrive(std::size_t index) {
     SimulatedPool& pool = simulated_[index];
     const std::int64_t millis = std::min<std::int64_t>(elapsed_ / 1ms, 1000);
-    const std::int64_t expected = pool.arrivalsPerMille * millis;
+    const std::int64_t expected = pool.arrivalsPerSecond * millis;
     const std::int64_t arrivals = expected / 1000 + (random_.between(0, 999) < expected % 1000 ? 1 : 0);
     for (std::int64_t i = 0; i < arrivals; ++i) workPools_.onRequestArrived(PoolId(index));
-    pool.load.queued = std::min(pool.load.queued + static_cast<int>(arrivals), mostQueued);
+    pool.load.queued = std::min(pool.load.queued + static_cast<int>(arrivals), maxQueued);
   }
 
-  std::span<const int> askForLimits() {
+  std::span<const int> calculateLimits() {
     loads_.clear();
     for (const SimulatedPool& pool : simulated_) loads_.push_back(pool.load);
     return workPools_.concurrencyLimits(now_, total_, loads_);
@@ -174,20 +174,21 @@
   std::vector<PoolLoad> loads_;
 };
 
-/// Some two thirds of what was counted at the first recording; runs that show less hold less.
-void expectEnoughSeen(const Tally& tally) {
+/// The minimum counts are about two thirds of the counts at the first recording: runs with fewer events would
+/// test less.
+void expectEnoughEvents(const Tally& tally) {
   EXPECT_GE(tally.steps, 95'000);
   EXPECT_GE(tally.stepsAtLimit, 89'000);
   EXPECT_GE(tally.stepsWithChange, 23'000);
   EXPECT_GE(tally.completions, 249'000);
 }
 
-TEST(WorkPoolsRecording, EveryLimitIsAsRecorded) {
+TEST(WorkPoolsRecording, LimitsMatchRecordingWhenAllServersAreSimulated) {
   Tally tally;
   std::vector<RecordedRun> runs;
   for (int seed = 1; seed <= runCount; ++seed)
     runs.push_back(SimulatedServer(seed).run("server" + std::to_string(seed), tally));
-  expectEnoughSeen(tally);
+  expectEnoughEvents(tally);
   recording::expectMatchesRecording("work_pools_recording.txt", runs);
 }
 
--- a/tests/work_pools_test.cpp
+++ b/tests/work_pools_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Work pools on a simulated server: sums and reserves, lending and its return, fractions of an execution,
-/// and jumps of the arrival rate.
+/// Tests work pools on a simulated server: sums of limits, reserves, lending, limits below one execution and
+/// jumps of the arrival rate.
 #include "pools/work_pools.h"
 
 #include <gtest/gtest.h>
@@ -30,26 +30,27 @@
                          [](int sum, const PoolLoad& load) { return sum + load.executing; });
 }
 
-/// One pool's clients and executions: requests arrive evenly, executions take their time on the cores.
+/// The arrivals and executions of one pool: requests arrive at a constant interval, and every execution takes
+/// the same time.
 struct SimulatedPool {
-  Duration arrivalInterval{};  ///< none: no requests arrive
+  Duration arrivalInterval{};  ///< 0 if no requests arrive
   Duration nextArrival{};
   std::vector<Duration> completionTimes;
   int completions = 0;
 };
 
-/// A server with two pools that starts executions as they allow, the valuable pool's first.
+/// A server with two pools that starts executions within the limits, those of the valuable pool first.
 class SimulatedServer {
  public:
   SimulatedServer(const std::vector<PoolSettings>& settings, double total)
       : workPools_(settings), total_(total), loads_(settings.size()), pools_(settings.size()) {}
 
-  /// Requests of the pool arrive at this interval from now on, the first at once.
+  /// Lets requests of the pool arrive at this interval from now on, the first one immediately.
   void startArrivals(PoolId pool, Duration interval) {
     at(pool).arrivalInterval = interval;
     at(pool).nextArrival = now_;
   }
-  /// Changes the interval and keeps the time of the next arrival.
+  /// Changes the interval without changing the time of the next arrival.
   void changeArrivals(PoolId pool, Duration interval) { at(pool).arrivalInterval = interval; }
   void stopArrivals(PoolId pool) {
     at(pool).arrivalInterval = 0ms;
@@ -61,7 +62,7 @@
       for (std::size_t pool = 0; pool < pools_.size(); ++pool) {
         arrive(pool);
         complete(pool);
-        loads_[pool].queued = std::min(loads_[pool].queued, longestQueue);
+        loads_[pool].queued = std::min(loads_[pool].queued, maxQueued);
       }
       start(workPools_.concurrencyLimits(now_, total_, loads_));
       countIdleStep();
@@ -73,13 +74,13 @@
     return pools_[static_cast<std::size_t>(pool)].completions;
   }
   [[nodiscard]] double limit(PoolId pool) const { return workPools_.limit(pool); }
-  /// Steps that ended with a free core and a queued request.
+  /// The number of steps that ended with a free core and a queued request.
   [[nodiscard]] int idleSteps() const { return idleSteps_; }
 
   static constexpr Duration executionTime = 100ms;
 
  private:
-  static constexpr int longestQueue = 50;
+  static constexpr int maxQueued = 50;
 
   SimulatedPool& at(PoolId pool) { return pools_[static_cast<std::size_t>(pool)]; }
   [[nodiscard]] bool hasFreeCore() const { return sumOfExecuting(loads_) < static_cast<int>(total_); }
@@ -127,32 +128,38 @@
   int idleSteps_ = 0;
 };
 
-TEST(WorkPools, LendAnIdleLimitAndReturnItWithinOneExecution) {
+// Guards against cores that stay idle or are not returned when a pool has no requests for some time.
+TEST(WorkPools, LendIdleLimitAndRegainItWithinOneExecutionWhenRequestsArrive) {
   SimulatedServer server(twoPools(0.1), 8);
   server.startArrivals(bulk, 5ms);
   server.run(2s);
-  EXPECT_EQ(server.executing(bulk), 8) << "nobody else wants the cores";
+  EXPECT_EQ(server.executing(bulk), 8) << "the other pool has no requests";
   server.startArrivals(valuable, 5ms);
   server.run(SimulatedServer::executionTime + 20ms);
-  EXPECT_GE(server.executing(valuable), 4) << "its limit is back once the borrower's executions have ended";
+  EXPECT_GE(server.executing(valuable), 4)
+      << "the pool regains its limit when the borrower's executions have ended";
   server.run(400ms);
-  EXPECT_GE(server.executing(valuable), 7) << "then it gets all it earns more with, but for the reserve";
+  EXPECT_GE(server.executing(valuable), 7)
+      << "the pool that earns more then gets all cores except the reserve";
   EXPECT_EQ(server.idleSteps(), 0);
 }
 
-TEST(WorkPools, KeepTheReserveOfABulkPoolWhenAValuablePoolIsFlooded) {
+// Guards against a pool that gets no cores because another pool earns more weight and needs all cores.
+TEST(WorkPools, KeepReserveOfBulkPoolWhenValuablePoolIsOverloaded) {
   SimulatedServer server(twoPools(0.125), 8);
   server.startArrivals(valuable, 2ms);
   server.startArrivals(bulk, 20ms);
   server.run(5s);
   const int before = server.completions(bulk);
   server.run(10s);
-  EXPECT_NEAR(server.completions(bulk) - before, 100, 10) << "one core in eight, ten executions a second";
+  EXPECT_NEAR(server.completions(bulk) - before, 100, 10)
+      << "one core of eight completes ten executions per second";
 }
 
-TEST(WorkPools, ProtectAValuablePoolWhenABulkPoolIsFlooded) {
+// Guards against a pool that loses cores because another pool that earns less weight receives many requests.
+TEST(WorkPools, ProtectValuablePoolWhenBulkPoolIsOverloaded) {
   SimulatedServer server(twoPools(0.1), 8);
-  server.startArrivals(valuable, 25ms);  // asks for half of the cores
+  server.startArrivals(valuable, 25ms);  // needs half of the cores
   server.startArrivals(bulk, 1ms);
   server.run(3s);
   const int before = server.completions(valuable);
@@ -161,30 +168,34 @@
   EXPECT_EQ(server.idleSteps(), 0);
 }
 
-TEST(WorkPools, ServeALimitOfLessThanOneExecutionInTurn) {
+// Guards against a pool that never executes because its limit is always rounded down to 0.
+TEST(WorkPools, AlternatePoolsWhenALimitIsBelowOneExecution) {
   SimulatedServer server(twoPools(0.25), 2);
   server.startArrivals(valuable, 10ms);
   server.startArrivals(bulk, 10ms);
   server.run(20s);
-  EXPECT_GT(server.completions(bulk), 60) << "a quarter of two cores: five executions a second at best";
+  EXPECT_GT(server.completions(bulk), 60)
+      << "a quarter of two cores completes at most five executions per second";
   EXPECT_LT(server.completions(bulk), 140);
   EXPECT_EQ(server.idleSteps(), 0);
 }
 
-TEST(WorkPools, FollowAJumpOfTheArrivalRateWithinHalfASecond) {
+// Guards against a limit that adapts only in the small steps of the limiter after a jump of the arrival rate.
+TEST(WorkPools, FollowDemandWithinHalfASecondWhenArrivalRateJumps) {
   SimulatedServer server(twoPools(0.1), 8);
-  server.startArrivals(valuable, 50ms);  // asks for two of the eight cores
-  server.startArrivals(bulk, 20ms);      // and for five
+  server.startArrivals(valuable, 50ms);  // needs two of the eight cores
+  server.startArrivals(bulk, 20ms);      // needs five
   server.run(5s);
-  server.startArrivals(valuable, 15ms);  // nearly seven
+  server.startArrivals(valuable, 15ms);  // needs nearly seven
   server.run(500ms);
-  EXPECT_GE(server.limit(valuable), 15.0 / 2.7) << "its demand, but for what does not count as a jump";
+  EXPECT_GE(server.limit(valuable), 15.0 / 2.7) << "the demand, less the part that does not count as a jump";
   server.changeArrivals(valuable, 50ms);
   server.run(2s);
-  EXPECT_GE(server.executing(bulk), 5) << "and the way back";
+  EXPECT_GE(server.executing(bulk), 5) << "the bulk pool regains its cores when the demand falls";
 }
 
-TEST(WorkPools, RestoreTheLimitOfAPoolThatHadNoRequestsForMinutes) {
+// Guards against a limit that is lost while a pool has no requests and rises only in small steps afterwards.
+TEST(WorkPools, RestoreLimitWhenRequestsArriveAfterMinutesWithoutAny) {
   SimulatedServer server(twoPools(0.1), 4);
   server.startArrivals(valuable, 10ms);
   server.startArrivals(bulk, 10ms);
@@ -196,11 +207,11 @@
   EXPECT_GE(server.executing(valuable), 3);
 }
 
-/// One generated step: the pool it is about, how many of its requests are queued, and a number that the time,
-/// arrivals and the end of an execution are drawn from.
+/// One generated step: the pool, the number of its queued requests, and a number from which the elapsed time,
+/// the arrivals and the end of an execution are derived.
 using GeneratedStep = std::tuple<std::uint8_t, std::uint8_t, std::uint8_t>;
 
-/// Tells the pools what a generated step says.
+/// Reports the events of a generated step to the pools.
 void applyStep(const GeneratedStep& step, WorkPools& workPools, std::vector<PoolLoad>& loads) {
   const auto& [poolNumber, queued, variation] = step;
   const std::size_t index = poolNumber % loads.size();
@@ -226,7 +237,9 @@
     }
 }
 
-RC_GTEST_PROP(WorkPools, KeepSumsAndReservesUnderAnyLoad, (const std::vector<GeneratedStep>& steps)) {
+// Guards against limits that exceed the total, violate a reserve or leave cores unused while requests are
+// queued.
+RC_GTEST_PROP(WorkPools, KeepSumsAndReservesWhenLoadIsGenerated, (const std::vector<GeneratedStep>& steps)) {
   const double reserve = *rc::gen::inRange(0, 30) / 100.0;
   const std::vector<PoolSettings> settings{
       {"first", 2, reserve, 0.1}, {"second", 1, reserve, 0.05}, {"third", 1, 0, 0.2}};
@@ -240,17 +253,17 @@
     const std::span<const int> limits = workPools.concurrencyLimits(now, total, loads);
     double sumOfFractionalLimits = 0;
     int sumOfLimits = 0;
-    int wanted = 0;
+    int activeRequests = 0;
     for (std::size_t pool = 0; pool < loads.size(); ++pool) {
       const double limit = workPools.limit(PoolId(pool));
       sumOfFractionalLimits += limit;
       sumOfLimits += limits[pool];
-      wanted += loads[pool].queued + loads[pool].executing;
+      activeRequests += loads[pool].queued + loads[pool].executing;
       RC_ASSERT(limit >= settings[pool].reservedRatio * total - 1e-6);
       RC_ASSERT(limits[pool] >= 0);
     }
     RC_ASSERT(sumOfFractionalLimits <= total + 1e-6);
-    RC_ASSERT(sumOfLimits == std::min(wanted, static_cast<int>(total)));
+    RC_ASSERT(sumOfLimits == std::min(activeRequests, static_cast<int>(total)));
     startAll(limits, total, loads);
   }
 }
