--- a/src/decision/admission_controller.cpp
+++ b/src/decision/admission_controller.cpp
@@ -298,17 +298,17 @@
   const HandlerPolicy& policy = policyOf(request);
   const int failures = request.consecutiveCallFailures;
   const bool isRepeatable = isIdempotent(request) || provesNotExecuted(request.lastCallOutcome);
-  const bool late = now_ + fromSeconds(serviceTimes_.callSeconds() * callTimeMargin) > request.target;
+  const bool isLate = now_ + fromSeconds(serviceTimes_.callSeconds() * callTimeMargin) > request.target;
   // While calls are fast and use no quota, a call that fails or gets no reply should be retried.
   const bool mayRetryCalls =
       !callBudget_.hasQuota() && serviceTimes_.callSlowdown() < maxSlowdownForRetry && isRepeatable;
   const bool shouldRetry =
       mayRetryCalls && failures < maxCallFailures && request.lastCallOutcome != Outcome::rejected;
 
-  if (policy.degradedWeight > 0 && (late || (failures > 0 && !shouldRetry))) {
+  if (policy.degradedWeight > 0 && (isLate || (failures > 0 && !shouldRetry))) {
     requests_.moveTo(request, RequestStage::executing, now_);
     emit(SkipDownstreamCall{id});
-  } else if ((failures > 0 && !isRepeatable) || failures >= maxCallFailures || (late && callsWait)) {
+  } else if ((failures > 0 && !isRepeatable) || failures >= maxCallFailures || (isLate && callsWait)) {
     shedOrFail(request, ShedCause::unservableAnywhere);
   } else if (!callBudget_.hasRoom(now_)) {
     awaitingCall_.push_back(id);
--- a/tests/decision_recording_test.cpp
+++ b/tests/decision_recording_test.cpp
@@ -197,20 +197,22 @@
   void count(const DiagnosticMessage&) { ++messages; }
 };
 
+/// The settings that distinguish a group of histories.
 enum class Variant {
-  plain,
-  drop,
-  pause,
-  shareUnderOne,
-  shareOverOne,
-  shareAroundOne,
-  tier,
-  cold,
+  baseline,
+  discardWork,
+  pauseWork,
+  quotaBelowOne,
+  quotaAboveOne,
+  quotaAroundOne,
+  nextTier,
+  coldStart,
   tightMemory,
-  tightMemoryDrop,
-  sharingReads,
-  crowded,
+  tightMemoryDiscardWork,
+  sharedReads,
+  lowExecutionCeiling,
 };
+/// The names in the recording, in the order of `Variant`.
 constexpr std::array<const char*, 12> variantNames{
     "plain", "drop", "pause",       "shareUnderOne",   "shareOverOne", "shareAroundOne",
     "tier",  "cold", "tightMemory", "tightMemoryDrop", "sharingReads", "crowded"};
@@ -222,20 +224,20 @@
   machine.cachedEntryKb = random.thousandths(500, 4000);
   machine.maxExecutionsPerCore = random.thousandths(4000, 20'000);
   machine.memoryKb = 1e6;
-  if (variant == Variant::tightMemory || variant == Variant::tightMemoryDrop)
+  if (variant == Variant::tightMemory || variant == Variant::tightMemoryDiscardWork)
     machine.memoryKb = machine.cores * random.thousandths(300'000, 700'000);
-  if (variant == Variant::crowded) machine.maxExecutionsPerCore = random.thousandths(1500, 3000);
-  if (variant == Variant::cold) {
+  if (variant == Variant::lowExecutionCeiling) machine.maxExecutionsPerCore = random.thousandths(1500, 3000);
+  if (variant == Variant::coldStart) {
     machine.coldStart = true;
     machine.initialSpeed = random.thousandths(100, 500);
     machine.warmUpDuration = random.millis(1000, 4000);
     machine.overcommitWindow = 500ms;
     machine.maxExecutionsPerCore = random.thousandths(2000, 5000);
   }
-  const bool discardsWork = variant == Variant::drop || variant == Variant::tightMemoryDrop ||
-                            variant == Variant::shareUnderOne || variant == Variant::crowded;
+  const bool discardsWork = variant == Variant::discardWork || variant == Variant::tightMemoryDiscardWork ||
+                            variant == Variant::quotaBelowOne || variant == Variant::lowExecutionCeiling;
   if (discardsWork) machine.cancellation = CancellationMode::discardWork;
-  if (variant == Variant::pause) machine.cancellation = CancellationMode::pauseWork;
+  if (variant == Variant::pauseWork) machine.cancellation = CancellationMode::pauseWork;
   return machine;
 }
 
@@ -264,11 +266,12 @@
 
 DownstreamProfile makeDownstream(Variant variant, RandomSource& random) {
   DownstreamProfile downstream;
-  if (variant == Variant::tier) downstream.kind = DownstreamKind::nextTier;
-  if (variant == Variant::shareUnderOne) downstream.concurrentCallQuota = random.thousandths(300, 950);
-  if (variant == Variant::shareOverOne) downstream.concurrentCallQuota = random.thousandths(2000, 8000);
-  if (variant == Variant::shareAroundOne) downstream.concurrentCallQuota = random.thousandths(1000, 2500);
-  if (variant == Variant::tightMemoryDrop) downstream.concurrentCallQuota = random.thousandths(1000, 4000);
+  if (variant == Variant::nextTier) downstream.kind = DownstreamKind::nextTier;
+  if (variant == Variant::quotaBelowOne) downstream.concurrentCallQuota = random.thousandths(300, 950);
+  if (variant == Variant::quotaAboveOne) downstream.concurrentCallQuota = random.thousandths(2000, 8000);
+  if (variant == Variant::quotaAroundOne) downstream.concurrentCallQuota = random.thousandths(1000, 2500);
+  if (variant == Variant::tightMemoryDiscardWork)
+    downstream.concurrentCallQuota = random.thousandths(1000, 4000);
   if (downstream.concurrentCallQuota > 0) {
     downstream.kind = DownstreamKind::shared;
     downstream.quotaWindow = random.millis(1000, 5000);
@@ -296,7 +299,7 @@
   settings.limits.drainGrace = random.millis(0, 100);
   settings.signaling = makeSignaling(random);
   settings.sharing.weightByWork = random.percent(50);
-  if (variant == Variant::sharingReads) settings.sharing.sharingDuration = random.millis(50, 800);
+  if (variant == Variant::sharedReads) settings.sharing.sharingDuration = random.millis(50, 800);
   settings.fleet.servers = random.oneOf(std::array{1, 3, 40});
   settings.fleet.clients = random.oneOf(std::array{1, 8, 200});
   settings.fleet.maxIdleTime = random.millis(50, 5000);
