--- a/src/decision/downstream_call_budget.h
+++ b/src/decision/downstream_call_budget.h
@@ -12,7 +12,7 @@
 
 /// How a downstream call ended for this server.
 enum class CallEnd {
-  finished,   ///< The downstream service has completed or rejected the call.
+  finished,   ///< The call no longer occupies the downstream service.
   abandoned,  ///< The call may still occupy the downstream service.
 };
 
--- a/tests/decision_test.cpp
+++ b/tests/decision_test.cpp
@@ -419,7 +419,7 @@
 
 using RetryAdviceTest = AdmissionPolicyTest;
 
-// Guards against retries while all servers are overloaded: each retry only has to be read once more. A slow
+// Guards against retries while all servers are overloaded, when each retry only costs another read. A slow
 // server must discourage retries too, since the retries of shed requests slow down every server; otherwise,
 // in one simulated day, there were five attempts per request and 8% of the requests were served.
 TEST_F(RetryAdviceTest, DiscouragesRetriesWhenOverloadedEvenIfServerIsSlow) {
@@ -469,8 +469,8 @@
 
 using GracefulShutdownTest = AdmissionPolicyTest;
 
-// Guards against executions that the stop of the server would interrupt, and against requests without a
-// response at the stop.
+// Guards against executing requests that arrive after the drain grace, and against requests that have no
+// response when the server stops.
 TEST_F(GracefulShutdownTest, StartsNothingAfterGracePeriodAndAnswersAllBeforeStop) {
   model.open();
   const RequestId before = arriveNow(0, 9s);
