--- a/src/server/request_server.cpp
+++ b/src/server/request_server.cpp
@@ -187,7 +187,7 @@
   event.client = incoming.client;
   event.resourceKey = incoming.resourceKey;
   event.duplicateOf = request.duplicateOf;
-  event.rank = incoming.rank;
+  event.clientPriority = incoming.rank;
   event.queuedMemoryKb = incoming.queuedMemoryKb;
   event.estimatedWork = incoming.estimatedWork;
   event.timeRemaining = incoming.timeRemaining;
