--- a/src/store/batch_writer.cpp
+++ b/src/store/batch_writer.cpp
@@ -49,7 +49,7 @@
   return {};
 }
 
-/// Records what was seen as expired since the last commit.
+/// Appends an expiry sweep if any entry was found to be expired since the last commit.
 std::optional<ExpirySweep> BatchWriter::appendExpirySweep() {
   std::optional<UnixTime> expiredBy;
   {
@@ -57,7 +57,7 @@
     expiredBy = state_.unrecordedExpiry;
   }
   if (!expiredBy) return std::nullopt;
-  const ExpirySweep sweep{catalog_.takeSequence(), *expiredBy};
+  const ExpirySweep sweep{catalog_.allocateSequence(), *expiredBy};
   segment()->append({RecordKind::expirySweep, false, sweep.before, sweep.expiredBy, {}, {}});
   return sweep;
 }
@@ -76,18 +76,19 @@
   return updates;
 }
 
-/// Whether there is anything to erase: in the index, earlier in the batch, or left by a write that failed.
+/// Whether the key may have a value: in the index, from an earlier write of the batch, or from a failed
+/// write.
 bool BatchWriter::isErasureNeeded(std::string_view key, std::span<const WriteRequest> earlierWrites) const {
   const bool isInBatch = std::any_of(earlierWrites.begin(), earlierWrites.end(),
                                      [&](const WriteRequest& earlier) { return earlier.key == key; });
-  if (isInBatch || mayHoldFailedWrite_) return true;
+  if (isInBatch || mayContainFailedWrite_) return true;
   const std::lock_guard lock(state_.mutex);
   const IndexEntry* entry = state_.index.find(key);
   return entry && entry->state != EntryState::deleted;
 }
 
 BatchWriter::IndexUpdate BatchWriter::appendWrite(const WriteRequest& write, RecordKind kind) {
-  Record record{kind, false, catalog_.takeSequence(), neverExpires, write.key, {}};
+  Record record{kind, false, catalog_.allocateSequence(), neverExpires, write.key, {}};
   std::optional<std::string> compressed;
   if (kind == RecordKind::put) {
     record.expiry = write.expiry;
@@ -99,20 +100,20 @@
   return {write.key, kind, record.sequence, record.expiry, location};
 }
 
-/// Writes and syncs what was appended to the active segment. On an error none of it counts; where the
-/// segment can't be trusted any more it is sealed.
+/// Writes and syncs the records appended to the active segment. On an error, none of them takes effect; if
+/// the segment can no longer be trusted, this function seals it.
 DiskError BatchWriter::makeDurable() {
   SegmentWriter& active = *segment();
   if (const DiskError error = active.flush()) {
-    mayHoldFailedWrite_ = true;
+    mayContainFailedWrite_ = true;
     if (active.isBroken()) catalog_.seal(SegmentRole::commits, SegmentTrust::untrusted);
     return error;
   }
   if (const DiskError error = active.sync()) {
     if (log_)
-      log_(describeError(segmentFileName(active.number()), error) +
-           "; the segment is untrusted, its live records will be rewritten");
-    mayHoldFailedWrite_ = true;
+      log_("sync failed: " + describeError(segmentFileName(active.number()), error) +
+           "; the segment is untrusted and its live records will be rewritten");
+    mayContainFailedWrite_ = true;
     active.rollBack();
     catalog_.seal(SegmentRole::commits, SegmentTrust::untrusted);
     const std::lock_guard lock(state_.mutex);
@@ -132,7 +133,7 @@
   ++statistics.commits;
   for (const WriteRequest& write : writes) ++(write.isErase() ? statistics.erases : statistics.puts);
   statistics.writtenBytes += bytesOf(writes);
-  // A reader may have seen something expire later since the sweep was appended.
+  // A reader may have found an entry with a later expiry since the sweep was appended.
   if (sweep && state_.unrecordedExpiry == sweep->expiredBy) state_.unrecordedExpiry.reset();
 }
 
--- a/src/store/batch_writer.h
+++ b/src/store/batch_writer.h
@@ -1,5 +1,5 @@
 /// @file
-/// Group commit: several writes that become durable with one sync.
+/// Group commit: makes several writes durable with one sync.
 #pragma once
 
 #include <cstdint>
@@ -20,23 +20,23 @@
 
 namespace rainhook::store {
 
-/// Writes batches into the segment that is open for commits. Belongs to the writer's thread.
+/// Writes batches into the segment that is open for commits. Only the writer thread may call it.
 class BatchWriter {
  public:
-  /// All references must outlive this.
+  /// All referenced objects must outlive this object.
   BatchWriter(const StoreSettings& settings, const CompactionPolicy& policy, SegmentCatalog& catalog,
               StoreState& state, const LogCallback& log);
 
-  /// What the writes take in the folder at most.
+  /// An upper bound on the bytes that the writes occupy in the folder.
   static std::uint64_t bytesOf(std::span<const WriteRequest> writes);
-  /// How many writes from the first on go with one sync: as many valid ones as fit into one segment.
+  /// The number of leading writes that one sync covers: as many valid ones as fit into one segment.
   std::size_t batchSize(std::span<const WriteRequest> writes) const;
-  /// Makes the writes durable, then visible. On an error none of them counts; where the segment can't be
-  /// trusted any more it is sealed, so that the catalog has none for commits.
+  /// Makes the writes durable, then visible. On an error none of them takes effect. If the segment can no
+  /// longer be trusted, this function seals it, and the catalog then has no open segment for commits.
   DiskError write(std::span<const WriteRequest> writes, UnixTime now);
 
  private:
-  /// A write that the index takes over once it is durable.
+  /// A change that is applied to the index once the write is durable.
   struct IndexUpdate {
     std::string_view key;
     RecordKind kind{};
@@ -59,7 +59,7 @@
   SegmentCatalog& catalog_;
   StoreState& state_;
   const LogCallback& log_;
-  bool mayHoldFailedWrite_ = false;  // a write has failed, and a start may find it all the same
+  bool mayContainFailedWrite_ = false;  // a write failed, but recovery may still find it in the segment
 };
 
 }  // namespace rainhook::store
--- a/src/store/compaction_policy.cpp
+++ b/src/store/compaction_policy.cpp
@@ -7,58 +7,58 @@
 namespace rainhook::store {
 namespace {
 
-// Shares in percent of a segment's bytes that have to be dead before the rest is worth copying: half of it
-// while there is room, and with none left anything that gives back more than the copy's headers. In between,
-// write amplification stays near 1 / share.
-constexpr std::uint64_t deadShareWithRoom = 50;
-constexpr std::uint64_t deadShareUnderPressure = 25;
-constexpr std::uint64_t deadShareWithoutRoom = 5;
-
-// Used share of the usable bytes, in percent, from which the next lower threshold holds.
-constexpr std::uint64_t pressureFrom = 70;
-constexpr std::uint64_t withoutRoomFrom = 90;
-
-// The share of the usable bytes that may live, in percent; beyond it a compaction would copy nearly all for
-// nearly nothing.
-constexpr std::uint64_t maxLiveShare = 80;
-
-// Room for the manifest: two of them stand in the folder while one replaces the other.
+// The percentage of a segment's bytes that must be dead before the segment is compacted: half of them while
+// there is room, and in a nearly full folder just enough to free more than the headers of the copy. In
+// between, write amplification stays near 1 / share.
+constexpr std::uint64_t normalDeadPercent = 50;
+constexpr std::uint64_t lowSpaceDeadPercent = 25;
+constexpr std::uint64_t nearlyFullDeadPercent = 5;
+
+// The used percentage of the usable bytes from which each lower threshold applies.
+constexpr std::uint64_t lowSpaceUsedPercent = 70;
+constexpr std::uint64_t nearlyFullUsedPercent = 90;
+
+// The percentage of the usable bytes that live entries may occupy. With more live entries, a compaction would
+// copy nearly all bytes and free almost none.
+constexpr std::uint64_t maxLivePercent = 80;
+
+// The space reserved for the manifest: the folder contains two manifests while one replaces the other.
 constexpr std::uint64_t manifestBaseBytes = 4096;
 constexpr std::uint64_t manifestBytesPerSegment = 128;
 
-/// Why a segment is to be compacted; the greatest goes first.
+/// The reason to compact a segment; the highest value is compacted first.
 enum class Urgency { none, dead, damaged, empty, untrusted };
 
 std::uint64_t deadBytes(const SegmentInfo& segment) {
   return segment.bytes - std::min(segment.bytes, segment.liveBytes);
 }
 
-/// Compares the dead shares without a division.
+/// Compares the shares of dead bytes without a division.
 bool hasLargerDeadShare(const SegmentInfo& left, const SegmentInfo& right) {
   return deadBytes(left) * right.bytes > deadBytes(right) * left.bytes;
 }
 
-Urgency urgencyOf(const SegmentInfo& segment, std::uint64_t requiredDeadShare) {
+Urgency urgencyOf(const SegmentInfo& segment, std::uint64_t requiredDeadPercent) {
   if (!segment.isSealed) return Urgency::none;
   if (segment.isUntrusted) return Urgency::untrusted;
   if (segment.liveBytes == 0) return Urgency::empty;
   if (segment.isDamaged) return Urgency::damaged;
-  return deadBytes(segment) * 100 >= requiredDeadShare * segment.bytes ? Urgency::dead : Urgency::none;
+  return deadBytes(segment) * 100 >= requiredDeadPercent * segment.bytes ? Urgency::dead : Urgency::none;
 }
 
-std::uint64_t requiredDeadShare(std::uint64_t usedPercent) {
-  if (usedPercent >= withoutRoomFrom) return deadShareWithoutRoom;
-  return usedPercent >= pressureFrom ? deadShareUnderPressure : deadShareWithRoom;
+std::uint64_t requiredDeadPercent(std::uint64_t usedPercent) {
+  if (usedPercent >= nearlyFullUsedPercent) return nearlyFullDeadPercent;
+  return usedPercent >= lowSpaceUsedPercent ? lowSpaceDeadPercent : normalDeadPercent;
 }
 
 }  // namespace
 
-std::uint64_t CompactionPolicy::manifestRoom() const {
+std::uint64_t CompactionPolicy::manifestReserveBytes() const {
   return manifestBaseBytes + manifestBytesPerSegment * (settings_.maxDiskBytes / settings_.maxSegmentBytes);
 }
 
 std::uint64_t CompactionPolicy::reservedBytes() const {
-  return settings_.maxSegmentBytes + settings_.maxSegmentBytes / 4 + manifestRoom();
+  return settings_.maxSegmentBytes + settings_.maxSegmentBytes / 4 + manifestReserveBytes();
 }
 
 std::uint64_t CompactionPolicy::usableBytes() const { return settings_.maxDiskBytes - reservedBytes(); }
@@ -68,7 +68,7 @@
 }
 
 bool CompactionPolicy::canCopy(std::uint64_t folderBytes, std::uint64_t bytes) const {
-  return folderBytes + bytes + manifestRoom() / 2 <= settings_.maxDiskBytes;
+  return folderBytes + bytes + manifestReserveBytes() / 2 <= settings_.maxDiskBytes;
 }
 
 bool CompactionPolicy::isFull(std::uint64_t segmentBytes, std::uint64_t addedBytes) const {
@@ -87,13 +87,13 @@
 
 std::optional<SegmentNumber> CompactionPolicy::selectInput(const StoreOccupancy& occupancy) const {
   const std::uint64_t usedPercent = occupancy.folderBytes * 100 / std::max<std::uint64_t>(usableBytes(), 1);
-  const std::uint64_t deadShare = requiredDeadShare(usedPercent);
+  const std::uint64_t minDeadPercent = requiredDeadPercent(usedPercent);
   const SegmentInfo* best = nullptr;
   Urgency bestUrgency = Urgency::none;
   for (const SegmentInfo& segment : occupancy.segments) {
-    const Urgency urgency = urgencyOf(segment, deadShare);
+    const Urgency urgency = urgencyOf(segment, minDeadPercent);
     if (urgency == Urgency::none || urgency < bestUrgency) continue;
-    // The older one stays where they are equal.
+    // Among equal segments, the first one in the list (the older one) is kept.
     if (urgency > bestUrgency || hasLargerDeadShare(segment, *best)) {
       best = &segment;
       bestUrgency = urgency;
@@ -104,7 +104,7 @@
 }
 
 bool CompactionPolicy::hasReclaimableBytes(const SegmentInfo& segment) const {
-  // Two headers and the end of the hint stand in every segment.
+  // Every segment contains two file headers and the end entry of its hint file, which are never live.
   return segment.isSealed && deadBytes(segment) > 2 * fileHeaderBytes + recordBytes(0, hintLocationBytes);
 }
 
@@ -117,7 +117,7 @@
   }
   const std::uint64_t otherBytes = occupancy.folderBytes - std::min(occupancy.folderBytes, segmentBytes);
   const std::uint64_t usable = usableBytes() - std::min(usableBytes(), otherBytes);
-  const std::uint64_t maxLiveBytes = usable / 100 * maxLiveShare;
+  const std::uint64_t maxLiveBytes = usable / 100 * maxLivePercent;
   Excess out;
   if (liveBytes > maxLiveBytes) out.diskBytes = liveBytes - maxLiveBytes;
   if (occupancy.indexBytes > settings_.maxIndexBytes)
--- a/src/store/compaction_policy.h
+++ b/src/store/compaction_policy.h
@@ -1,6 +1,6 @@
 /// @file
-/// The decisions of the store: when a segment is full, what is compacted next, what ages out, how much a
-/// maintenance step may do. Pure: the store's occupancy in, a choice out; no clock, no I/O.
+/// Decides when a segment is full, which segment is compacted next, which entries age out, and how much work
+/// one maintenance step may do. Pure functions of the store's occupancy: no clock, no I/O.
 #pragma once
 
 #include <cstdint>
@@ -12,67 +12,68 @@
 
 namespace rainhook::store {
 
-/// What the policy knows of one segment.
+/// The properties of one segment that the policy uses.
 struct SegmentInfo {
-  SegmentNumber number{};       ///< Which segment.
-  std::uint64_t bytes = 0;      ///< With its hint file.
-  std::uint64_t liveBytes = 0;  ///< What a compaction would have to copy.
-  bool isSealed = false;        ///< Takes no more records.
-  bool isUntrusted = false;     ///< A sync of it failed: what it holds has to be written anew.
+  SegmentNumber number{};       ///< Identifies the segment.
+  std::uint64_t bytes = 0;      ///< Size including the hint file.
+  std::uint64_t liveBytes = 0;  ///< Bytes that a compaction would have to copy.
+  bool isSealed = false;        ///< The segment accepts no more records.
+  bool isUntrusted = false;     ///< A sync of the segment failed, so its live records must be rewritten.
   bool isDamaged = false;       ///< Some of its records can't be read.
 };
 
-/// What the policy decides from.
+/// The space that the store uses: the input of the policy.
 struct StoreOccupancy {
-  std::uint64_t folderBytes = 0;      ///< Of all files, whoever they belong to.
-  std::uint64_t indexBytes = 0;       ///< Memory of the index.
+  std::uint64_t folderBytes = 0;      ///< Size of all files in the folder, including foreign ones.
+  std::uint64_t indexBytes = 0;       ///< Memory that the index uses.
   std::vector<SegmentInfo> segments;  ///< All segments, in no particular order.
 };
 
-/// The rules, for one set of limits.
+/// Applies the rules for one set of limits.
 class CompactionPolicy {
  public:
-  /// Live bytes beyond what may live.
+  /// The bytes of live entries by which the limits are exceeded.
   struct Excess {
-    std::uint64_t diskBytes = 0;   ///< Over the limit on disk.
-    std::uint64_t indexBytes = 0;  ///< Over the limit on the index.
-    /// Whether anything has to age out.
-    bool isAny() const { return diskBytes + indexBytes > 0; }
+    std::uint64_t diskBytes = 0;   ///< Bytes over the limit on disk.
+    std::uint64_t indexBytes = 0;  ///< Bytes over the limit on the index.
+    /// Whether any entry has to age out.
+    bool isNonZero() const { return diskBytes + indexBytes > 0; }
   };
 
-  /// For these limits.
+  /// Takes the limits from the settings.
   explicit CompactionPolicy(const StoreSettings& settings) : settings_(settings) {}
 
-  /// Kept free of new writes, so that a compaction can always copy one whole segment and replace the
-  /// manifest.
+  /// Bytes that new writes may not use, so that a compaction can always copy one whole segment and replace
+  /// the manifest.
   std::uint64_t reservedBytes() const;
   /// Whether the folder has room for a new write.
   bool canWrite(std::uint64_t folderBytes, std::uint64_t bytes) const;
   /// Whether the folder has room for the output of a compaction, which may use the reserve.
   bool canCopy(std::uint64_t folderBytes, std::uint64_t bytes) const;
 
-  /// Whether a segment of this size has no room for so much more.
+  /// Whether a segment of `segmentBytes` has no room for `addedBytes` more.
   bool isFull(std::uint64_t segmentBytes, std::uint64_t addedBytes) const;
-  /// Time to prepare the next segment, before a commit would have to wait for that.
+  /// Whether the next segment should be prepared now, so that no commit has to wait for its creation.
   bool isNearlyFull(std::uint64_t segmentBytes) const;
 
-  /// The segment to compact next: one that is untrusted, then one that holds nothing live, then a damaged
-  /// one, then the one with the largest dead share where that is worth a copy. How much is worth it falls as
-  /// room gets scarce.
+  /// Returns the segment to compact next: an untrusted one, then one without live records, then a damaged
+  /// one, then the one with the largest share of dead bytes, if that share reaches a threshold. The threshold
+  /// falls as free space decreases.
   std::optional<SegmentNumber> selectInput(const StoreOccupancy& occupancy) const;
-  /// Whether anything would be gained by writing this segment anew, whatever the copy costs.
+  /// Whether rewriting this segment would free any space, regardless of the cost of the copy.
   bool hasReclaimableBytes(const SegmentInfo& segment) const;
 
-  /// How much of the live entries, the oldest first, has to age out.
+  /// Returns how many bytes of live entries have to age out, the oldest entries first.
   Excess excess(const StoreOccupancy& occupancy) const;
-  /// How much of the oldest ages out at once where a write finds no room and nothing is dead.
+  /// The minimum number of bytes of the oldest entries that age out at once when a write finds no room and
+  /// there are no dead bytes to reclaim.
   std::uint64_t minAgeOutBytes() const;
 
-  /// What one step of a compaction may read: less while writers wait.
+  /// The number of bytes that one compaction step may read; it is smaller while writers wait.
   std::uint64_t stepBytes(bool hasWaitingWriters) const;
 
  private:
-  std::uint64_t manifestRoom() const;
+  std::uint64_t manifestReserveBytes() const;
   std::uint64_t usableBytes() const;
 
   StoreSettings settings_;
--- a/src/store/compactor.cpp
+++ b/src/store/compactor.cpp
@@ -8,7 +8,7 @@
 namespace rainhook::store {
 namespace {
 
-constexpr std::size_t forgottenRecordsPerStep = 4096;
+constexpr std::size_t indexRemovalsPerStep = 4096;
 
 }  // namespace
 
@@ -32,14 +32,14 @@
     }
     if (!startJob(*input)) return false;
   }
-  // Each stage that syncs is a step of its own, so that a commit waits for one sync at most.
+  // Each stage that syncs is a separate step, so that a commit waits for at most one sync.
   switch (job_->stage) {
-    case Stage::copying:
+    case Stage::copyingRecords:
       return copyStep(budgetBytes);
-    case Stage::removing:
+    case Stage::removingFiles:
       return removeInput();
-    case Stage::forgetting:
-      return forgetStep();
+    case Stage::updatingIndex:
+      return updateIndexStep();
   }
   return false;
 }
@@ -74,7 +74,7 @@
     if (output->isBroken()) catalog_.seal(SegmentRole::compaction, SegmentTrust::untrusted);
   }
   hasFailed_ = true;
-  if (log_) log_("compaction paused: " + reason);
+  if (log_) log_("compaction failed, its input segment is kept: " + reason);
   endRequests({StoreErrorCode::ioError, reason});
   return false;
 }
@@ -88,7 +88,7 @@
       job_->scanner.reset();
       break;
     }
-    // Corruption was reported at the start, or nobody was promised what stood there.
+    // Recovery has already reported this corruption, or the range contained only unacknowledged writes.
     if (step.kind != RecordScanner::Step::Kind::record) continue;
     const Record& record = step.record;
     if (record.kind != RecordKind::put && record.kind != RecordKind::erase) continue;
@@ -103,7 +103,7 @@
     return true;
   }
   if (!copyLostRecords() || !flushOutput() || !syncOutput()) return false;
-  job_->stage = Stage::removing;
+  job_->stage = Stage::removingFiles;
   return true;
 }
 
@@ -114,14 +114,14 @@
     const IndexEntry* entry = state_.index.find(record.key);
     if (!entry || entry->sequence != record.sequence || entry->location != location) return true;
     isLive = entry->state == EntryState::live;
-    // Deleted, and no other record of it on disk: the deletion may be forgotten.
+    // The key is deleted and has no other record on disk, so its tombstone need not be copied.
     if (!isLive && entry->recordCount <= 1) return true;
   }
   if (isLive) return writeToOutput(record);
   return writeToOutput({RecordKind::erase, false, record.sequence, neverExpires, record.key, {}});
 }
 
-/// Copies as erasures what can't be read any more but still hides older records of its key.
+/// Writes erasures for lost records that still hide older records of their keys.
 bool Compactor::copyLostRecords() {
   for (const auto& [key, sequence] : catalog_.findSealed(job_->input)->lostRecords) {
     {
@@ -153,13 +153,14 @@
   SegmentWriter* output = catalog_.writer(SegmentRole::compaction);
   const std::uint64_t unwrittenBytes = output->projectedBytes() - output->bytes() - output->hintBytes();
   if (!policy_.canCopy(usage_.bytes(), unwrittenBytes + bytes))
-    return fail("no room under disk_bytes for its output");
+    return fail("the output does not fit under the disk_bytes limit");
   const RecordLocation location = output->append(record);
   job_->pendingCopies.push_back({{std::string(record.key), record.sequence}, location});
   return true;
 }
 
-/// Writes what was appended to the output; the copies serve from then on, since their originals still stand.
+/// Writes the records appended to the output. Reads use the copies from then on; until a sync has made them
+/// durable, the original records still exist.
 bool Compactor::flushOutput() {
   SegmentWriter* output = catalog_.writer(SegmentRole::compaction);
   if (!output) return true;
@@ -185,8 +186,8 @@
   const std::string name = segmentFileName(output->number());
   const DiskError error = output->sync();
   if (!error) return true;
-  // The input has to stay until all of the output has been written anew; the policy takes an untrusted
-  // segment first.
+  // The input must be kept until all of the output has been rewritten. The policy selects untrusted segments
+  // first.
   catalog_.seal(SegmentRole::compaction, SegmentTrust::untrusted);
   {
     const std::lock_guard lock(state_.mutex);
@@ -197,7 +198,8 @@
 
 bool Compactor::removeInput() {
   const SegmentNumber input = job_->input;
-  // Some of it may have been copied into a segment whose sync failed; the policy takes that one first.
+  // Some records of the input may have been copied into a segment whose sync failed. The policy selects that
+  // segment first.
   if (!catalog_.findSealed(input)->isUntrusted && catalog_.hasUntrustedSegment()) {
     job_.reset();
     return true;
@@ -205,23 +207,23 @@
   if (const DiskError error = catalog_.removeSealed(input))
     return fail(describeError(manifestFileName, error));
   files_.evict(input);
-  job_->stage = Stage::forgetting;
+  job_->stage = Stage::updatingIndex;
   const std::lock_guard lock(state_.mutex);
   ++state_.statistics.compactions;
   return true;
 }
 
-bool Compactor::forgetStep() {
+bool Compactor::updateIndexStep() {
   {
     const std::lock_guard lock(state_.mutex);
     const std::size_t end =
-        std::min(job_->inputRecords.size(), job_->forgottenRecords + forgottenRecordsPerStep);
-    for (; job_->forgottenRecords < end; ++job_->forgottenRecords) {
-      const RecordId& record = job_->inputRecords[job_->forgottenRecords];
+        std::min(job_->inputRecords.size(), job_->unindexedRecords + indexRemovalsPerStep);
+    for (; job_->unindexedRecords < end; ++job_->unindexedRecords) {
+      const RecordId& record = job_->inputRecords[job_->unindexedRecords];
       state_.index.removeRecord(record.key, record.sequence);
     }
   }
-  if (job_->forgottenRecords == job_->inputRecords.size()) job_.reset();
+  if (job_->unindexedRecords == job_->inputRecords.size()) job_.reset();
   return true;
 }
 
@@ -241,15 +243,15 @@
 }
 
 void Compactor::suspend() {
-  // The index still has to forget the records of a segment that is gone.
-  while (job_ && job_->stage == Stage::forgetting) forgetStep();
+  // The records of a segment that was already removed must still be removed from the index.
+  while (job_ && job_->stage == Stage::updatingIndex) updateIndexStep();
   abandon();
   sealOutput();
 }
 
 void Compactor::sealOutput() {
   if (flushOutput()) syncOutput();
-  // Also after a failed write: what was committed before it counts.
+  // Seals the output even after a failed write: the records committed before it remain valid.
   if (catalog_.writer(SegmentRole::compaction)) catalog_.seal(SegmentRole::compaction, SegmentTrust::trusted);
 }
 
--- a/src/store/compactor.h
+++ b/src/store/compactor.h
@@ -1,5 +1,5 @@
 /// @file
-/// Compaction: copies what is live in a segment into another one and removes it, a step at a time.
+/// Compaction: copies the live records of a segment into another one and removes the segment, in small steps.
 #pragma once
 
 #include <cstdint>
@@ -19,49 +19,50 @@
 
 namespace rainhook::store {
 
-/// One segment on its way out of the store.
+/// The compaction of one segment.
 struct CompactionJob {
-  /// What is done with the input next.
-  enum class Stage { copying, removing, forgetting };
-  /// A copy that was appended to the output and not written yet.
+  /// The work that remains for the input segment.
+  enum class Stage { copyingRecords, removingFiles, updatingIndex };
+  /// A copy that was appended to the output but not written yet.
   struct PendingCopy {
     RecordId record;          ///< The record that was copied.
-    RecordLocation location;  ///< Where the copy will stand.
+    RecordLocation location;  ///< The location that the copy will have.
   };
 
-  SegmentNumber input{};                   ///< The segment on its way out.
-  std::optional<RecordScanner> scanner;    ///< None where the file is gone and only its hint file is left.
-  Stage stage = Stage::copying;            ///< Where the job stands.
-  std::vector<RecordId> inputRecords;      ///< All of the segment.
-  std::vector<PendingCopy> pendingCopies;  ///< Of the present output segment.
-  std::size_t forgottenRecords = 0;        ///< How many of `inputRecords` have left the index.
+  SegmentNumber input{};                   ///< The segment that is being compacted.
+  std::optional<RecordScanner> scanner;    ///< Absent if the segment file is missing.
+  Stage stage = Stage::copyingRecords;     ///< The current stage.
+  std::vector<RecordId> inputRecords;      ///< All records of the input segment.
+  std::vector<PendingCopy> pendingCopies;  ///< Copies in the current output segment.
+  std::size_t unindexedRecords = 0;        ///< The number of `inputRecords` already removed from the index.
 };
 
-/// Belongs to the writer's thread. One segment at a time goes through three stages: its live records are
-/// copied, it leaves the manifest and the folder, the index forgets its records. Abandoning it before the
-/// second loses nothing, since it still stands.
+/// Only the writer thread may call it. One segment at a time goes through three stages: the compactor copies
+/// its live records, removes it from the manifest and the folder, and removes its records from the index.
+/// Abandoning a compaction before the second stage loses nothing, since the input segment still exists.
 class Compactor {
  public:
-  /// All references must outlive this.
+  /// All referenced objects must outlive this object.
   Compactor(Disk& disk, const CompactionPolicy& policy, SegmentCatalog& catalog, StoreState& state,
             FolderUsage& usage, SegmentFileCache& files, LogCallback log);
 
-  /// Does one step, which reads `budgetBytes` at most. False where nothing is to be done or it failed.
+  /// Does one step, which reads at most `budgetBytes`. Returns false if there was nothing to do or the step
+  /// failed.
   bool step(std::uint64_t budgetBytes);
-  /// Whether the last step failed: for lack of room or an error of the disk.
+  /// Whether the last step failed for lack of room or because of a disk error.
   bool hasFailed() const { return hasFailed_; }
 
-  /// Has every segment written anew that holds anything dead. `onEnded` is called once none is left, or with
-  /// what stood in the way.
+  /// Requests that every segment with dead bytes be rewritten. Calls `onEnded` once none is left, or with the
+  /// error that stopped the compaction.
   void requestAll(StatusCallback onEnded);
-  /// Drops what was requested and calls back.
+  /// Discards the pending requests and calls their callbacks with this status.
   void endRequests(const StoreStatus& status);
 
-  /// Brings a segment that has left the folder to its end, abandons any other.
+  /// Completes the compaction of a segment whose files are already removed; abandons any other compaction.
   void suspend();
-  /// Abandons the segment in work.
+  /// Abandons the current compaction.
   void abandon() { job_.reset(); }
-  /// Syncs the output and seals it, also where the sync fails.
+  /// Syncs the output and seals it, even if the sync fails.
   void sealOutput();
 
  private:
@@ -69,7 +70,7 @@
 
   std::optional<SegmentNumber> nextInput();
   bool startJob(SegmentNumber input);
-  /// Ends the job with a failure; always false. The input and all that was copied stay.
+  /// Ends the job with a failure and returns false. Keeps the input and the committed copies.
   bool fail(const std::string& reason);
 
   bool copyStep(std::uint64_t budgetBytes);
@@ -81,7 +82,7 @@
   bool syncOutput();
   void publishCopies();
   bool removeInput();
-  bool forgetStep();
+  bool updateIndexStep();
 
   Disk& disk_;
   const CompactionPolicy& policy_;
@@ -92,7 +93,7 @@
   LogCallback log_;
   std::optional<CompactionJob> job_;
   bool hasFailed_ = false;
-  std::vector<SegmentNumber> requested_;  // each leaves when its turn comes
+  std::vector<SegmentNumber> requested_;  // a segment is removed when its compaction starts
   std::vector<StatusCallback> onRequestsEnded_;
 };
 
--- a/src/store/compression.cpp
+++ b/src/store/compression.cpp
@@ -5,7 +5,7 @@
 namespace rainhook::store {
 namespace {
 
-constexpr int compressionLevel = 1;  // the fastest; the writer must not fall behind
+constexpr int compressionLevel = 1;  // the fastest level, so that the writer thread keeps up
 
 }  // namespace
 
--- a/src/store/compression.h
+++ b/src/store/compression.h
@@ -1,5 +1,5 @@
 /// @file
-/// Values as zstd frames. Pure functions.
+/// Compresses values into zstd frames and decompresses them. Pure functions.
 #pragma once
 
 #include <cstddef>
@@ -9,9 +9,9 @@
 
 namespace rainhook::store {
 
-/// Nothing where compression would not make it shorter.
+/// Returns nullopt if compression does not make the value shorter.
 std::optional<std::string> compress(std::string_view plain);
-/// Nothing where this is no zstd frame, or holds more than `maxBytes`.
+/// Returns nullopt if the input is not a valid zstd frame or its content exceeds `maxBytes`.
 std::optional<std::string> decompress(std::string_view compressed, std::size_t maxBytes);
 
 }  // namespace rainhook::store
--- a/src/store/disk.h
+++ b/src/store/disk.h
@@ -1,6 +1,7 @@
 /// @file
-/// The folder that a store lives in: one flat directory of files. PosixDisk in service; the tests have one
-/// that simulates crashes and failures. Nothing here throws: every operation returns its error.
+/// The interface to the folder of a store: one flat directory of files. PosixDisk implements it in
+/// production; the tests use an implementation that simulates crashes and failures. No operation throws; each
+/// one returns its error.
 #pragma once
 
 #include <cstddef>
@@ -14,80 +15,80 @@
 
 namespace rainhook::store {
 
-/// An error of the operating system in the generic category; compares with std::errc.
+/// An operating system error in the generic category; it can be compared with std::errc.
 using DiskError = std::error_code;
 
-/// The error of an errno value; 0 is success.
+/// Converts an errno value to an error; 0 means success.
 inline DiskError diskError(int errorNumber) { return {errorNumber, std::generic_category()}; }
 
-/// How a read or a write ended.
+/// The result of a read or a write.
 struct IoResult {
-  std::size_t bytes = 0;  ///< May be fewer than asked for; 0 without an error is the end of the file.
-  DiskError error;        ///< Why nothing more was moved.
+  std::size_t bytes = 0;  ///< May be fewer than requested; 0 without an error means end of file.
+  DiskError error;        ///< Why no more bytes were transferred.
 };
 
-/// An open file; closed with its destruction.
+/// An open file. The destructor closes it.
 class File {
  public:
   virtual ~File() = default;
-  /// Reads from the offset; may read less than asked for.
+  /// Reads from the offset; may read fewer bytes than requested.
   virtual IoResult read(std::uint64_t offset, std::span<char> into) = 0;
-  /// Writes at the offset; may write less than given.
+  /// Writes at the offset; may write fewer bytes than given.
   virtual IoResult write(std::uint64_t offset, std::string_view bytes) = 0;
-  /// What was written before is durable once this succeeds.
+  /// Makes all preceding writes durable if it succeeds.
   virtual DiskError sync() = 0;
-  /// A hint to begin writing back what was written, so that a later sync finds less to do.
+  /// Asks the system to start writing back dirty pages, so that a later sync has less to do.
   virtual void startWriteback() = 0;
-  /// Shortens the file to this size.
+  /// Truncates the file to this size.
   virtual DiskError truncate(std::uint64_t size) = 0;
-  /// The present size, 0 where it can't be told.
+  /// The current size, or 0 if it can't be determined.
   virtual std::uint64_t size() = 0;
 };
 
 /// The operations on the folder.
 class Disk {
  public:
-  /// A name in the folder.
+  /// An entry of the folder.
   struct DirectoryEntry {
-    std::string name;          ///< Without a path.
-    std::uint64_t bytes = 0;   ///< The file's size.
-    bool isDirectory = false;  ///< Or anything else that is no regular file.
+    std::string name;          ///< File name without a path.
+    std::uint64_t bytes = 0;   ///< File size.
+    bool isDirectory = false;  ///< Also true for anything else that is not a regular file.
   };
-  /// How an opening ended.
+  /// The result of opening or creating a file.
   struct OpenResult {
-    std::shared_ptr<File> file;  ///< Null with an error.
-    DiskError error;             ///< Why there is no file.
+    std::shared_ptr<File> file;  ///< Null on an error.
+    DiskError error;             ///< Why the file could not be opened.
   };
-  /// How a locking ended.
+  /// The result of locking the folder.
   struct LockResult {
-    DiskError error;     ///< operation_would_block where another process holds the lock.
-    std::string holder;  ///< The process id that holds the lock, where that is known.
+    DiskError error;     ///< operation_would_block if another process holds the lock.
+    std::string holder;  ///< The id of the process that holds the lock, if known.
   };
 
   virtual ~Disk() = default;
-  /// Appends all names in the folder.
+  /// Appends all entries of the folder to `into`.
   virtual DiskError list(std::vector<DirectoryEntry>& into) = 0;
   /// Opens an existing file for reading.
   virtual OpenResult open(const std::string& name) = 0;
-  /// Opens a file for reading and writing; truncates one that exists.
+  /// Opens a file for reading and writing; truncates an existing file.
   virtual OpenResult create(const std::string& name) = 0;
-  /// A hint that the whole file will be read soon.
+  /// Tells the system that the whole file will be read soon.
   virtual void prefetch(const std::string& name) = 0;
-  /// Replaces `to` where it exists.
+  /// Renames a file; replaces `to` if it exists.
   virtual DiskError rename(const std::string& from, const std::string& to) = 0;
-  /// Removes a file; whoever has it open can read on.
+  /// Removes a file; File objects that are already open can still be read.
   virtual DiskError remove(const std::string& name) = 0;
-  /// Names created, changed and removed before are durable once this succeeds.
+  /// Makes all preceding creations, renames and removals durable if it succeeds.
   virtual DiskError syncDirectory() = 0;
-  /// Locks the folder until `unlock`, the end of this object or of its process.
+  /// Locks the folder until `unlock`, the destruction of this object or the end of its process.
   virtual LockResult lock(const std::string& name) = 0;
-  /// Releases the lock, if it is held.
+  /// Releases the lock if it is held.
   virtual void unlock() = 0;
 };
 
-/// Continues after short writes; a write that moves nothing is an I/O error.
+/// Writes all bytes and continues after short writes; a write of 0 bytes is an I/O error.
 DiskError writeAll(File& file, std::uint64_t offset, std::string_view bytes);
-/// Reads until `into` is full or the file ends; `bytes` tells how many were read, also with an error.
+/// Reads until `into` is full or the file ends. `bytes` is the number of bytes read, even on an error.
 IoResult readAll(File& file, std::uint64_t offset, std::span<char> into);
 
 }  // namespace rainhook::store
--- a/src/store/expiry_sweeps.h
+++ b/src/store/expiry_sweeps.h
@@ -1,5 +1,5 @@
 /// @file
-/// The expiry sweeps that a store remembers. Pure.
+/// The expiry sweeps that a store remembers. No I/O, no clock.
 #pragma once
 
 #include <utility>
@@ -10,25 +10,25 @@
 
 namespace rainhook::store {
 
-/// A sweep is dropped once a later one covers it. Several remain only where the clock stepped back between
-/// them; of more than `maxSweeps` such steps the oldest is forgotten.
+/// A sweep is dropped once a later one covers it. Several remain only if the clock stepped back between them;
+/// if there are more than `maxSweeps`, the oldest one is dropped.
 class ExpirySweeps {
  public:
-  static constexpr std::size_t maxSweeps = 64;  ///< How many are remembered.
+  static constexpr std::size_t maxSweeps = 64;  ///< The number of sweeps that are remembered.
 
   ExpirySweeps() = default;
-  /// As a manifest lists them.
+  /// Takes the sweeps in the order in which a manifest lists them.
   explicit ExpirySweeps(std::vector<ExpirySweep> sweeps) : sweeps_(std::move(sweeps)) {}
 
-  /// Adds one that is later than all others.
+  /// Adds a sweep that is later than all others.
   void add(ExpirySweep sweep);
-  /// Whether the entry was seen as expired by one of them.
+  /// Whether one of the sweeps marks the entry as expired.
   bool cover(const IndexEntry& entry) const;
-  /// In the order of writing.
+  /// All sweeps in the order of writing.
   const std::vector<ExpirySweep>& all() const { return sweeps_; }
 
  private:
-  std::vector<ExpirySweep> sweeps_;  // in the order of writing, with falling times
+  std::vector<ExpirySweep> sweeps_;  // in the order of writing, with decreasing `expiredBy`
 };
 
 }  // namespace rainhook::store
--- a/src/store/file_names.h
+++ b/src/store/file_names.h
@@ -11,29 +11,31 @@
 
 namespace rainhook::store {
 
-/// The manifest.
+/// The name of the manifest.
 inline constexpr const char* manifestFileName = "MANIFEST";
-/// A manifest that has not replaced its predecessor yet.
+/// The name of a new manifest until it replaces the old one.
 inline constexpr const char* manifestTemporaryFileName = "MANIFEST.tmp";
-inline constexpr const char* incompleteMarkerFileName = "INCOMPLETE";  ///< In a snapshot until it is whole.
-/// Holds the pid of the process that has the folder open.
+/// Marks a snapshot folder until the snapshot is complete.
+inline constexpr const char* incompleteMarkerFileName = "INCOMPLETE";
+/// The lock file; it contains the pid of the process that has the folder open.
 inline constexpr const char* lockFileName = "LOCK";
-inline constexpr const char* quarantinePrefix = "aside-";  ///< Of files that do not belong to the store.
+/// The prefix of the names of quarantined files, which do not belong to the store.
+inline constexpr const char* quarantinePrefix = "aside-";
 
-/// The file of a segment's records.
+/// The name of the file with a segment's records.
 std::string segmentFileName(SegmentNumber number);
-/// The hint file beside it.
+/// The name of a segment's hint file.
 std::string hintFileName(SegmentNumber number);
-/// A hint file that has not replaced its predecessor yet.
+/// The name of a new hint file until it replaces the old one.
 std::string hintTemporaryFileName(SegmentNumber number);
 
-/// What the name of a segment's file tells.
+/// The parts of the name of a segment file or a hint file.
 struct ParsedFileName {
   FileKind kind{};           ///< Segment or hint.
-  SegmentNumber number{};    ///< Which segment.
-  bool isTemporary = false;  ///< It has not replaced its predecessor yet.
+  SegmentNumber number{};    ///< The segment that the file belongs to.
+  bool isTemporary = false;  ///< The file has not replaced its predecessor yet.
 };
-/// Nothing where this is no name of a segment or a hint file.
+/// Returns nullopt if the name is not that of a segment file or a hint file.
 std::optional<ParsedFileName> parseFileName(std::string_view name);
 
 }  // namespace rainhook::store
--- a/src/store/folder_inventory.cpp
+++ b/src/store/folder_inventory.cpp
@@ -24,23 +24,24 @@
 FolderInventory::FolderInventory(Disk& disk, FolderUsage& usage, const LogCallback& log)
     : disk_(disk), usage_(usage), log_(log) {}
 
-StoreStatus FolderInventory::take(StoreId newStoreId) {
+StoreStatus FolderInventory::scan(StoreId newStoreId) {
   if (auto status = listFolder(); !status.isOk()) return status;
   readManifest();
   storeId_ = manifest_ ? manifest_->storeId : mostFrequentStoreId(newStoreId);
-  removeStrangersAndLeftovers();
+  excludeForeignAndObsoleteSegments();
   return {};
 }
 
 StoreStatus FolderInventory::listFolder() {
   std::vector<Disk::DirectoryEntry> files;
   if (const DiskError error = disk_.list(files))
-    return {StoreErrorCode::ioError, "the folder: " + error.message()};
+    return {StoreErrorCode::ioError, "the store's folder can't be listed: " + error.message()};
   const bool isInterruptedSnapshot = std::any_of(
       files.begin(), files.end(), [](const auto& file) { return file.name == incompleteMarkerFileName; });
   if (isInterruptedSnapshot)
-    return {StoreErrorCode::invalidArgument,
-            "the folder holds a snapshot that was cut short; remove it and make another"};
+    return {
+        StoreErrorCode::invalidArgument,
+        "the folder contains an interrupted snapshot (file INCOMPLETE); delete it and create a new snapshot"};
   for (const auto& file : files) {
     names_.insert(file.name);
     if (!file.isDirectory) addFile(file);
@@ -51,7 +52,7 @@
 void FolderInventory::addFile(const Disk::DirectoryEntry& file) {
   const auto parsed = parseFileName(file.name);
   const bool isTemporary = file.name == manifestTemporaryFileName || (parsed && parsed->isTemporary);
-  // It never replaced what it was to replace.
+  // A temporary file is left over from an interrupted replacement, so its contents are not needed.
   if (isTemporary && !disk_.remove(file.name)) return;
   usage_.add(file.bytes);
   if (isTemporary) return;
@@ -74,12 +75,12 @@
   for (int i = 2; names_.contains(newName); ++i)
     newName = fmt::format("{}{}-{}.{}", quarantinePrefix, reason, name, i);
   if (const DiskError error = disk_.rename(name, newName)) {
-    if (log_) log_(fmt::format("{} ({}) could not be quarantined: {}", name, reason, error.message()));
+    if (log_) log_(fmt::format("could not quarantine file {} ({}): {}", name, reason, error.message()));
     return;
   }
   names_.insert(newName);
   ++quarantinedFiles_;
-  if (log_) log_(fmt::format("{} ({}) quarantined as {}", name, reason, newName));
+  if (log_) log_(fmt::format("quarantined file {} ({}) as {}", name, reason, newName));
 }
 
 void FolderInventory::readManifest() {
@@ -97,10 +98,10 @@
   }
   quarantine(manifestFileName, read.error == HeaderError::newerVersion ? "newer" : "damaged");
   manifestBytes_ = 0;
-  if (log_) log_("manifest unreadable: using every segment in the folder");
+  if (log_) log_("the manifest can't be read; using every segment in the folder");
 }
 
-/// The id that most files carry, the lower one where two are equal.
+/// Returns the store id that most files have; among equally frequent ids, the lowest one.
 StoreId FolderInventory::mostFrequentStoreId(StoreId newStoreId) {
   std::map<StoreId, int> counts;
   for (const auto& [number, files] : segments_)
@@ -120,7 +121,7 @@
   return found == all.end() ? nullptr : &*found;
 }
 
-void FolderInventory::removeStrangersAndLeftovers() {
+void FolderInventory::excludeForeignAndObsoleteSegments() {
   for (auto segment = segments_.begin(); segment != segments_.end();) {
     if (keepSegment(segment->first, segment->second))
       ++segment;
@@ -129,7 +130,7 @@
   }
 }
 
-/// Whether a segment belongs to this store now; otherwise its files are quarantined or removed.
+/// Returns whether a segment currently belongs to this store; otherwise quarantines or removes its files.
 bool FolderInventory::keepSegment(SegmentNumber number, const SegmentFiles& files) {
   const auto header = readHeader(disk_, files.hasSegment ? segmentFileName(number) : hintFileName(number));
   const bool isHeaderIntact = header.error == HeaderError::none || header.error == HeaderError::newerVersion;
@@ -143,9 +144,10 @@
     if (files.hasHint) quarantine(hintFileName(number), quarantineReason);
     return false;
   }
-  // A compaction took it out of the manifest, and a crash came before its files were removed.
-  const bool isLeftover = manifest_ && number < manifest_->nextSegment && !listed(number);
-  if (!isLeftover) return true;
+  // A compaction removed an obsolete segment from the manifest, but a crash prevented the removal of its
+  // files.
+  const bool isObsolete = manifest_ && number < manifest_->nextSegment && !listed(number);
+  if (!isObsolete) return true;
   if (files.hasSegment && !disk_.remove(segmentFileName(number))) usage_.subtract(files.segmentBytes);
   if (files.hasHint && !disk_.remove(hintFileName(number))) usage_.subtract(files.hintBytes);
   return false;
--- a/src/store/folder_inventory.h
+++ b/src/store/folder_inventory.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a start finds in a store's folder: which files belong to the store, and which do not.
+/// Determines which files in a store's folder belong to the store when the store is opened.
 #pragma once
 
 #include <cstdint>
@@ -16,36 +16,36 @@
 
 namespace rainhook::store {
 
-/// Files that are foreign, unknown, corrupt or of a newer version are renamed out of the way, never deleted.
-/// Leftovers of an interrupted replacement or compaction are removed.
+/// Quarantines files that are foreign, unknown, corrupt or of a newer version by renaming them; it never
+/// deletes them. Removes files left over from an interrupted replacement or compaction.
 class FolderInventory {
  public:
   /// The files of one segment.
   struct SegmentFiles {
-    bool hasSegment = false;         ///< There is a file of records.
-    bool hasHint = false;            ///< There is a hint file.
-    std::uint64_t segmentBytes = 0;  ///< Size of the file of records.
+    bool hasSegment = false;         ///< The segment file exists.
+    bool hasHint = false;            ///< The hint file exists.
+    std::uint64_t segmentBytes = 0;  ///< Size of the segment file.
     std::uint64_t hintBytes = 0;     ///< Size of the hint file.
   };
 
-  /// All references must outlive this.
+  /// All referenced objects must outlive this object.
   FolderInventory(Disk& disk, FolderUsage& usage, const LogCallback& log);
 
-  /// Call once. `newStoreId` is the id of a store that is only now created. Errors: the folder can't be
-  /// listed, or holds an interrupted snapshot.
-  StoreStatus take(StoreId newStoreId);
+  /// Scans the folder; call it once. `newStoreId` becomes the store's id if the folder contains no store yet.
+  /// Errors: the folder can't be listed, or it contains an interrupted snapshot.
+  StoreStatus scan(StoreId newStoreId);
 
-  /// The id of the store in the folder, or the new one.
+  /// The id of the store in the folder, or the id given to `scan`.
   StoreId storeId() const { return storeId_; }
   /// The segments that belong to the store.
   const std::map<SegmentNumber, SegmentFiles>& segments() const { return segments_; }
-  /// Absent in a new store, or where it can't be read.
+  /// The manifest; absent in a new store or if it can't be read.
   const std::optional<Manifest>& manifest() const { return manifest_; }
-  /// Size of the manifest's file.
+  /// Size of the manifest file.
   std::uint64_t manifestBytes() const { return manifestBytes_; }
-  /// Files that stand aside now, also those of earlier starts.
+  /// The number of quarantined files in the folder, including those quarantined when it was opened earlier.
   std::uint64_t quarantinedFiles() const { return quarantinedFiles_; }
-  /// What the manifest says of a segment; null where it does not list it.
+  /// The manifest's entry for a segment; null if the manifest does not list the segment.
   const Manifest::Segment* listed(SegmentNumber number) const;
 
  private:
@@ -54,7 +54,7 @@
   void quarantine(const std::string& name, const char* reason);
   void readManifest();
   StoreId mostFrequentStoreId(StoreId newStoreId);
-  void removeStrangersAndLeftovers();
+  void excludeForeignAndObsoleteSegments();
   bool keepSegment(SegmentNumber number, const SegmentFiles& files);
 
   Disk& disk_;
--- a/src/store/folder_usage.h
+++ b/src/store/folder_usage.h
@@ -1,5 +1,5 @@
 /// @file
-/// How many bytes all files in a store's folder take, kept up to date by whoever changes one.
+/// Counts the bytes of all files in a store's folder. Each component that changes a file updates the count.
 #pragma once
 
 #include <algorithm>
@@ -8,26 +8,26 @@
 
 namespace rainhook::store {
 
-/// Any thread may call.
+/// Thread-safe.
 class FolderUsage {
  public:
-  /// A file has grown by this.
+  /// Records that a file has grown by `bytes`.
   void add(std::uint64_t bytes) {
     const std::lock_guard lock(mutex_);
     bytes_ += bytes;
     peakBytes_ = std::max(peakBytes_, bytes_);
   }
-  /// A file has shrunk by this, or one of this size is gone.
+  /// Records that a file has shrunk by `bytes`, or that a file of this size was removed.
   void subtract(std::uint64_t bytes) {
     const std::lock_guard lock(mutex_);
     bytes_ -= std::min(bytes_, bytes);
   }
-  /// At present.
+  /// The current number of bytes.
   std::uint64_t bytes() const {
     const std::lock_guard lock(mutex_);
     return bytes_;
   }
-  /// The most since this was created.
+  /// The highest number of bytes since this object was created.
   std::uint64_t peakBytes() const {
     const std::lock_guard lock(mutex_);
     return peakBytes_;
--- a/src/store/hint_file.h
+++ b/src/store/hint_file.h
@@ -1,6 +1,6 @@
 /// @file
-/// Hint files: an entry for each record of a segment, so that a start need not read the segment and knows
-/// what stood where a record can't be read.
+/// Hint files: one entry for each record of a segment. Recovery uses them to avoid reading the segment, and
+/// to identify records of the segment that can't be read.
 #pragma once
 
 #include <cstdint>
@@ -15,29 +15,29 @@
 
 namespace rainhook::store {
 
-/// What a hint file tells of one record.
+/// A hint file's description of one record.
 struct HintEntry {
-  RecordKind kind{};               ///< Of the record, or `lost`.
-  std::string key;                 ///< Of the record.
-  SequenceNumber sequence{};       ///< Of the record.
-  UnixTime expiry = neverExpires;  ///< Of the record.
-  HintLocation location;           ///< Where in the segment it stands.
+  RecordKind kind{};               ///< The record's kind, or `lost`.
+  std::string key;                 ///< The record's key.
+  SequenceNumber sequence{};       ///< The record's sequence number.
+  UnixTime expiry = neverExpires;  ///< The record's expiry.
+  HintLocation location;           ///< The record's location in the segment.
 };
 
 /// The contents of a hint file.
 struct HintFile {
   std::vector<HintEntry> entries;  ///< In the order of the file.
-  /// What the end of the file says of the segment: its length and the number of entries. Absent where the end
-  /// is missing or any entry is corrupt.
+  /// The end entry: the segment's length as `offset` and the number of entries as `bytes`. Absent if the end
+  /// entry is missing or any entry is corrupt.
   std::optional<HintLocation> end;
 
-  /// Whether the entries can stand for a segment of this length, which then need not be read.
+  /// Whether the entries describe a segment of this length completely, so that it need not be read.
   bool describes(std::uint64_t segmentBytes) const;
 };
 
-/// Reads what is intact of a hint file.
+/// Reads the intact entries of a hint file.
 HintFile readHintFile(std::shared_ptr<File> file, StoreId storeId, SegmentNumber number);
-/// The bytes of a whole hint file for a segment of this length.
+/// Encodes a complete hint file for a segment of this length.
 std::string encodeHintFile(StoreId storeId, SegmentNumber number, const std::vector<HintEntry>& entries,
                            std::uint64_t segmentBytes);
 
--- a/src/store/ids.h
+++ b/src/store/ids.h
@@ -1,5 +1,5 @@
 /// @file
-/// The identifiers and times of the store, each a type of its own.
+/// The identifiers and times of the store, each with its own type.
 #pragma once
 
 #include <chrono>
@@ -7,24 +7,24 @@
 
 namespace rainhook::store {
 
-/// Milliseconds since 1970: what is stored outlives the process, so no monotonic clock will do.
+/// Milliseconds since 1970. Stored times outlive the process, so a monotonic clock can't be used.
 using UnixTime = std::chrono::sys_time<std::chrono::milliseconds>;
 /// The expiry of an entry that never expires.
 inline constexpr UnixTime neverExpires = UnixTime::max();
 
-/// Chosen at random when a store is created; its snapshots carry the same one.
+/// The id of a store, chosen at random when the store is created. Its snapshots have the same id.
 enum class StoreId : std::uint64_t {};
-/// Numbers the segments of one store; never used twice.
+/// The number of a segment within its store. A number is never reused.
 enum class SegmentNumber : std::uint64_t {};
-/// Orders all writes of one store; of two records of a key the higher one is current.
+/// Orders all writes of one store. Of two records of a key, the one with the higher number is current.
 enum class SequenceNumber : std::uint64_t {};
 
-/// The number of an identifier, as it is stored.
+/// The underlying number of an identifier, as it is stored.
 template <typename Id>
 constexpr std::uint64_t rawValue(Id id) {
   return static_cast<std::uint64_t>(id);
 }
-/// The identifier that follows.
+/// The next identifier.
 template <typename Id>
 constexpr Id successor(Id id) {
   return Id{rawValue(id) + 1};
--- a/src/store/key_index.cpp
+++ b/src/store/key_index.cpp
@@ -7,8 +7,8 @@
 namespace rainhook::store {
 namespace {
 
-// A container node with its links and the allocator's overhead, as measured. A key that does not fit into the
-// string object is an allocation of its own.
+// The size of a container node with its links and the allocator's overhead. A key that does not fit into the
+// string object needs a separate allocation.
 constexpr std::uint64_t nodeBytes = 192;
 constexpr std::size_t inlineKeyBytes = 15;
 constexpr std::uint64_t allocationOverhead = 24;
@@ -18,7 +18,7 @@
   return nodeBytes + entry.key.size() + allocationOverhead;
 }
 
-/// What a compaction has to copy for this entry.
+/// The bytes that a compaction has to copy for this entry.
 std::uint64_t diskBytesOf(const IndexEntry& entry) {
   if (entry.state == EntryState::live) return entry.location.bytes + hintEntryBytes(entry.key.size());
   if (entry.state == EntryState::deleted && entry.recordCount > 1)
@@ -26,7 +26,7 @@
   return 0;
 }
 
-/// Whether a record that is added becomes the current one of its key.
+/// Whether an added record becomes the current record of its key.
 bool supersedes(SequenceNumber sequence, EntryState state, const RecordLocation& location,
                 const IndexEntry& current) {
   if (sequence != current.sequence) return sequence > current.sequence;
@@ -112,7 +112,7 @@
   if (entry == entries_.end() || sequence < entry->oldestSequence) return;
   modify(entry, [&](IndexEntry& changed) {
     ++changed.recordCount;
-    if (changed.sequence != sequence) return;  // overwritten since it was copied
+    if (changed.sequence != sequence) return;  // the key was overwritten after the record was copied
     changed.location = location;
     if (changed.state == EntryState::lost) changed.state = EntryState::deleted;
   });
@@ -122,7 +122,7 @@
   const auto entry = entries_.find(key);
   if (entry == entries_.end() || sequence < floor_ || entry->sequence > sequence) return false;
   const bool isCurrent = entry->sequence == sequence;
-  // Another intact copy of the same record serves as well.
+  // Another intact copy of the same record is current, so nothing is lost.
   if (isCurrent && entry->location.segment != segment) return false;
   isSortedByAge_ = isSortedByAge_ && isCurrent;
   newestSequence_ = std::max(newestSequence_, sequence);
@@ -218,7 +218,7 @@
     if (visited != entries_.end() && visited->sequence == cursor->sequence) {
       entry = std::next(entries_.project<ByAge>(visited));
     } else {
-      // It was written again and stands at the end now: the position is found by its sequence number.
+      // The entry was rewritten and moved to the end. The old position is found by its sequence number.
       entry = std::find_if(entry, byAge.end(), [&](const IndexEntry& candidate) {
         return candidate.sequence > cursor->sequence;
       });
--- a/src/store/key_index.h
+++ b/src/store/key_index.h
@@ -1,11 +1,12 @@
 /// @file
-/// What is known of every key: where its latest record stands, whether it is live, and how many records of it
-/// are on disk. No I/O, no clock, no lock: the owner synchronizes.
+/// The in-memory index of all keys: the location of each key's latest record, whether the key is live, and
+/// how many records of it are on disk. No I/O, no clock, no lock: the owner synchronizes access.
 ///
-/// Invariants: an entry stands as long as any record of its key does (at or above the floor), so that a
-/// deleted key is remembered until nothing on disk could bring it back. Of two records the one with the
-/// higher sequence number is current; of two copies of one record the erasure, then the one in the segment
-/// with the higher number. Memory is bounded by CompactionPolicy, from `memoryBytes`.
+/// Invariants: an entry exists as long as any record of its key exists on disk (at or above the floor), so
+/// that a deleted key is remembered until no record on disk could restore it. Of two records of a key, the
+/// one with the higher sequence number is current. Of two copies of one record, an erasure takes precedence,
+/// then the copy in the segment with the higher number. CompactionPolicy bounds the memory, based on
+/// `memoryBytes`.
 #pragma once
 
 #include <boost/multi_index/member.hpp>
@@ -25,10 +26,10 @@
 
 namespace rainhook::store {
 
-/// Where a record stands.
+/// The location of a record.
 struct RecordLocation {
-  SegmentNumber segment{};   ///< In which segment.
-  std::uint32_t offset = 0;  ///< From the beginning of its file.
+  SegmentNumber segment{};   ///< The segment that contains it.
+  std::uint32_t offset = 0;  ///< Offset from the beginning of the segment file.
   std::uint32_t bytes = 0;   ///< Length of the record.
 
   /// Compares all members.
@@ -38,22 +39,22 @@
 /// Whether a key has a value.
 enum class EntryState : std::uint8_t {
   live,
-  deleted,  ///< Erased or expired; the record that says so stands on disk.
-  lost,     ///< Its latest record can't be read any more, so nothing older may be served.
+  deleted,  ///< Erased or expired; the record of the erasure or the expired value is on disk.
+  lost,     ///< Its latest record can no longer be read, so older records must not be served.
 };
 
-/// What is known of one key.
+/// The index entry of one key.
 struct IndexEntry {
   std::string key;                      ///< The key.
-  SequenceNumber sequence{};            ///< Of its current record.
-  SequenceNumber oldestSequence{};      ///< The lowest that `recordCount` includes.
-  UnixTime expiry = neverExpires;       ///< Of its current record.
-  RecordLocation location;              ///< Of its current record.
-  std::uint32_t recordCount = 0;        ///< Records of the key on disk.
-  EntryState state = EntryState::live;  ///< Whether it has a value.
+  SequenceNumber sequence{};            ///< Sequence number of the current record.
+  SequenceNumber oldestSequence{};      ///< The lowest sequence number that `recordCount` includes.
+  UnixTime expiry = neverExpires;       ///< Expiry of the current record.
+  RecordLocation location;              ///< Location of the current record.
+  std::uint32_t recordCount = 0;        ///< The number of records of the key on disk.
+  EntryState state = EntryState::live;  ///< Whether the key has a value.
 };
 
-/// An ordered map of all keys, which can also be walked by age and by expiry.
+/// An ordered map of all keys that can also be traversed by age and by expiry.
 class KeyIndex {
  public:
   /// Returns false to end the scan.
@@ -61,55 +62,55 @@
 
   /// The position of a scan by age: the entry that was visited last.
   struct AgeCursor {
-    std::string key;            ///< Of that entry.
-    SequenceNumber sequence{};  ///< Of that entry.
+    std::string key;            ///< Key of that entry.
+    SequenceNumber sequence{};  ///< Sequence number of that entry.
   };
 
-  /// Null where nothing is known; valid until the next change.
+  /// Returns null if there is no entry; the pointer is valid until the next change.
   const IndexEntry* find(std::string_view key) const;
 
-  /// Adds a record that stands on disk. True where it is now the latest of its key.
+  /// Adds a record that is on disk. Returns whether it is now the current record of its key.
   bool addRecord(std::string_view key, RecordKind kind, SequenceNumber sequence, UnixTime expiry,
                  RecordLocation location);
-  /// Adds a copy that a compaction wrote of the latest record of a key, or of its erasure. Reads go to the
-  /// copy from now on; whether the key is live does not change.
+  /// Adds a copy that a compaction wrote of the latest record of a key, or of its erasure. Subsequent reads
+  /// use the copy; whether the key is live does not change.
   void addCopy(std::string_view key, SequenceNumber sequence, RecordLocation location);
-  /// Notes that a record can't be read. True where it hides older records and has to be remembered.
+  /// Marks a record as unreadable. Returns true if it hides older records and must be remembered.
   bool markLost(std::string_view key, SequenceNumber sequence, SegmentNumber segment);
-  /// Removes a record that has left the disk with its segment.
+  /// Removes a record whose segment was removed from the disk.
   void removeRecord(std::string_view key, SequenceNumber sequence);
 
-  /// Deletes a key that was seen as expired; it stays deleted whatever the clock says later.
+  /// Deletes a key that was observed as expired; it stays deleted even if the clock steps back later.
   void expireKey(std::string_view key);
-  /// Deletes keys that have expired at `now`, at most `maxEntries`; returns how many.
+  /// Deletes at most `maxEntries` keys that have expired at `now`; returns the number of deleted keys.
   std::size_t expireUpTo(UnixTime now, std::size_t maxEntries);
 
-  /// Forgets all entries below the floor; returns how many live ones that were.
+  /// Removes all entries below the floor; returns how many of them were live.
   std::size_t raiseFloor(SequenceNumber floor);
-  /// Records below it are forgotten.
+  /// Records with a sequence number below the floor are not in the index.
   SequenceNumber floor() const { return floor_; }
-  /// The floor below which entries with so many bytes on disk and in the index stand.
+  /// The floor that removes entries with at least `diskBytes` on disk and `indexBytes` in the index.
   SequenceNumber floorToFree(std::uint64_t diskBytes, std::uint64_t indexBytes) const;
-  /// Restores the order of age after recovery, which adds records in any order.
+  /// Restores the order by age after recovery, which adds records in any order.
   void sortByAge();
 
-  /// What a compaction of this segment would have to copy, with the hint entries.
+  /// The bytes that a compaction of this segment would have to copy, including the hint entries.
   std::uint64_t liveBytesIn(SegmentNumber segment) const;
-  /// What a compaction of everything would copy.
+  /// The bytes that a compaction of all segments would copy.
   std::uint64_t liveBytes() const { return liveBytes_; }
-  /// Memory that the index takes.
+  /// The memory that the index uses.
   std::uint64_t memoryBytes() const { return memoryBytes_; }
-  /// Live, deleted and lost keys.
+  /// The number of live, deleted and lost keys.
   std::size_t entryCount() const { return entries_.size(); }
-  /// Keys that have a value.
+  /// The number of keys that have a value.
   std::size_t liveEntryCount() const { return liveEntryCount_; }
 
-  /// Visits live entries in the order of their keys.
+  /// Visits live entries in key order.
   void scanByKey(std::string_view from, ScanStart start, const Visitor& visit) const;
-  /// Visits live entries, the oldest first, beginning after the cursor.
+  /// Visits live entries, the oldest first, starting after the cursor.
   void scanByAge(const std::optional<AgeCursor>& cursor, const Visitor& visit) const;
 
-  /// Bytes on disk of a deletion that has to be kept while older records of its key stand there.
+  /// The size on disk of a tombstone, which must be kept while older records of its key are on disk.
   static std::uint64_t tombstoneBytes(std::size_t keyBytes) {
     return recordBytes(keyBytes, 0) + hintEntryBytes(keyBytes);
   }
@@ -134,7 +135,7 @@
   void subtractFromTotals(const IndexEntry& entry);
 
   Entries entries_;
-  std::unordered_map<SegmentNumber, std::uint64_t> liveBytesBySegment_;  // no entry where it would be 0
+  std::unordered_map<SegmentNumber, std::uint64_t> liveBytesBySegment_;  // has no entry for a value of 0
   std::uint64_t memoryBytes_ = 0;
   std::uint64_t liveBytes_ = 0;
   std::size_t liveEntryCount_ = 0;
--- a/src/store/little_endian.h
+++ b/src/store/little_endian.h
@@ -1,5 +1,5 @@
 /// @file
-/// Integers as the store's files hold them: little endian on every machine.
+/// Encodes and decodes the integers in the store's files, which are little endian on every machine.
 #pragma once
 
 #include <cstddef>
@@ -9,17 +9,17 @@
 
 namespace rainhook::store {
 
-/// For shifts.
+/// The number of bits by which one byte is shifted.
 constexpr unsigned bitsPerByte = 8;
 
-/// Appends the integer's bytes, the lowest first.
+/// Appends the integer's bytes, the least significant first.
 template <typename T>
 void appendLittleEndian(std::string& out, T value) {
   for (std::size_t i = 0; i < sizeof value; ++i)
     out.push_back(static_cast<char>(static_cast<std::uint64_t>(value) >> (bitsPerByte * i) & 0xff));
 }
 
-/// The integer at `offset`, which with its size must lie within the bytes.
+/// Reads the integer at `offset`. All of its bytes must lie within `bytes`.
 template <typename T>
 T readLittleEndian(std::string_view bytes, std::size_t offset) {
   std::uint64_t value = 0;
--- a/src/store/log_structured_store.cpp
+++ b/src/store/log_structured_store.cpp
@@ -63,7 +63,7 @@
   catalog_.restore(recovery.takeContents());
   isOpen_ = true;
   if (const DiskError error = catalog_.writeManifest())
-    log(describeError(manifestFileName, error) + "; writes are refused until it can be written");
+    log(describeError(manifestFileName, error) + "; writes fail until the manifest can be written");
   return {};
 }
 
@@ -90,24 +90,28 @@
 StoreStatus LogStructuredStore::commitBatch(std::span<const WriteRequest> writes, UnixTime now) {
   const std::uint64_t sweepAndHeaders = recordBytes(0, 0) + 2 * fileHeaderBytes;
   if (!makeRoom(BatchWriter::bytesOf(writes) + sweepAndHeaders, now))
-    return countRefused(writes.size(),
-                        {StoreErrorCode::storeFull, "no room under disk_bytes, and none could be made"});
+    return countRejectedWrites(
+        writes.size(),
+        {StoreErrorCode::storeFull,
+         fmt::format("the store is full: writes of {} bytes do not fit under disk_bytes ({}), and "
+                     "no space could be freed",
+                     BatchWriter::bytesOf(writes), settings_.maxDiskBytes)});
   DiskError error;
-  // A sync that failed says that what was written before may be lost, and a second sync of the same file
-  // can't be believed; so these writes go once more, into a new segment.
+  // After a failed sync, earlier writes to the file may be lost, and a later successful sync of the same file
+  // proves nothing. Therefore these writes are retried in a new segment.
   for (int attempt = 0; attempt < maxCommitAttempts; ++attempt) {
     auto status = ensureActiveSegment();
-    if (!status.isOk()) return countRefused(writes.size(), std::move(status));
+    if (!status.isOk()) return countRejectedWrites(writes.size(), std::move(status));
     error = batchWriter_.write(writes, now);
     if (!error) return {};
-    if (activeSegment()) break;  // not a sync: the file is as it was before
+    if (activeSegment()) break;  // the sync did not fail, and the file was restored to its previous state
   }
   const SegmentWriter* active = activeSegment();
   const std::string name = active ? segmentFileName(active->number()) : "a new segment";
-  return countRefused(writes.size(), {StoreErrorCode::ioError, describeError(name, error)});
+  return countRejectedWrites(writes.size(), {StoreErrorCode::ioError, describeError(name, error)});
 }
 
-StoreStatus LogStructuredStore::countRefused(std::size_t writes, StoreStatus status) {
+StoreStatus LogStructuredStore::countRejectedWrites(std::size_t writes, StoreStatus status) {
   const std::lock_guard lock(state_.mutex);
   StoreStatistics& statistics = state_.statistics;
   (status.code == StoreErrorCode::storeFull ? statistics.rejectedWrites : statistics.failedWrites) += writes;
@@ -150,7 +154,7 @@
 
 bool LogStructuredStore::runMaintenance(UnixTime now, bool hasWaitingWriters) {
   if (!isOpen_) return false;
-  takeOverCorruptRecords();
+  processCorruptRecords();
   const bool hasExpired = expireEntries(now);
   const std::uint64_t budgetBytes = policy_.stepBytes(hasWaitingWriters);
   if (snapshot_) return stepSnapshot(budgetBytes);
@@ -158,8 +162,9 @@
   return prepareNextSegment() || compactor_.step(budgetBytes) || hasExpired || hasAgedOut;
 }
 
-/// Notes which segments readers have found damaged; those of a segment that is still being written wait.
-void LogStructuredStore::takeOverCorruptRecords() {
+/// Marks the sealed segments in which readers found corrupt records as damaged. Corrupt records of a segment
+/// that is still being written stay in the list.
+void LogStructuredStore::processCorruptRecords() {
   const std::lock_guard lock(state_.mutex);
   for (CorruptRecord& corrupt : std::exchange(state_.corruptRecords, {})) {
     if (SealedSegment* sealed = catalog_.findSealed(corrupt.segment)) {
@@ -183,7 +188,7 @@
 bool LogStructuredStore::ageOut(std::uint64_t minBytes) {
   auto excess = policy_.excess(catalog_.occupancy());
   excess.diskBytes = std::max(excess.diskBytes, minBytes);
-  if (!excess.isAny()) return false;
+  if (!excess.isNonZero()) return false;
   const std::lock_guard lock(state_.mutex);
   const SequenceNumber floor = state_.index.floorToFree(excess.diskBytes, excess.indexBytes);
   if (floor <= state_.index.floor()) return false;
@@ -191,7 +196,8 @@
   return true;
 }
 
-/// Creates the next segment before the active one is full, so that the commit that fills it waits for less.
+/// Creates the next segment before the active one is full, so that the commit that fills it has less to wait
+/// for.
 bool LogStructuredStore::prepareNextSegment() {
   const SegmentWriter* active = activeSegment();
   if (catalog_.hasDurableSpare() || !active || !policy_.isNearlyFull(active->projectedBytes())) return false;
@@ -199,9 +205,9 @@
 }
 
 bool LogStructuredStore::makeRoom(std::uint64_t bytes, UnixTime now) {
-  // Each round removes, copies or ages out something, and there is a bounded amount of that.
+  // The loop ends because each iteration removes, copies or ages out some of a bounded number of records.
   while (!policy_.canWrite(usage_.bytes(), bytes)) {
-    if (snapshot_) return false;  // it holds all segments in place
+    if (snapshot_) return false;  // no segment may be removed during a snapshot
     if (runMaintenance(now)) continue;
     if (compactor_.hasFailed() || !ageOut(policy_.minAgeOutBytes())) return false;
   }
@@ -215,7 +221,7 @@
 
 StoreStatus LogStructuredStore::startSnapshot(std::unique_ptr<Disk> destination, StatusCallback onEnded) {
   if (!isOpen_) return {StoreErrorCode::closed, "the store is not open"};
-  if (snapshot_) return {StoreErrorCode::invalidArgument, "a snapshot is under way"};
+  if (snapshot_) return {StoreErrorCode::invalidArgument, "another snapshot is in progress"};
   if (auto status = SnapshotCopy::prepare(*destination); !status.isOk()) return status;
   compactor_.suspend();
   if (activeSegment()) catalog_.seal(SegmentRole::commits, SegmentTrust::trusted);
@@ -249,7 +255,7 @@
   if (activeSegment()) catalog_.seal(SegmentRole::commits, SegmentTrust::trusted);
   compactor_.endRequests(closed);
   if (const DiskError error = catalog_.writeManifest())
-    log(describeError(manifestFileName, error) + "; the next start will read more");
+    log(describeError(manifestFileName, error) + "; the next start will take longer");
   disk_.unlock();
   isOpen_ = false;
 }
--- a/src/store/log_structured_store.h
+++ b/src/store/log_structured_store.h
@@ -1,9 +1,9 @@
 /// @file
-/// The store without its thread: an append-only log in segments, an index of it in memory, recovery,
-/// compaction and snapshots. Nothing here starts a thread or reads a clock.
+/// The store without its thread: an append-only log in segments, an in-memory index, recovery, compaction and
+/// snapshots. Nothing here starts a thread or reads a clock.
 ///
 /// Source of the design: Sheehy and Smith, "Bitcask: A Log-Structured Hash Table for Fast Key/Value Data"
-/// (2010); what differs is in docs/store.md.
+/// (2010); docs/store.md describes the differences.
 #pragma once
 
 #include <cstdint>
@@ -31,54 +31,56 @@
 
 namespace rainhook::store {
 
-/// `get`, the scans, `statistics` and `id` may be called from any thread; everything else belongs to one
-/// writer.
+/// Any thread may call `get`, the scans, `statistics` and `id`; only one writer thread may call the other
+/// functions.
 ///
-/// Invariants: what `commit` reported as successful is durable; a key's latest record is current, and where
-/// that one can't be read nothing older is served; a segment leaves the folder only once all that is live in
-/// it is durable elsewhere and the manifest no longer lists it; the folder never exceeds `maxDiskBytes`.
+/// Invariants: a write that `commit` reported as successful is durable; a key's latest record is current, and
+/// if it can't be read, no older record is served; a segment is removed from the folder only after all of its
+/// live records are durable elsewhere and the manifest no longer lists it; the folder never exceeds
+/// `maxDiskBytes`.
 class LogStructuredStore {
  public:
   /// The disk must outlive the store.
   LogStructuredStore(Disk& disk, const StoreSettings& settings, LogCallback log);
 
-  /// Locks the folder and recovers. `seed` becomes the id of a store that is only now created. Errors:
-  /// locked, ioError, invalidArgument for an interrupted snapshot; never for damage.
+  /// Locks the folder and recovers the store. `seed` becomes the store's id if the folder contains no store
+  /// yet. Errors: locked, ioError, invalidArgument for an interrupted snapshot. Damaged files are not an
+  /// error.
   StoreStatus open(std::uint64_t seed);
-  /// Writes with as few syncs as possible; returns a status for each write.
+  /// Makes the writes durable with as few syncs as possible; returns a status for each write.
   std::vector<StoreStatus> commit(std::span<const WriteRequest> writes, UnixTime now);
-  /// The value of a key, by one read of the disk at most.
+  /// Returns the value of a key; usually reads the disk at most once.
   ReadResult get(std::string_view key, UnixTime now) const;
-  /// A page of the live entries in the order of their keys.
+  /// Returns a page of the live entries in key order.
   ScanPage scanByKey(std::string_view from, ScanStart start, std::size_t maxRows, UnixTime now) const;
-  /// The oldest entries first, beginning after the cursor.
+  /// Returns a page of the live entries, the oldest first, starting after the cursor.
   ScanPage scanByAge(const std::optional<KeyIndex::AgeCursor>& cursor, std::size_t maxRows,
                      UnixTime now) const;
-  /// Counters since `open`, and the present size.
+  /// The counters since `open` and the current sizes.
   StoreStatistics statistics() const;
-  /// Of the open store.
+  /// The id of the open store.
   StoreId id() const { return catalog_.storeId(); }
 
-  /// Does one step of what is due besides commits: expiry, ageing out, compaction, a snapshot. False where
-  /// nothing is due or can be done.
+  /// Does one step of the maintenance that is due: expiry, ageing out, compaction or a snapshot. Returns
+  /// false if nothing is due or nothing can be done.
   bool runMaintenance(UnixTime now, bool hasWaitingWriters = false);
-  /// Has `runMaintenance` write every segment anew that holds anything dead. `onEnded` is called once none is
-  /// left, or with what stood in the way.
+  /// Makes `runMaintenance` rewrite every segment with dead bytes. Calls `onEnded` once none is left, or with
+  /// the error that stopped the compaction.
   void startCompaction(StatusCallback onEnded);
-  /// Has `runMaintenance` copy the store into an empty folder; compaction rests meanwhile. `onEnded` is
-  /// called only where this succeeds.
+  /// Makes `runMaintenance` copy the store into an empty folder; compaction is suspended meanwhile. Calls
+  /// `onEnded` only if the snapshot could be started (the returned status is a success).
   StoreStatus startSnapshot(std::unique_ptr<Disk> destination, StatusCallback onEnded);
 
-  /// Syncs, seals and unlocks; the next start is the quickest.
+  /// Syncs and seals the segments and unlocks the folder. Recovery is fastest after this.
   void close();
 
  private:
   StoreStatus commitBatch(std::span<const WriteRequest> writes, UnixTime now);
-  StoreStatus countRefused(std::size_t writes, StoreStatus status);
+  StoreStatus countRejectedWrites(std::size_t writes, StoreStatus status);
   StoreStatus ensureActiveSegment();
   bool makeRoom(std::uint64_t bytes, UnixTime now);
   bool expireEntries(UnixTime now);
-  void takeOverCorruptRecords();
+  void processCorruptRecords();
   bool ageOut(std::uint64_t minBytes);
   bool prepareNextSegment();
   bool stepSnapshot(std::uint64_t budgetBytes);
@@ -91,13 +93,13 @@
   const CompactionPolicy policy_;
   const LogCallback log_;
   FolderUsage usage_;
-  mutable StoreState state_;  // guards itself; reads note what they find expired or corrupt
+  mutable StoreState state_;  // has its own mutex; reads record expired and corrupt entries in it
   SegmentCatalog catalog_;
   mutable SegmentFileCache files_;
   mutable RecordReader reader_;
   BatchWriter batchWriter_;
   Compactor compactor_;
-  std::unique_ptr<SnapshotCopy> snapshot_;  // while one is under way
+  std::unique_ptr<SnapshotCopy> snapshot_;  // null unless a snapshot is in progress
   bool isOpen_ = false;
 };
 
--- a/src/store/manifest.cpp
+++ b/src/store/manifest.cpp
@@ -77,7 +77,7 @@
   out.floor = SequenceNumber{readWord(value, 2 * wordBytes)};
   const std::uint64_t sweepCount = readWord(value, 3 * wordBytes);
   const std::uint64_t segmentCount = readWord(value, 4 * wordBytes);
-  // The counts are compared first, or the products could overflow.
+  // The counts are checked first, because the products could overflow.
   if (sweepCount > value.size() || segmentCount > value.size() ||
       value.size() != fixedBytes + sweepCount * sweepBytes + segmentCount * segmentBytes)
     return corruptManifest();
--- a/src/store/manifest.h
+++ b/src/store/manifest.h
@@ -1,6 +1,6 @@
 /// @file
-/// The manifest: which segments a store consists of, and from where its numbers go on. Byte layout in
-/// docs/store-format.md. Pure functions.
+/// The manifest: the segments of a store, and the next segment and sequence numbers. docs/store-format.md
+/// describes the byte layout. Pure functions.
 #pragma once
 
 #include <cstdint>
@@ -14,48 +14,48 @@
 
 namespace rainhook::store {
 
-/// Every record of a lower sequence number that expired by this time at the latest is gone, whatever the
-/// clock says later.
+/// States that every record with a sequence number below `before` and an expiry up to `expiredBy` has
+/// expired, even if the clock steps back later.
 struct ExpirySweep {
-  SequenceNumber before{};  ///< Records from this one on are not concerned.
-  UnixTime expiredBy{};     ///< The latest expiry that is concerned.
+  SequenceNumber before{};  ///< The sweep does not affect records with this or a higher sequence number.
+  UnixTime expiredBy{};     ///< The latest expiry that the sweep affects.
 
   /// Compares all members.
   bool operator==(const ExpirySweep&) const = default;
 };
 
-/// What a manifest says.
+/// The contents of a manifest.
 struct Manifest {
   /// A segment that belongs to the store.
   struct Segment {
-    SegmentNumber number{};         ///< Which segment.
-    bool isSealed = false;          ///< Takes no more, and every sync of it succeeded.
-    std::uint64_t bytes = 0;        ///< Of a sealed one.
-    SequenceNumber lastSequence{};  ///< The highest in a sealed one.
+    SegmentNumber number{};         ///< The segment's number.
+    bool isSealed = false;          ///< The segment accepts no more records, and every sync of it succeeded.
+    std::uint64_t bytes = 0;        ///< Size of a sealed segment.
+    SequenceNumber lastSequence{};  ///< The highest sequence number in a sealed segment.
 
     /// Compares all members.
     bool operator==(const Segment&) const = default;
   };
-  StoreId storeId{};                ///< Whose manifest it is.
+  StoreId storeId{};                ///< The store that the manifest belongs to.
   SegmentNumber nextSegment{};      ///< The number of the next new segment.
   SequenceNumber nextSequence{};    ///< Higher than every sequence number in sealed segments.
-  SequenceNumber floor{};           ///< Records below it are gone: aged out, or in doubt.
-  std::vector<ExpirySweep> sweeps;  ///< In the order of writing.
-  std::vector<Segment> segments;    ///< All that belong to the store.
+  SequenceNumber floor{};           ///< Records below it aged out or were discarded as possibly outdated.
+  std::vector<ExpirySweep> sweeps;  ///< The expiry sweeps in the order of writing.
+  std::vector<Segment> segments;    ///< All segments of the store.
 
   /// Compares all members.
   bool operator==(const Manifest&) const = default;
 };
 
-/// How the reading of a manifest ended.
+/// The result of decoding a manifest.
 struct ManifestReadResult {
-  std::optional<Manifest> manifest;       ///< Absent with an error.
-  HeaderError error = HeaderError::none;  ///< Why there is none.
+  std::optional<Manifest> manifest;       ///< Absent on an error.
+  HeaderError error = HeaderError::none;  ///< Why the manifest could not be decoded.
 };
 
-/// The bytes of a manifest's file.
+/// Encodes the contents of a manifest file.
 std::string encodeManifest(const Manifest& manifest);
-/// Reads what encodeManifest wrote; any changed byte is an error.
+/// Decodes the output of encodeManifest; any changed byte is an error.
 ManifestReadResult decodeManifest(std::string_view bytes);
 
 }  // namespace rainhook::store
--- a/src/store/posix_disk.cpp
+++ b/src/store/posix_disk.cpp
@@ -49,7 +49,7 @@
   }
 
  private:
-  /// Repeats a call that a signal interrupted.
+  /// Repeats the system call if a signal interrupts it.
   template <typename Call>
   static IoResult transfer(Call call) {
     for (;;) {
@@ -82,7 +82,7 @@
        it.increment(error)) {
     struct stat status {};
     const std::string name = it->path().filename().string();
-    // Another process may have removed it since it was listed.
+    // Another process may have removed the file since it was listed.
     if (::fstatat(directoryDescriptor_, name.c_str(), &status, AT_SYMLINK_NOFOLLOW) < 0) continue;
     into.push_back({name, static_cast<std::uint64_t>(status.st_size), !S_ISREG(status.st_mode)});
   }
@@ -134,7 +134,7 @@
     return {error, holder};
   }
   const std::string pid = std::to_string(::getpid()) + "\n";
-  // The pid only helps people; the lock holds without it.
+  // The pid is only informational; the lock is effective without it.
   if (::ftruncate(lockDescriptor_, 0) == 0) {
     [[maybe_unused]] const ssize_t written = ::pwrite(lockDescriptor_, pid.data(), pid.size(), 0);
   }
--- a/src/store/posix_disk.h
+++ b/src/store/posix_disk.h
@@ -1,7 +1,7 @@
 /// @file
-/// The disk in service: the files of one folder by POSIX. Source: POSIX.1-2017 open, pread, pwrite,
-/// fdatasync, rename; flock(2) for the lock, which the kernel releases when its process ends, however it
-/// ends.
+/// The production implementation of Disk: the files of one folder, accessed through POSIX. Source:
+/// POSIX.1-2017 open, pread, pwrite, fdatasync, rename; flock(2) for the lock, which the kernel releases
+/// whenever the process ends, even after a crash.
 #pragma once
 
 #include <string>
@@ -10,10 +10,12 @@
 
 namespace rainhook::store {
 
-/// Owns the descriptors of the folder and of its lock. Any thread may open and read; one at a time changes.
+/// Owns the descriptors of the folder and of its lock. Any thread may open and read files; only one thread at
+/// a time may change the folder.
 class PosixDisk final : public Disk {
  public:
-  /// Creates the folder where it is absent, not its parents; an error shows in the operations that follow.
+  /// Creates the folder if it does not exist, but not its parents. The operations that follow return any
+  /// error of this constructor.
   explicit PosixDisk(std::string folder);
   ~PosixDisk() override;
   PosixDisk(const PosixDisk&) = delete;
--- a/src/store/record_format.cpp
+++ b/src/store/record_format.cpp
@@ -34,11 +34,11 @@
 constexpr std::size_t isCompressed = 41;
 }  // namespace recordField
 
-/// The checksum of a record covers everything behind itself.
+/// The checksum of a record covers all bytes from this offset on, which is directly after the checksum.
 constexpr std::size_t checksummedFrom = recordField::length;
 
-/// XXH3-64 over store id, file kind, segment number and offset, as in the files but without a string: this is
-/// computed for each record of a start.
+/// XXH3-64 over store id, file kind, segment number and offset, encoded as in the files. Uses no string,
+/// because recovery computes it for each record.
 std::uint64_t checksumSeed(const RecordPosition& position) {
   std::array<unsigned char, 26> bytes{};
   std::size_t size = 0;
@@ -132,7 +132,7 @@
 std::size_t findRecordCandidate(std::string_view bytes, std::size_t from) {
   const std::size_t offset = bytes.find(recordMagic, from);
   if (offset != std::string_view::npos) return offset;
-  // The end of what was read may cut through the magic of a record.
+  // The bytes may end in the middle of the magic of a record.
   for (std::size_t length = recordMagic.size() - 1; length > 0; --length)
     if (bytes.size() >= from + length && bytes.ends_with(recordMagic.substr(0, length)))
       return bytes.size() - length;
--- a/src/store/record_reader.cpp
+++ b/src/store/record_reader.cpp
@@ -12,8 +12,8 @@
 namespace {
 
 constexpr std::size_t maxDecompressedBytes = std::size_t{256} << 20;  // no setting allows a longer value
-// A compaction may move a record between the look into the index and the read. Its old file stays readable
-// for whoever holds it, so more than a second attempt is rare.
+// A compaction may move a record between the index lookup and the read. The old file stays readable while it
+// is open, so more than two attempts are rare.
 constexpr int maxAttempts = 4;
 
 ReadResult failure(StoreErrorCode code, std::string message) {
@@ -32,7 +32,8 @@
     Attempt outcome = readEntry(storeId, *lookup.entry);
     if (!outcome.hasMoved) return std::move(outcome.result);
   }
-  return failure(StoreErrorCode::ioError, "it moved too often while it was read");
+  return failure(StoreErrorCode::ioError,
+                 fmt::format("compaction moved the record during each of {} read attempts", maxAttempts));
 }
 
 RecordReader::Lookup RecordReader::lookUp(std::string_view key, UnixTime now) {
@@ -40,7 +41,7 @@
   const IndexEntry* entry = state_.index.find(key);
   if (!entry || entry->state == EntryState::deleted) return {};
   if (entry->state == EntryState::lost)
-    return {std::nullopt, failure(StoreErrorCode::corruptRecord, "its record can't be read")};
+    return {std::nullopt, failure(StoreErrorCode::corruptRecord, "the latest record of the key is corrupt")};
   if (entry->expiry <= now) {
     state_.index.expireKey(key);
     ++state_.statistics.expiredEntries;
@@ -84,10 +85,10 @@
       state_.corruptRecords.push_back({location.segment, {entry.key, entry.sequence}});
   }
   if (log_)
-    log_(fmt::format("{} at {}: record of {} bytes is corrupt; its key is not served", name, location.offset,
-                     location.bytes));
-  return {false,
-          failure(StoreErrorCode::corruptRecord, fmt::format("{} at {}: damaged", name, location.offset))};
+    log_(fmt::format("{} at {}: record of {} bytes is corrupt; its value is unavailable", name,
+                     location.offset, location.bytes));
+  return {false, failure(StoreErrorCode::corruptRecord, fmt::format("{} at {}: record of {} bytes is corrupt",
+                                                                    name, location.offset, location.bytes))};
 }
 
 }  // namespace rainhook::store
--- a/src/store/record_reader.h
+++ b/src/store/record_reader.h
@@ -1,5 +1,5 @@
 /// @file
-/// Reads the value of a key: a look into the index, then one read of the disk.
+/// Reads the value of a key: looks up the key in the index, then reads the disk once.
 #pragma once
 
 #include <string>
@@ -13,23 +13,23 @@
 
 namespace rainhook::store {
 
-/// Any thread may read. The state's mutex is not held during the read of the disk.
+/// Thread-safe. The state's mutex is not held while the disk is read.
 class RecordReader {
  public:
-  /// State and files must outlive this.
+  /// The state and the file cache must outlive this object.
   RecordReader(StoreState& state, SegmentFileCache& files, LogCallback log);
 
-  /// Reads the current value of the key. An error of the disk leaves the key as it is; a corrupt record is
-  /// lost.
+  /// Reads the current value of the key. A disk error does not change the key's state; a corrupt record is
+  /// marked as lost.
   ReadResult read(StoreId storeId, std::string_view key, UnixTime now);
 
  private:
-  /// How a look into the index ended: with the entry to be read, or with the result.
+  /// The result of an index lookup: either the entry to read from disk, or the final result.
   struct Lookup {
     std::optional<IndexEntry> entry;
     ReadResult result;
   };
-  /// Whether an attempt is final, or the record has moved since the index was asked.
+  /// The result of one attempt to read a record: final, unless the record has moved since the index lookup.
   struct Attempt {
     bool hasMoved = false;
     ReadResult result;
--- a/src/store/record_scanner.cpp
+++ b/src/store/record_scanner.cpp
@@ -14,10 +14,10 @@
     : file_(std::move(file)), header_(header), fileBytes_(file_->size()) {}
 
 std::string_view RecordScanner::window(std::uint64_t offset, std::size_t minBytes) {
-  const std::uint64_t fileRest = fileBytes_ - offset;
-  const std::uint64_t wanted = std::min<std::uint64_t>(minBytes, fileRest);
+  const std::uint64_t remainingBytes = fileBytes_ - offset;
+  const std::uint64_t wanted = std::min<std::uint64_t>(minBytes, remainingBytes);
   if (offset < windowOffset_ || offset + wanted > windowOffset_ + window_.size()) {
-    window_.resize(static_cast<std::size_t>(std::min(std::max(wanted, windowBytes), fileRest)));
+    window_.resize(static_cast<std::size_t>(std::min(std::max(wanted, windowBytes), remainingBytes)));
     const IoResult read = readAll(*file_, offset, window_);
     window_.resize(read.bytes);
     windowOffset_ = offset;
@@ -36,7 +36,7 @@
 std::uint64_t RecordScanner::findIntactRecord(std::uint64_t from) {
   while (from < fileBytes_) {
     const std::string_view bytes = window(from, recordHeaderBytes);
-    if (bytes.empty()) return fileBytes_;  // the disk can't read from here on
+    if (bytes.empty()) return fileBytes_;  // the disk can't read the rest of the file
     const std::size_t candidate = findRecordCandidate(bytes, 0);
     if (candidate == std::string_view::npos) {
       from += bytes.size();
--- a/src/store/record_scanner.h
+++ b/src/store/record_scanner.h
@@ -1,6 +1,6 @@
 /// @file
-/// Reads a file of records from front to back, a window at a time, and finds the next intact record behind a
-/// corrupt stretch.
+/// Reads a file of records sequentially, one window at a time, and finds the next intact record after a
+/// corrupt range.
 #pragma once
 
 #include <cstdint>
@@ -13,30 +13,30 @@
 
 namespace rainhook::store {
 
-/// Owns the file that it reads.
+/// Shares ownership of the file that it reads.
 class RecordScanner {
  public:
-  /// What was found next.
+  /// The result of `next`.
   struct Step {
-    /// Which of the following is valid.
+    /// The kind of the result.
     enum class Kind { record, corruption, end };
 
-    Kind kind = Kind::end;     ///< `record` is valid with `record` alone.
+    Kind kind = Kind::end;     ///< The member `record` is valid only if this is `Kind::record`.
     Record record;             ///< Its views are valid until the next call.
-    std::uint64_t offset = 0;  ///< Of the record or the corrupt stretch.
-    std::uint64_t bytes = 0;   ///< Of the record or the corrupt stretch.
+    std::uint64_t offset = 0;  ///< Offset of the record or the corrupt range.
+    std::uint64_t bytes = 0;   ///< Size of the record or the corrupt range.
   };
 
-  /// The header is part of each record's checksum.
+  /// Each record's checksum covers the header.
   RecordScanner(std::shared_ptr<File> file, FileHeader header);
 
-  /// What the disk can't read counts as corrupt.
+  /// Returns the next record or corrupt range. Bytes that the disk can't read count as corrupt.
   Step next();
-  /// The offset that the next call reads from.
+  /// The offset that the next call of `next` reads from.
   std::uint64_t position() const { return position_; }
 
  private:
-  /// At least `minBytes` from the offset on, or all up to the end of the file.
+  /// Returns at least `minBytes` starting at the offset, or all bytes up to the end of the file.
   std::string_view window(std::uint64_t offset, std::size_t minBytes);
   RecordReadResult readAt(std::uint64_t offset);
   std::uint64_t findIntactRecord(std::uint64_t from);
@@ -46,7 +46,7 @@
   std::uint64_t fileBytes_;
   std::uint64_t position_ = fileHeaderBytes;
   std::uint64_t windowOffset_ = 0;
-  std::string window_;  // grows to the longest record of the file at most
+  std::string window_;  // grows at most to the size of the longest record of the file
 };
 
 }  // namespace rainhook::store
--- a/src/store/recovery.cpp
+++ b/src/store/recovery.cpp
@@ -12,8 +12,9 @@
 
 constexpr SequenceNumber maxSequence{~std::uint64_t{0}};
 
-/// Not a matter of the files: the same start succeeds once there are descriptors and memory again.
-bool isShortageOfProcess(const DiskError& error) {
+/// Whether the error is caused by the process or the system rather than the files: recovery succeeds once
+/// descriptors and memory are available again.
+bool isResourceShortage(const DiskError& error) {
   return error == std::errc::too_many_files_open || error == std::errc::too_many_files_open_in_system ||
          error == std::errc::not_enough_memory;
 }
@@ -29,11 +30,11 @@
 }
 
 StoreStatus Recovery::run(StoreId newStoreId) {
-  if (auto status = inventory_.take(newStoreId); !status.isOk()) return status;
+  if (auto status = inventory_.scan(newStoreId); !status.isOk()) return status;
   state_.statistics.quarantinedFiles = inventory_.quarantinedFiles();
   contents_.storeId = inventory_.storeId();
   contents_.manifestBytes = inventory_.manifestBytes();
-  takeManifest();
+  applyManifest();
   for (const auto& [number, files] : inventory_.segments())
     if (files.hasHint) disk_.prefetch(hintFileName(number));
   for (const auto& [number, files] : inventory_.segments()) {
@@ -46,12 +47,12 @@
   state_.index.sortByAge();
   if (hasLostSegment_)
     state_.statistics.discardedEntries =
-        state_.index.raiseFloor(std::min(doubtfulBelow_, contents_.nextSequence));
+        state_.index.raiseFloor(std::min(discardBelow_, contents_.nextSequence));
   expireSweptEntries();
   return {};
 }
 
-void Recovery::takeManifest() {
+void Recovery::applyManifest() {
   const auto& manifest = inventory_.manifest();
   if (!manifest) return;
   contents_.nextSegment = manifest->nextSegment;
@@ -61,17 +62,18 @@
   for (const Manifest::Segment& segment : manifest->segments) {
     if (inventory_.segments().contains(segment.number)) continue;
     noteLostSegment(segment);
-    log(fmt::format("{} and its hint file are missing: older records are not served",
+    log(fmt::format("{} and its hint file are missing; entries written before them are discarded",
                     segmentFileName(segment.number)));
   }
 }
 
-/// Nobody can say which older records the lost segment had erased or overwritten.
+/// Records older than a lost segment must be discarded, because the segment may have erased or overwritten
+/// any of them.
 void Recovery::noteLostSegment(const Manifest::Segment& segment) {
   ++state_.statistics.lostFiles;
   state_.statistics.lostBytes += segment.bytes;
   hasLostSegment_ = true;
-  doubtfulBelow_ = segment.isSealed ? std::max(doubtfulBelow_, successor(segment.lastSequence)) : maxSequence;
+  discardBelow_ = segment.isSealed ? std::max(discardBelow_, successor(segment.lastSequence)) : maxSequence;
 }
 
 StoreStatus Recovery::recoverSegment(SegmentNumber number, const FolderInventory::SegmentFiles& files) {
@@ -83,7 +85,7 @@
   const std::string name = segmentFileName(number);
   Disk::OpenResult opened{nullptr, make_error_code(std::errc::no_such_file_or_directory)};
   if (files.hasSegment) opened = disk_.open(name);
-  if (isShortageOfProcess(opened.error)) return {StoreErrorCode::ioError, describeError(name, opened.error)};
+  if (isResourceShortage(opened.error)) return {StoreErrorCode::ioError, describeError(name, opened.error)};
   if (opened.file) {
     recoverPresentSegment(number, opened.file, hints);
   } else {
@@ -104,9 +106,9 @@
 
 void Recovery::recoverPresentSegment(SegmentNumber number, const std::shared_ptr<File>& file,
                                      const HintFile& hints) {
-  // What a killed process wrote may stand in the page cache alone: it is synced before it is served. That
-  // sync may succeed after one that the process saw fail, and mean nothing, so what was not sealed is
-  // untrusted and will be written anew as well.
+  // Data written by a killed process may exist only in the page cache, so it is synced before it is served.
+  // That sync may succeed after a failed sync in the killed process and then proves nothing. Therefore a
+  // segment that was not sealed is untrusted, and its live records will be rewritten as well.
   const Manifest::Segment* listed = inventory_.listed(number);
   const bool wasSealed = listed && listed->isSealed;
   const bool hasFailedSync = !wasSealed && file->sync();
@@ -120,7 +122,7 @@
     if (entry.kind != RecordKind::expirySweep) addLostRecord(number, entry);
   damage_[number].fileBytes = bytes;
   contents_.sealed[number].isDamaged = true;
-  // Without its end the hint file may know of fewer records than there were.
+  // Without its end entry, the hint file may describe only some of the records.
   const Manifest::Segment* listed = inventory_.listed(number);
   if (listed && !hints.end) noteLostSegment(*listed);
 }
@@ -168,7 +170,7 @@
     const auto step = scanner.next();
     if (step.kind == RecordScanner::Step::Kind::end) return out;
     if (step.kind == RecordScanner::Step::Kind::corruption) {
-      damage_[number].stretches.push_back({step.offset, step.bytes});
+      damage_[number].corruptRanges.push_back({step.offset, step.bytes});
       continue;
     }
     const Record& record = step.record;
@@ -178,17 +180,16 @@
   }
 }
 
-/// Appends to the entries of a segment, which stand in the order of their offsets, what its hints tell of and
-/// the segment no longer holds.
+/// Appends the hint entries without a record in the segment to `entries`, which are sorted by offset.
 void Recovery::addHintsWithoutRecord(SegmentNumber number, const HintFile& hints,
                                      std::vector<HintEntry>& entries) {
   const auto recordCount = static_cast<std::ptrdiff_t>(entries.size());
-  const auto standsBefore = [](const HintEntry& entry, std::uint64_t offset) {
+  const auto isBefore = [](const HintEntry& entry, std::uint64_t offset) {
     return entry.location.offset < offset;
   };
   for (const HintEntry& hint : hints.entries) {
     const auto end = entries.begin() + recordCount;
-    const auto found = std::lower_bound(entries.begin(), end, hint.location.offset, standsBefore);
+    const auto found = std::lower_bound(entries.begin(), end, hint.location.offset, isBefore);
     const bool isPresent =
         found != end && found->location.offset == hint.location.offset && found->sequence == hint.sequence;
     if (isPresent) continue;
@@ -202,7 +203,8 @@
   }
 }
 
-/// Makes the next start quick again and keeps known what is lost. Without room the file is left as it is.
+/// Rewrites the hint file, so that the next recovery is fast and still finds the lost records. Leaves the
+/// file unchanged if there is no room.
 void Recovery::rewriteHints(SegmentNumber number, const std::vector<HintEntry>& entries,
                             std::uint64_t segmentBytes) {
   const std::string bytes = encodeHintFile(contents_.storeId, number, entries, segmentBytes);
@@ -226,7 +228,8 @@
   for (const LostRecord& lost : lostRecords_) {
     const auto& [key, sequence] = lost.record;
     highestSequence_ = std::max(highestSequence_, sequence);
-    // A compaction that a crash interrupted still has its input, and nobody misses what was overwritten.
+    // The record is not missed if a newer one has overwritten it, or if it still exists in the input of a
+    // compaction that a crash interrupted.
     const IndexEntry* entry = state_.index.find(key);
     if (sequence < state_.index.floor() || (entry && entry->sequence >= sequence)) continue;
     if (lost.bytes > 0) {
@@ -256,32 +259,34 @@
   const bool wasSealed = listed && listed->isSealed;
   StoreStatistics& statistics = state_.statistics;
   SealedSegment& sealed = contents_.sealed[number];
-  for (const auto& [offset, bytes] : damage.stretches) {
-    // At the end of a segment that was being written a crash leaves a write that nobody was promised.
+  for (const auto& [offset, bytes] : damage.corruptRanges) {
+    // A crash may leave an unacknowledged write at the end of a segment that was being written.
     const bool isTorn = offset + bytes == damage.fileBytes && !wasSealed && damage.lostRecords == 0;
     if (isTorn) {
-      log(fmt::format("{} at {}: {} bytes of a torn write dropped", name, offset, bytes));
+      log(fmt::format("{} at {}: {} bytes of an interrupted, unacknowledged write ignored", name, offset,
+                      bytes));
       statistics.tornBytes += bytes;
     } else {
-      log(fmt::format("{} at {}: {} bytes unreadable, skipped", name, offset, bytes));
+      log(fmt::format("{} at {}: {} bytes are corrupt and skipped", name, offset, bytes));
       statistics.lostBytes += bytes;
       sealed.isDamaged = true;
     }
   }
   if (wasSealed && damage.fileBytes < listed->bytes) {
     const std::uint64_t missingBytes = listed->bytes - damage.fileBytes;
-    log(fmt::format("{} at {}: {} bytes are missing", name, damage.fileBytes, missingBytes));
+    log(fmt::format("{} at {}: {} bytes are missing at the end of the file", name, damage.fileBytes,
+                    missingBytes));
     statistics.lostBytes += missingBytes;
     sealed.isDamaged = true;
   }
   if (damage.lostRecords == 0) return;
-  log(fmt::format("{}: {} acknowledged records of {} bytes are lost; their keys are not served", name,
+  log(fmt::format("{}: {} acknowledged records with {} bytes are lost; their values are unavailable", name,
                   damage.lostRecords, damage.lostBytes));
   statistics.lostRecords += damage.lostRecords;
   sealed.isDamaged = true;
 }
 
-/// What was seen as expired stays so, whatever the clock says now.
+/// Entries that were found to be expired earlier stay expired, even if the clock has stepped back.
 void Recovery::expireSweptEntries() {
   if (contents_.sweeps.all().empty()) return;
   std::vector<std::string> expired;
--- a/src/store/recovery.h
+++ b/src/store/recovery.h
@@ -1,8 +1,9 @@
 /// @file
-/// Recovery rebuilds a store's index from whatever a crash, a failure of the disk or a stranger left.
+/// Rebuilds a store's index from the files in the folder, which may be incomplete or damaged after a crash, a
+/// disk failure or a change by another program.
 ///
-/// Hint files serve twice: an intact one saves reading its segment, and each entry tells of a record that may
-/// not be readable any more, whose key then serves nothing rather than something older.
+/// Hint files have two uses. An intact hint file makes reading its segment unnecessary. Each entry also
+/// identifies a record that may no longer be readable; its key then has no value rather than an older one.
 #pragma once
 
 #include <cstdint>
@@ -22,40 +23,40 @@
 
 namespace rainhook::store {
 
-/// Used once, before any other thread sees the state. The caller holds the folder's lock.
+/// Used once, before any other thread accesses the state. The caller holds the folder's lock.
 class Recovery {
  public:
-  /// All references must outlive this.
+  /// All referenced objects must outlive this object.
   Recovery(Disk& disk, const CompactionPolicy& policy, FolderUsage& usage, StoreState& state,
            const LogCallback& log);
 
-  /// Fills the index and the statistics. Errors: the folder can't be listed, holds an interrupted snapshot,
-  /// or the process is short of descriptors or memory.
+  /// Fills the index and the statistics. Errors: the folder can't be listed, it contains an interrupted
+  /// snapshot, or the process has run out of descriptors or memory.
   StoreStatus run(StoreId newStoreId);
-  /// The segments that were found; call once, after a successful run.
+  /// Returns the segments that were found; call it once, after a successful run.
   SegmentCatalog::Contents takeContents() { return std::move(contents_); }
 
  private:
-  /// A record that a hint tells of and the segment does not hold.
+  /// A record that a hint entry describes but the segment does not contain.
   struct LostRecord {
     SegmentNumber segment{};
     RecordId record;
-    std::uint64_t bytes = 0;  // 0 where an earlier start has counted it
+    std::uint64_t bytes = 0;  // 0 if an earlier recovery has already counted it
   };
-  /// A part of a file that holds no intact record.
-  struct CorruptStretch {
+  /// A range of a file without an intact record.
+  struct CorruptRange {
     std::uint64_t offset = 0;
     std::uint64_t bytes = 0;
   };
-  /// What a segment that was read through could not give.
+  /// The damage found while a segment was scanned.
   struct Damage {
     std::uint64_t fileBytes = 0;
-    std::vector<CorruptStretch> stretches;
-    std::uint64_t lostRecords = 0;  // acknowledged, and no other copy is left
+    std::vector<CorruptRange> corruptRanges;
+    std::uint64_t lostRecords = 0;  // acknowledged records of which no other copy is left
     std::uint64_t lostBytes = 0;
   };
 
-  void takeManifest();
+  void applyManifest();
   void noteLostSegment(const Manifest::Segment& segment);
   StoreStatus recoverSegment(SegmentNumber number, const FolderInventory::SegmentFiles& files);
   HintFile readHints(SegmentNumber number);
@@ -85,7 +86,7 @@
   std::map<SegmentNumber, Damage> damage_;
   SequenceNumber highestSequence_{};
   bool hasLostSegment_ = false;
-  SequenceNumber doubtfulBelow_{};  // a lost segment may have erased records below it
+  SequenceNumber discardBelow_{};  // a lost segment may have erased records with a lower sequence number
 };
 
 }  // namespace rainhook::store
--- a/src/store/requests.cpp
+++ b/src/store/requests.cpp
@@ -8,10 +8,10 @@
   if (write.key.empty()) return {StoreErrorCode::invalidArgument, "the key is empty"};
   if (write.key.size() > settings.maxKeyBytes)
     return {StoreErrorCode::entryTooLarge,
-            fmt::format("a key of {} bytes; {} are allowed", write.key.size(), settings.maxKeyBytes)};
+            fmt::format("the key has {} bytes; the limit is {}", write.key.size(), settings.maxKeyBytes)};
   if (write.value.size() > settings.maxValueBytes)
-    return {StoreErrorCode::entryTooLarge,
-            fmt::format("a value of {} bytes; {} are allowed", write.value.size(), settings.maxValueBytes)};
+    return {StoreErrorCode::entryTooLarge, fmt::format("the value has {} bytes; the limit is {}",
+                                                       write.value.size(), settings.maxValueBytes)};
   return {};
 }
 
--- a/src/store/requests.h
+++ b/src/store/requests.h
@@ -1,5 +1,5 @@
 /// @file
-/// What callers pass to the store and get back from it.
+/// The arguments and results of the store's operations.
 #pragma once
 
 #include <cstdint>
@@ -15,58 +15,58 @@
 
 namespace rainhook::store {
 
-/// Receives one line of the log at a time, on whichever thread found something to report.
+/// Receives one log line at a time, on the thread that reports it.
 using LogCallback = std::function<void(const std::string&)>;
-/// Receives how an operation ended, once.
+/// Receives the status of a completed operation; called once.
 using StatusCallback = std::function<void(StoreStatus)>;
 
-/// What a write does with its key.
+/// The kind of a write.
 enum class WriteKind { put, erase };
 
 /// One write.
 struct WriteRequest {
-  WriteKind kind = WriteKind::put;  ///< What it does.
-  std::string key;                  ///< Not empty, maxKeyBytes at most.
-  std::string value;                ///< maxValueBytes at most; empty in an erasure.
-  UnixTime expiry = neverExpires;   ///< From then on the key has no value.
+  WriteKind kind = WriteKind::put;  ///< The kind of the write.
+  std::string key;                  ///< Not empty, at most maxKeyBytes long.
+  std::string value;                ///< At most maxValueBytes long; empty in an erasure.
+  UnixTime expiry = neverExpires;   ///< The time from which the key has no value.
 
-  /// Gives the key this value.
+  /// Sets the key to this value.
   static WriteRequest put(std::string key, std::string value, UnixTime expiry = neverExpires) {
     return {WriteKind::put, std::move(key), std::move(value), expiry};
   }
-  /// Takes the key's value away.
+  /// Removes the key's value.
   static WriteRequest erase(std::string key) { return {WriteKind::erase, std::move(key), {}, neverExpires}; }
 
   /// Whether it is an erasure.
   bool isErase() const { return kind == WriteKind::erase; }
 };
 
-/// Whether a write may be accepted at all: invalidArgument for an empty key, entryTooLarge beyond the limits.
+/// Checks a write against the limits: invalidArgument for an empty key, entryTooLarge beyond the limits.
 StoreStatus validateWrite(const WriteRequest& write, const StoreSettings& settings);
 
-/// How a read ended.
+/// The result of a read.
 struct ReadResult {
-  std::optional<std::string> value;  ///< Absent: there is none, or `status` says why it can't be read.
-  UnixTime expiry = neverExpires;    ///< Of the value.
-  StoreStatus status;                ///< An error only where the value could not be read.
+  std::optional<std::string> value;  ///< Absent if the key has no value or `status` is an error.
+  UnixTime expiry = neverExpires;    ///< The value's expiry.
+  StoreStatus status;                ///< An error only if the value could not be read.
 };
-/// Receives how a read ended, once.
+/// Receives the result of a read; called once.
 using ReadCallback = std::function<void(ReadResult)>;
 
-/// Whether a scan by key includes the key that it starts from.
+/// Whether a scan by key includes its start key.
 enum class ScanStart { atKey, afterKey };
 
-/// A part of a scan over the live entries.
+/// One page of a scan over the live entries.
 struct ScanPage {
   /// One live entry.
   struct Row {
-    std::string key;          ///< Its key.
-    UnixTime expiry;          ///< When its value expires.
-    SequenceNumber sequence;  ///< Of its current record.
-    std::uint64_t bytes;      ///< Of the record on disk.
+    std::string key;          ///< The entry's key.
+    UnixTime expiry;          ///< When the value expires.
+    SequenceNumber sequence;  ///< Sequence number of the current record.
+    std::uint64_t bytes;      ///< Size of the record on disk.
   };
-  std::vector<Row> rows;  ///< In the order of the scan.
-  bool hasMore = false;   ///< The page ended before the entries did.
+  std::vector<Row> rows;  ///< The entries in scan order.
+  bool hasMore = false;   ///< More entries follow this page.
 };
 
 }  // namespace rainhook::store
--- a/src/store/segment_catalog.cpp
+++ b/src/store/segment_catalog.cpp
@@ -11,7 +11,7 @@
   return fileName + ": " + error.message();
 }
 
-SequenceNumber SegmentCatalog::takeSequence() {
+SequenceNumber SegmentCatalog::allocateSequence() {
   return std::exchange(contents_.nextSequence, successor(contents_.nextSequence));
 }
 
@@ -27,7 +27,7 @@
   }
   if (isSpareDurable_) return {};
   if (const DiskError error = disk_.syncDirectory())
-    return {StoreErrorCode::ioError, describeError("the folder", error)};
+    return {StoreErrorCode::ioError, describeError("sync of the store's folder", error)};
   isSpareDurable_ = true;
   return {};
 }
@@ -71,7 +71,8 @@
     contents_.sealed.insert(std::move(removed));
     return error;
   }
-  // No sync: what a crash leaves of the files is not listed, and the next start removes it.
+  // No sync is needed: if a crash leaves the files, the manifest does not list them and recovery removes
+  // them.
   if (!disk_.remove(segmentFileName(number))) usage_.subtract(removed.mapped().bytes);
   if (!disk_.remove(hintFileName(number))) usage_.subtract(removed.mapped().hintBytes);
   return {};
@@ -91,8 +92,7 @@
   out.nextSequence = contents_.nextSequence;
   out.floor = state_.index.floor();
   out.sweeps = contents_.sweeps.all();
-  // An untrusted segment is listed like one that is still being written, so that the next start distrusts it
-  // too.
+  // An untrusted segment is listed as not sealed, so that the next recovery treats it as untrusted, too.
   for (const auto& [number, segment] : contents_.sealed)
     out.segments.push_back({number, !segment.isUntrusted, segment.bytes, segment.lastSequence});
   if (scope == ManifestScope::sealedSegments) return out;
--- a/src/store/segment_catalog.h
+++ b/src/store/segment_catalog.h
@@ -19,86 +19,87 @@
 
 namespace rainhook::store {
 
-/// What a segment is being written for.
+/// The purpose of a segment that is being written.
 enum class SegmentRole { commits, compaction };
 
-/// Whether what was written to a segment can be relied on: not after a failed sync or truncation.
+/// Whether the contents of a segment are reliable. They are not after a failed sync or truncation.
 enum class SegmentTrust { trusted, untrusted };
 
-/// A segment that takes no more records.
+/// A segment that accepts no more records.
 struct SealedSegment {
-  std::uint64_t bytes = 0;            ///< Of the file of records.
-  std::uint64_t hintBytes = 0;        ///< Of the hint file.
-  std::uint64_t committedBytes = 0;   ///< Behind it may stand records of a write that failed.
-  SequenceNumber lastSequence{};      ///< The highest of its records.
+  std::uint64_t bytes = 0;            ///< Size of the segment file.
+  std::uint64_t hintBytes = 0;        ///< Size of the hint file.
+  std::uint64_t committedBytes = 0;   ///< Records after this offset may belong to a failed write.
+  SequenceNumber lastSequence{};      ///< The highest sequence number of its records.
   bool isUntrusted = false;           ///< A sync or a truncation of it failed.
   bool isDamaged = false;             ///< Some of its records can't be read.
-  std::vector<RecordId> lostRecords;  ///< Its unreadable records that hide older ones.
+  std::vector<RecordId> lostRecords;  ///< Its unreadable records that hide older records.
 };
 
-/// Belongs to the writer's thread, but for `storeId`. The names of a new segment are durable before the
-/// manifest lists it, and the manifest without an old one before its files are removed: a listed segment that
-/// is missing has been lost, an unlisted one of a lower number is a leftover.
+/// Only the writer thread may use it, except for `storeId`. The file names of a new segment are durable
+/// before the manifest lists it, and a manifest without an old segment is durable before that segment's files
+/// are removed. Therefore a listed segment that is missing has been lost, and an unlisted one with a number
+/// below `nextSegment` is left over from an interrupted removal.
 class SegmentCatalog {
  public:
-  /// What recovery finds in the folder.
+  /// The state that recovery finds in the folder.
   struct Contents {
-    StoreId storeId{};                              ///< Of the store in the folder.
+    StoreId storeId{};                              ///< The id of the store in the folder.
     SegmentNumber nextSegment{1};                   ///< The number of the next new segment.
-    SequenceNumber nextSequence{1};                 ///< Of the next record.
-    ExpirySweeps sweeps;                            ///< Of the manifest and of later records.
+    SequenceNumber nextSequence{1};                 ///< The sequence number of the next record.
+    ExpirySweeps sweeps;                            ///< The sweeps in the manifest and in later records.
     std::map<SegmentNumber, SealedSegment> sealed;  ///< All segments that were found.
-    std::uint64_t manifestBytes = 0;                ///< Size of the manifest's file.
+    std::uint64_t manifestBytes = 0;                ///< Size of the manifest file.
   };
-  /// Which segments a manifest is to list.
+  /// Which segments a manifest lists.
   enum class ManifestScope { allSegments, sealedSegments };
 
-  /// All references must outlive this.
+  /// All referenced objects must outlive this object.
   SegmentCatalog(Disk& disk, FolderUsage& usage, const StoreState& state)
       : disk_(disk), usage_(usage), state_(state) {}
 
-  /// Takes over what recovery found; call once, before everything else.
+  /// Sets the state that recovery found; call it once, before all other functions.
   void restore(Contents contents) { contents_ = std::move(contents); }
 
-  /// Of the open store.
+  /// The id of the open store.
   StoreId storeId() const { return contents_.storeId; }
-  /// Of the next record.
+  /// The sequence number of the next record.
   SequenceNumber nextSequence() const { return contents_.nextSequence; }
-  /// Returns the next sequence number, which is used with that.
-  SequenceNumber takeSequence();
-  /// Remembers a sweep that is durable.
+  /// Allocates and returns the next sequence number.
+  SequenceNumber allocateSequence();
+  /// Adds a sweep that is durable.
   void addSweep(ExpirySweep sweep) { contents_.sweeps.add(sweep); }
 
-  /// The segment that is being written for this role; null where there is none.
+  /// The segment that is being written for this role; null if there is none.
   SegmentWriter* writer(SegmentRole role) { return writerSlot(role).get(); }
-  /// The same for reading.
+  /// The const overload.
   const SegmentWriter* writer(SegmentRole role) const {
     return role == SegmentRole::commits ? commitWriter_.get() : compactionWriter_.get();
   }
-  /// Begins a segment for this role, which must have none.
+  /// Starts a segment for this role, which must have none.
   StoreStatus openWriter(SegmentRole role);
-  /// Creates the next segment ahead of its need.
+  /// Creates the next segment before it is needed.
   StoreStatus prepareSpare();
-  /// Whether `openWriter` would not have to create files.
+  /// Whether `openWriter` can start a segment without creating its files.
   bool hasDurableSpare() const { return spare_ && isSpareDurable_; }
-  /// Ends the segment of this role, which must have one.
+  /// Seals the segment of this role, which must have one.
   void seal(SegmentRole role, SegmentTrust trust);
 
-  /// By their numbers.
+  /// The sealed segments by number.
   const std::map<SegmentNumber, SealedSegment>& sealedSegments() const { return contents_.sealed; }
-  /// Null where that segment is not sealed.
+  /// Returns null if the segment is not sealed.
   SealedSegment* findSealed(SegmentNumber number);
-  /// Whether any segment still has to be written anew.
+  /// Whether there is an untrusted segment, whose live records still have to be rewritten.
   bool hasUntrustedSegment() const;
-  /// Takes a sealed segment out of the manifest, then removes its files. On an error it stays.
+  /// Removes a sealed segment from the manifest, then removes its files. On an error the segment stays.
   DiskError removeSealed(SegmentNumber number);
 
-  /// What the manifest says at present.
+  /// The current contents of the manifest.
   Manifest manifest(ManifestScope scope) const;
   /// Replaces the manifest on disk.
   DiskError writeManifest();
 
-  /// What CompactionPolicy decides from.
+  /// The input of CompactionPolicy.
   StoreOccupancy occupancy() const;
 
  private:
@@ -113,11 +114,11 @@
   Contents contents_;
   std::unique_ptr<SegmentWriter> commitWriter_;
   std::unique_ptr<SegmentWriter> compactionWriter_;
-  std::unique_ptr<SegmentWriter> spare_;  // created ahead, or the manifest could not list it yet
-  bool isSpareDurable_ = false;           // its names are on the disk
+  std::unique_ptr<SegmentWriter> spare_;  // created early, or its manifest could not be written yet
+  bool isSpareDurable_ = false;           // its directory entries are durable
 };
 
-/// "NAME: ERROR", as statuses and the log have it.
+/// Formats "NAME: ERROR" for statuses and the log.
 std::string describeError(const std::string& fileName, const DiskError& error);
 
 }  // namespace rainhook::store
--- a/src/store/segment_file_cache.h
+++ b/src/store/segment_file_cache.h
@@ -1,5 +1,5 @@
 /// @file
-/// The segments that are open for reading.
+/// The segment files that are open for reading.
 #pragma once
 
 #include <cstdint>
@@ -12,16 +12,17 @@
 
 namespace rainhook::store {
 
-/// Keeps a bounded number of files open, the most recently used ones. Any thread may call. A file that is
-/// evicted stays readable for whoever holds it.
+/// Keeps the most recently used files open, up to a limit. Thread-safe. An evicted file stays readable
+/// through the pointers to it that still exist.
 class SegmentFileCache {
  public:
-  /// The disk must outlive this.
+  /// The disk must outlive this object.
   SegmentFileCache(Disk& disk, std::uint64_t maxOpenFiles) : disk_(disk), maxOpenFiles_(maxOpenFiles) {}
 
-  /// Opens the segment's file, or returns the one that is open.
+  /// Opens the segment file, or returns it if it is already open.
   Disk::OpenResult open(SegmentNumber number);
-  /// Call after the file has lost its name, or a reader could open it once more.
+  /// Removes the file from the cache. Call this only after the file was removed from the disk; otherwise a
+  /// reader could open it again.
   void evict(SegmentNumber number);
 
  private:
@@ -33,7 +34,7 @@
 
   Disk& disk_;
   const std::uint64_t maxOpenFiles_;
-  std::mutex mutex_;  // over what follows
+  std::mutex mutex_;  // guards the members below
   std::map<SegmentNumber, OpenFile> files_;
   std::uint64_t uses_ = 0;
 };
--- a/src/store/segment_writer.cpp
+++ b/src/store/segment_writer.cpp
@@ -102,7 +102,7 @@
   const std::string hints = std::exchange(pendingHints_, {});
   if (!hintFile_) return;
   if (writeAll(*hintFile_, hintBytes_, hints))
-    hintFile_.reset();  // the next start uses the entries that are intact, and writes the file anew
+    hintFile_.reset();  // recovery uses the intact entries and rewrites the file
   else
     hintBytes_ += hints.size();
 }
@@ -113,7 +113,8 @@
   appendHint(RecordKind::hintEnd, {}, {committedBytes_, committedRecords_});
   const std::string hints = std::exchange(pendingHints_, {});
   if (!writeAll(*hintFile_, hintBytes_, hints)) hintBytes_ += hints.size();
-  hintFile_->startWriteback();  // no need to wait: a start that finds it incomplete reads the segment
+  // No sync is needed: recovery reads the segment if the hint file is incomplete.
+  hintFile_->startWriteback();
   hintFile_.reset();
 }
 
--- a/src/store/segment_writer.h
+++ b/src/store/segment_writer.h
@@ -1,5 +1,5 @@
 /// @file
-/// One segment that is being written, with its hint file beside it.
+/// Writes one segment and its hint file.
 #pragma once
 
 #include <cstdint>
@@ -13,52 +13,54 @@
 
 namespace rainhook::store {
 
-/// Records go `append` -> `flush` -> `sync` -> `commit`, or back by `rollBack`. The hint entry of a record
-/// follows only with the commit: a hint must never describe a write that a crash undid, since it would hide
-/// the acknowledged record before it. Belongs to the writer's thread; keeps FolderUsage up to date.
+/// Records go through `append` -> `flush` -> `sync` -> `commit`; `rollBack` drops them. The hint entry of a
+/// record is written only by `commit`: a hint must never describe a write that a crash undid, because it
+/// would hide the previous acknowledged record. Only the writer thread may use it. Keeps FolderUsage up to
+/// date.
 class SegmentWriter {
  public:
-  /// How the creation of a segment ended.
+  /// The result of creating a segment.
   struct CreateResult {
-    std::unique_ptr<SegmentWriter> segment;  ///< Null with an error.
-    DiskError error;                         ///< Why there is none.
+    std::unique_ptr<SegmentWriter> segment;  ///< Null on an error.
+    DiskError error;                         ///< Why the segment could not be created.
   };
-  /// Creates both files with their headers; the directory is not synced yet. Where the hint file can't be
-  /// created the segment goes without, and the next start creates it.
+  /// Creates both files with their headers; does not sync the directory. If the hint file can't be created,
+  /// the segment has none until the next recovery creates it.
   static CreateResult create(Disk& disk, FolderUsage& usage, StoreId storeId, SegmentNumber number);
 
-  /// Encodes a record behind those that wait for `flush`; returns where it will stand.
+  /// Adds a record to those that the next `flush` writes; returns the location that it will have.
   RecordLocation append(const Record& record);
-  /// Writes what was appended. On an error all of it is dropped and the file truncated to before.
+  /// Writes the appended records. On an error, drops all uncommitted records and truncates the file to the
+  /// committed size.
   DiskError flush();
-  /// What was flushed is durable once this succeeds.
+  /// Makes the flushed records durable if it succeeds.
   DiskError sync() { return file_->sync(); }
-  /// A hint to the system to write back what was flushed.
+  /// Asks the system to start writing back the flushed records.
   void startWriteback() { file_->startWriteback(); }
-  /// Drops what was appended or flushed since the last commit.
+  /// Drops the records that were appended or flushed since the last commit.
   void rollBack();
-  /// What was flushed counts from now on: its entries go into the hint file.
+  /// Commits the flushed records and writes their hint entries.
   void commit();
-  /// Ends the hint file; the segment takes no more. Nothing is lost where this fails.
+  /// Writes the end of the hint file; the segment accepts no more records. A failure loses no data.
   void seal();
 
-  /// Which segment.
+  /// The number of the segment.
   SegmentNumber number() const { return header_.segment; }
-  /// Of the segment's file.
+  /// Size of the segment file.
   std::uint64_t bytes() const { return writtenBytes_; }
-  /// What counts of the file; behind it may stand what failed.
+  /// Size of the committed part of the file; data of a failed write may follow it.
   std::uint64_t committedBytes() const { return committedBytes_; }
-  /// Of the hint file.
+  /// Size of the hint file.
   std::uint64_t hintBytes() const { return hintBytes_; }
-  /// Of both files once everything that waits has been written and the segment is sealed.
+  /// Size of both files after all pending data is written and the segment is sealed.
   std::uint64_t projectedBytes() const;
-  /// The highest of all records that were appended.
+  /// The highest sequence number of all appended records.
   SequenceNumber lastSequence() const { return lastSequence_; }
-  /// A failed write could not be truncated: nothing more may go in.
+  /// Whether a failed write could not be truncated. Nothing more may be written to the segment then.
   bool isBroken() const { return isBroken_; }
 
  private:
-  /// Reports the growth of both files during its scope.
+  /// Updates FolderUsage by the change in size of both files during its scope.
   class UsageUpdate;
 
   SegmentWriter(FolderUsage& usage, StoreId storeId, SegmentNumber number);
@@ -68,7 +70,7 @@
   FolderUsage& usage_;
   FileHeader header_;
   std::shared_ptr<File> file_;
-  std::shared_ptr<File> hintFile_;  // null where it failed or the segment is sealed
+  std::shared_ptr<File> hintFile_;  // null after a failure or once the segment is sealed
   std::string pendingRecords_;      // not flushed yet
   std::string pendingHints_;        // not committed yet
   std::uint64_t writtenBytes_ = fileHeaderBytes;
--- a/src/store/snapshot_copy.cpp
+++ b/src/store/snapshot_copy.cpp
@@ -12,7 +12,7 @@
 }
 
 StoreStatus folderFailure(const DiskError& error) {
-  return {StoreErrorCode::ioError, "the snapshot's folder: " + error.message()};
+  return {StoreErrorCode::ioError, "snapshot: the destination folder: " + error.message()};
 }
 
 }  // namespace
@@ -29,10 +29,11 @@
 StoreStatus SnapshotCopy::prepare(Disk& destination) {
   std::vector<Disk::DirectoryEntry> files;
   if (const DiskError error = destination.list(files)) return folderFailure(error);
-  if (!files.empty()) return {StoreErrorCode::invalidArgument, "the snapshot's folder is not empty"};
+  if (!files.empty())
+    return {StoreErrorCode::invalidArgument,
+            "snapshot: the destination folder is not empty; it contains " + files.front().name};
   const auto marker = destination.create(incompleteMarkerFileName);
-  if (marker.error)
-    return {StoreErrorCode::ioError, std::string(incompleteMarkerFileName) + ": " + marker.error.message()};
+  if (marker.error) return copyFailure(incompleteMarkerFileName, marker.error);
   if (const DiskError error = destination.syncDirectory()) {
     destination.remove(incompleteMarkerFileName);
     return folderFailure(error);
@@ -50,12 +51,12 @@
   return std::nullopt;
 }
 
-/// Leaves `from_` null where the file is missing.
+/// Leaves `from_` null if the file is missing.
 StoreStatus SnapshotCopy::openNextFile() {
   const std::string name = remainingFiles_.back();
   auto from = source_.open(name);
   if (from.error == std::errc::no_such_file_or_directory) {
-    remainingFiles_.pop_back();  // a hint file that could not be created
+    remainingFiles_.pop_back();  // a hint file is missing if it could not be created
     return {};
   }
   if (from.error) return copyFailure(name, from.error);
@@ -91,16 +92,16 @@
   if (const DiskError error = writeAll(*opened.file, 0, manifest_))
     return copyFailure(manifestFileName, error);
   if (const DiskError error = opened.file->sync()) return copyFailure(manifestFileName, error);
-  if (const DiskError error = destination_->syncDirectory()) return copyFailure("the folder", error);
+  if (const DiskError error = destination_->syncDirectory()) return folderFailure(error);
   if (const DiskError error = destination_->remove(incompleteMarkerFileName))
     return copyFailure(incompleteMarkerFileName, error);
-  if (const DiskError error = destination_->syncDirectory()) return copyFailure("the folder", error);
+  if (const DiskError error = destination_->syncDirectory()) return folderFailure(error);
   createdFiles_.clear();
   return {};
 }
 
 void SnapshotCopy::finish(StoreStatus status) {
-  // The marker goes last: until then nobody takes the folder for a store.
+  // The marker file is removed last; while it exists, the folder can't be opened as a store.
   while (!createdFiles_.empty()) {
     destination_->remove(createdFiles_.back());
     createdFiles_.pop_back();
--- a/src/store/snapshot_copy.h
+++ b/src/store/snapshot_copy.h
@@ -1,5 +1,5 @@
 /// @file
-/// A copy of a store in another folder, made a step at a time while writes go on.
+/// Copies a store to another folder in small steps while writes continue.
 #pragma once
 
 #include <cstdint>
@@ -14,22 +14,21 @@
 
 namespace rainhook::store {
 
-/// Copies sealed segments, none of which may be compacted until the end. A marker stands in the destination
-/// until all of it is there, so that an interrupted copy, which may hold older records without what erased
-/// them, is never taken for a store. Belongs to the writer's thread.
+/// Copies sealed segments, none of which may be compacted until the copy has finished. The destination
+/// contains a marker file until the copy is complete: an interrupted copy may contain older records without
+/// the records that erased them, so it must never be opened as a store. Only the writer thread may use it.
 class SnapshotCopy {
  public:
-  /// `files` are copied from the last to the first; a missing one is skipped. `manifest` lists their
-  /// segments.
+  /// Copies `files` from the last to the first and skips missing ones. `manifest` lists their segments.
   SnapshotCopy(Disk& source, std::unique_ptr<Disk> destination, std::vector<std::string> files,
                std::string manifest, StatusCallback onEnded);
 
-  /// Puts the marker into the destination, which must be empty.
+  /// Creates the marker file in the destination, which must be empty.
   static StoreStatus prepare(Disk& destination);
 
-  /// Copies `budgetBytes` at most. Returns how it ended once it has.
+  /// Copies at most `budgetBytes`. Returns the final status once the copy has ended.
   std::optional<StoreStatus> step(std::uint64_t budgetBytes);
-  /// Removes what was copied unless it is whole, then calls back.
+  /// Removes the copied files unless the copy is complete, then calls the callback.
   void finish(StoreStatus status);
 
  private:
--- a/src/store/status.h
+++ b/src/store/status.h
@@ -1,5 +1,5 @@
 /// @file
-/// How a call on the store ended.
+/// The status of a call to the store.
 #pragma once
 
 #include <string>
@@ -9,22 +9,22 @@
 /// Why a call failed.
 enum class StoreErrorCode {
   none,
-  storeFull,        ///< No room under the limits, and none could be made.
+  storeFull,        ///< The limits leave no room, and none could be freed.
   entryTooLarge,    ///< The key or the value is longer than the settings allow.
-  queueFull,        ///< Too much is pending; try again once some of it has completed.
-  ioError,          ///< The disk failed. Whether a failed write is there after a restart is open.
+  queueFull,        ///< Too many bytes are pending; retry after some calls have completed.
+  ioError,          ///< A disk error. A failed write may or may not be present after a restart.
   locked,           ///< Another process has the folder open.
   closed,           ///< The store is not open.
-  corruptRecord,    ///< The entry's record can't be read any more.
-  invalidArgument,  ///< The call makes no sense as it is.
+  corruptRecord,    ///< The entry's record can no longer be read.
+  invalidArgument,  ///< An argument of the call is invalid.
 };
 
-/// How a call ended; a failure must not be dropped.
+/// The status of a call; a failure must not be ignored.
 struct [[nodiscard]] StoreStatus {
-  StoreErrorCode code = StoreErrorCode::none;  ///< Why it failed.
-  std::string message;                         ///< For people: which file, which limit, which process.
+  StoreErrorCode code = StoreErrorCode::none;  ///< Why the call failed.
+  std::string message;                         ///< Human-readable: the file, limit or process concerned.
 
-  /// Whether it succeeded.
+  /// Whether the call succeeded.
   bool isOk() const { return code == StoreErrorCode::none; }
 };
 
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -11,11 +11,11 @@
 namespace rainhook::store {
 namespace {
 
-/// How long the writer sleeps with nothing to do, before it looks for what has expired.
+/// How long the writer thread sleeps without work before it checks for expired entries.
 constexpr std::chrono::milliseconds idleInterval{500};
-/// How long `waitUntilIdle` waits for the next completion before it looks again.
+/// How long `waitUntilIdle` waits for the next completion before it checks again.
 constexpr int pollTimeoutMs = 1000;
-/// What an accepted call occupies besides its key and value.
+/// The memory that an accepted call uses besides its key and value.
 constexpr std::uint64_t queueEntryOverhead = 256;
 
 }  // namespace
@@ -52,7 +52,9 @@
   if (!isOpen_ || isStopping_) return {StoreErrorCode::closed, "the store is closed"};
   if (queueBytes_ + bytes > settings_.maxQueueBytes) {
     ++rejectedCalls_;
-    return {StoreErrorCode::queueFull, fmt::format("{} bytes wait to be written or heard", queueBytes_)};
+    return {StoreErrorCode::queueFull,
+            fmt::format("the queue is full: {} of {} bytes are pending, the call needs {}", queueBytes_,
+                        settings_.maxQueueBytes, bytes)};
   }
   queueBytes_ += bytes;
   peakQueueBytes_ = std::max(peakQueueBytes_, queueBytes_);
@@ -61,7 +63,7 @@
 
 StoreStatus Store::enqueueWrite(WriteRequest request, StatusCallback onDone) {
   if (auto status = validateWrite(request, settings_); !status.isOk()) return status;
-  // Twice: in the queue and among what `get` sees.
+  // The key and the value are held twice: in `queue_` and in `uncommitted_`.
   const std::uint64_t bytes = 2 * (request.key.size() + request.value.size()) + queueEntryOverhead;
   const std::lock_guard lock(mutex_);
   if (auto status = reserveQueueBytes(bytes); !status.isOk()) return status;
@@ -107,7 +109,7 @@
 }
 
 StoreStatus Store::snapshot(std::unique_ptr<Disk> destination, StatusCallback onDone) {
-  // Shared only because std::function has to be copyable.
+  // The pointer is shared only because a std::function must be copyable.
   auto disk = std::make_shared<std::unique_ptr<Disk>>(std::move(destination));
   return enqueueTask(queueEntryOverhead, [this, disk, onDone = std::move(onDone)] {
     const StatusCallback onEnded = postingCallback(queueEntryOverhead, onDone);
@@ -126,7 +128,7 @@
   const std::lock_guard lock(mutex_);
   completions_.push_back({std::move(callback), queueBytes});
   const std::uint64_t increment = 1;
-  // It fails only where the counter is full, and then the descriptor is readable.
+  // The write fails only if the counter is at its maximum, and then the descriptor is readable anyway.
   [[maybe_unused]] const auto written = ::write(eventDescriptor_, &increment, sizeof increment);
 }
 
@@ -173,7 +175,7 @@
       tasks.swap(tasks_);
       if (isStopping_ && batch.empty() && tasks.empty()) break;
     }
-    const bool hasWrites = !batch.empty();  // whoever wrote now will soon write again
+    const bool hasWrites = !batch.empty();  // more writes are likely to follow soon
     if (hasWrites) commit(std::move(batch));
     for (const auto& task : tasks) task();
     hasMaintenance = store_.runMaintenance(clock_(), hasWrites);
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -1,5 +1,5 @@
 /// @file
-/// The embedded store: a LogStructuredStore with a thread of its own that does all the writing.
+/// The embedded store: a LogStructuredStore with its own thread that does all the writing.
 #pragma once
 
 #include <condition_variable>
@@ -24,68 +24,69 @@
 
 namespace rainhook::store {
 
-/// Any thread may call, unless said. What is put is seen by `get` at once, and its callback comes once it is
-/// durable. Callbacks run in `dispatchCompletions`, which the owner calls when `eventFd` is readable, so that
-/// a reactor never waits for the disk.
+/// Thread-safe unless stated otherwise. `get` sees a put value immediately; the callback of the put runs once
+/// the value is durable. Callbacks run in `dispatchCompletions`, which the owner calls when `eventFd` is
+/// readable, so that a reactor never waits for the disk.
 ///
-/// Bounds: what was accepted counts against `maxQueueBytes` until its callback has run, a read with the
-/// longest value that it may bring; beyond that a call is refused at once.
+/// Bounds: an accepted call counts against `maxQueueBytes` until its callback has run; a read counts with the
+/// longest value that it may return. A call that would exceed the limit is rejected immediately.
 class Store {
  public:
-  /// Called on the writer's thread and on those that read.
+  /// Returns the current time. It is called on the writer thread and on the threads that read.
   using Clock = std::function<UnixTime()>;
 
   /// Counters since the store was opened.
   struct Statistics {
-    StoreStatistics log;               ///< Of the LogStructuredStore.
-    std::uint64_t queueBytes = 0;      ///< What is pending at present.
-    std::uint64_t peakQueueBytes = 0;  ///< The most that was pending.
-    std::uint64_t rejectedCalls = 0;   ///< Because the queue was full.
+    StoreStatistics log;               ///< The statistics of the LogStructuredStore.
+    std::uint64_t queueBytes = 0;      ///< Bytes that are currently pending.
+    std::uint64_t peakQueueBytes = 0;  ///< The largest `queueBytes`.
+    std::uint64_t rejectedCalls = 0;   ///< Calls rejected because the queue was full.
   };
 
-  /// Owns the disk. `log` receives lines on any of these threads.
+  /// Owns the disk. `log` receives lines on the writer thread and on the threads that read.
   Store(std::unique_ptr<Disk> disk, const StoreSettings& settings, Clock clock, LogCallback log);
   /// Closes the store.
   ~Store();
   Store(const Store&) = delete;
   Store& operator=(const Store&) = delete;
 
-  /// Recovers, which may take seconds, and starts the writer; call once, before anything else. `seed` becomes
-  /// the id of a store that is only now created. Errors: locked, ioError, invalidArgument for an interrupted
-  /// snapshot.
+  /// Recovers the store, which may take seconds, and starts the writer thread; call it once, before all other
+  /// functions. `seed` becomes the store's id if the folder contains no store yet. Errors: locked, ioError,
+  /// invalidArgument for an interrupted snapshot.
   StoreStatus open(std::uint64_t seed);
 
-  /// Accepts a write or refuses it at once (queueFull, entryTooLarge, invalidArgument, closed); `onDone` is
-  /// called only where it was accepted.
+  /// Accepts a write or rejects it immediately (queueFull, entryTooLarge, invalidArgument, closed); `onDone`
+  /// is called only if the write was accepted.
   StoreStatus put(std::string key, std::string value, UnixTime expiry, StatusCallback onDone);
-  /// The same for an erasure; it succeeds also where there is nothing to erase.
+  /// Accepts an erasure like `put`; erasing a key without a value succeeds.
   StoreStatus erase(std::string key, StatusCallback onDone);
-  /// What was put and has not been refused since, or what is on the disk. May wait for a read of the disk.
+  /// Returns the latest accepted write that has not failed, or else the value on disk. May block on a disk
+  /// read.
   ReadResult get(std::string_view key) const;
-  /// The same without waiting: the writer reads between two commits.
+  /// Like `get`, but never blocks: the writer thread reads between two commits.
   StoreStatus getAsync(std::string key, ReadCallback onDone);
 
-  /// What is on the disk, a page at a time.
+  /// Returns a page of the entries on disk in key order.
   ScanPage scanByKey(std::string_view from, ScanStart start, std::size_t maxRows) const;
-  /// The oldest entries first, beginning after the cursor.
+  /// Returns a page of the entries on disk, the oldest first, starting after the cursor.
   ScanPage scanByAge(const std::optional<KeyIndex::AgeCursor>& cursor, std::size_t maxRows) const;
-  /// Counters since `open`, and the present size.
+  /// The counters since `open` and the current sizes.
   Statistics statistics() const;
-  /// Of the open store.
+  /// The id of the open store.
   StoreId id() const { return store_.id(); }
 
-  /// Copies the store into an empty folder while writes go on.
+  /// Copies the store into an empty folder while writes continue.
   StoreStatus snapshot(std::unique_ptr<Disk> destination, StatusCallback onDone);
-  /// Writes every segment anew that holds anything dead.
+  /// Rewrites every segment with dead bytes.
   StoreStatus compact(StatusCallback onDone);
 
-  /// Readable while callbacks wait to be run.
+  /// A file descriptor that is readable while completed calls have callbacks to run.
   int eventFd() const { return eventDescriptor_; }
-  /// Runs the callbacks of what has completed, on this thread.
+  /// Runs the callbacks of completed calls on the calling thread.
   void dispatchCompletions();
-  /// Dispatches until nothing that was accepted is pending; for commands and tests.
+  /// Dispatches completions until no accepted call is pending. Intended for commands and tests.
   void waitUntilIdle();
-  /// Writes all that was accepted, then ends the writer and runs the last callbacks.
+  /// Writes all accepted writes, stops the writer thread and runs the remaining callbacks.
   void close();
 
  private:
@@ -95,7 +96,7 @@
     std::uint64_t queueBytes = 0;
     std::uint64_t number = 0;
   };
-  /// The latest write of a key that is not committed yet.
+  /// The latest write of a key that has not been committed yet.
   struct UncommittedValue {
     std::uint64_t number = 0;
     WriteKind kind = WriteKind::put;
@@ -104,7 +105,7 @@
   };
   struct Completion {
     std::function<void()> callback;
-    std::uint64_t queueBytes = 0;  // released once it has run
+    std::uint64_t queueBytes = 0;  // released after the callback has run
   };
 
   StoreStatus enqueueWrite(WriteRequest request, StatusCallback onDone);
@@ -113,7 +114,8 @@
   void runWriter();
   void commit(std::vector<QueuedWrite> batch);
   void postCompletion(std::uint64_t queueBytes, std::function<void()> callback);
-  /// A callback for an operation that ends later, on the writer's thread.
+  /// Returns a callback that the writer thread calls when an operation ends; it posts `onDone` as a
+  /// completion.
   StatusCallback postingCallback(std::uint64_t queueBytes, StatusCallback onDone);
 
   const std::unique_ptr<Disk> disk_;
@@ -122,12 +124,12 @@
   LogStructuredStore store_;
   const int eventDescriptor_;
 
-  mutable std::mutex mutex_;  // over what follows
+  mutable std::mutex mutex_;  // guards the members below
   std::condition_variable wakeWriter_;
   std::deque<QueuedWrite> queue_;
   std::unordered_map<std::string, UncommittedValue> uncommitted_;
-  std::vector<std::function<void()>> tasks_;  // reads, snapshots, compactions for the writer
-  std::vector<Completion> completions_;       // until they are dispatched
+  std::vector<std::function<void()>> tasks_;  // reads, snapshots and compactions for the writer thread
+  std::vector<Completion> completions_;       // completed calls that are not dispatched yet
   std::uint64_t queueBytes_ = 0;
   std::uint64_t peakQueueBytes_ = 0;
   std::uint64_t rejectedCalls_ = 0;
--- a/src/store/store_state.h
+++ b/src/store/store_state.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the writer of a store shares with readers on other threads.
+/// The state that a store's writer thread shares with readers on other threads.
 #pragma once
 
 #include <algorithm>
@@ -14,30 +14,31 @@
 
 namespace rainhook::store {
 
-/// A record as the index knows it, without its place.
+/// Identifies a record independently of its location.
 struct RecordId {
-  std::string key;            ///< Its key.
-  SequenceNumber sequence{};  ///< Its place in the order of writing.
+  std::string key;            ///< The record's key.
+  SequenceNumber sequence{};  ///< The record's sequence number.
 };
 
 /// A record that a read has found to be corrupt.
 struct CorruptRecord {
-  SegmentNumber segment{};  ///< Where it stands.
-  RecordId record;          ///< Which record.
+  SegmentNumber segment{};  ///< The segment that contains it.
+  RecordId record;          ///< The corrupt record.
 };
 
-/// Hold `mutex` for all of it. Only the writer raises the floor of the index, so it may read that without.
+/// Hold `mutex` while accessing any member. As an exception, the writer thread may read the floor of the
+/// index without it, because only that thread raises the floor.
 struct StoreState {
-  mutable std::mutex mutex;    ///< Over all that follows.
-  KeyIndex index;              ///< Of all keys.
-  StoreStatistics statistics;  ///< Without the present size, which is computed on demand.
-  /// The latest time by which something was seen as expired and no record on disk says so yet.
+  mutable std::mutex mutex;    ///< Guards all members below.
+  KeyIndex index;              ///< The index of all keys.
+  StoreStatistics statistics;  ///< Without the current sizes, which are computed on demand.
+  /// The latest time at which an entry was found to be expired, if no expiry sweep on disk covers it yet.
   std::optional<UnixTime> unrecordedExpiry;
-  /// Found by readers; the writer takes them over with its next maintenance step.
+  /// Corrupt records found by readers; the writer thread processes them in its next maintenance step.
   std::vector<CorruptRecord> corruptRecords;
 
-  /// Remembers that something was seen as expired: a clock that steps back before the next commit must not
-  /// revive it. The caller holds the mutex.
+  /// Records that an entry was found to be expired, so that it stays expired even if the clock steps back
+  /// before the next commit. The caller holds the mutex.
   void noteExpired(UnixTime now) {
     unrecordedExpiry = unrecordedExpiry ? std::max(*unrecordedExpiry, now) : now;
   }
--- a/src/store/verifier.cpp
+++ b/src/store/verifier.cpp
@@ -17,10 +17,10 @@
 namespace rainhook::store {
 namespace {
 
-/// The sequence numbers of a segment's records by their offsets.
+/// The sequence numbers of a segment's records by offset.
 using RecordsByOffset = std::map<std::uint64_t, SequenceNumber>;
 
-/// A key with everything but printable characters escaped.
+/// Escapes all characters of a key except printable ASCII characters.
 std::string printable(std::string_view key) {
   std::string out;
   for (const char character : key) {
@@ -47,24 +47,26 @@
       else if (file.name == manifestFileName)
         hasManifest = true;
       else if (file.name != lockFileName)
-        note(file.name, 0, file.bytes, "is none of the store's");
+        note(file.name, 0, file.bytes, "the file does not belong to the store");
     }
     if (hasManifest)
       readManifest();
     else if (!segments_.empty())
-      damage(manifestFileName, 0, 0, "is missing");
+      damage(manifestFileName, 0, 0, "the manifest is missing");
     for (const Manifest::Segment& listed : manifest_.segments)
       if (!segments_.contains(listed.number))
-        damage(segmentFileName(listed.number), 0, listed.bytes, "is missing");
+        damage(segmentFileName(listed.number), 0, listed.bytes,
+               "the segment is listed in the manifest, but its files are missing");
     for (const auto& [number, kinds] : segments_) checkSegment(number, kinds);
     return {};
   }
 
  private:
-  /// What reading a segment through gave.
+  /// The result of scanning a segment.
   struct SegmentContents {
     RecordsByOffset records;
-    /// What could be a write that a crash interrupted, at the end of a segment that was not sealed.
+    /// A corrupt range at the end of a segment that was not sealed; a crash may have interrupted a write
+    /// there.
     std::optional<VerificationReport::Finding> tail;
   };
 
@@ -81,13 +83,14 @@
     std::string bytes(static_cast<std::size_t>(opened.file->size()), '\0');
     const IoResult read = readAll(*opened.file, 0, bytes);
     const auto decoded = decodeManifest(std::string_view(bytes).substr(0, read.bytes));
-    if (!decoded.manifest) return damage(manifestFileName, 0, bytes.size(), "can't be read");
+    if (!decoded.manifest)
+      return damage(manifestFileName, 0, bytes.size(), "the manifest is corrupt or of a newer version");
     manifest_ = *decoded.manifest;
     storeId_ = manifest_.storeId;
   }
 
-  /// Null where the file can't be opened or does not belong to the store. The id in the header serves where
-  /// the manifest has none.
+  /// Returns null if the file can't be opened or does not belong to the store. Without a manifest, the first
+  /// file header determines the store's id.
   std::shared_ptr<File> open(const std::string& name, FileKind kind) {
     const auto opened = disk_.open(name);
     if (!opened.file) {
@@ -98,16 +101,16 @@
     const IoResult read = readAll(*opened.file, 0, bytes);
     const auto header = decodeHeader(std::string_view(bytes).substr(0, read.bytes));
     if (header.error == HeaderError::newerVersion) {
-      note(name, 0, opened.file->size(), "is of a newer version");
+      note(name, 0, opened.file->size(), "the file has a newer format version");
       return nullptr;
     }
     if (header.error != HeaderError::none || header.header.kind != kind) {
-      damage(name, 0, fileHeaderBytes, "its head is damaged");
+      damage(name, 0, fileHeaderBytes, "the file header is corrupt");
       return opened.file;
     }
     if (!storeId_) storeId_ = header.header.storeId;
     if (*storeId_ != header.header.storeId) {
-      note(name, 0, opened.file->size(), "belongs to another store");
+      note(name, 0, opened.file->size(), "the file belongs to another store");
       return nullptr;
     }
     return opened.file;
@@ -129,12 +132,12 @@
     if (kinds.contains(FileKind::segment))
       contents = checkRecords(number, sealed);
     else
-      damage(name, 0, sealed ? sealed->bytes : 0, "is missing");
+      damage(name, 0, sealed ? sealed->bytes : 0, "the segment file is missing");
     std::uint64_t lostRecords = 0;
     if (kinds.contains(FileKind::hint)) lostRecords = checkHints(number, contents.records, sealed != nullptr);
     if (!contents.tail) return;
     if (lostRecords > 0)
-      damage(name, contents.tail->offset, contents.tail->bytes, "can't be read");
+      damage(name, contents.tail->offset, contents.tail->bytes, "the range contains no intact record");
     else
       report_.notes.push_back(*contents.tail);
   }
@@ -151,16 +154,17 @@
         out.records[step.offset] = step.record.sequence;
         ++report_.records;
       } else if (!sealed && step.offset + step.bytes == fileBytes) {
-        out.tail = {name, step.offset, step.bytes, "a write that was cut short"};
+        out.tail = {name, step.offset, step.bytes, "an interrupted, unacknowledged write"};
       } else {
-        damage(name, step.offset, step.bytes, "can't be read");
+        damage(name, step.offset, step.bytes, "the range contains no intact record");
       }
     }
-    if (sealed && fileBytes < sealed->bytes) damage(name, fileBytes, sealed->bytes - fileBytes, "is cut off");
+    if (sealed && fileBytes < sealed->bytes)
+      damage(name, fileBytes, sealed->bytes - fileBytes, "the end of the file is missing");
     return out;
   }
 
-  /// Returns how many records the hint file tells of that the segment does not hold.
+  /// Returns the number of records that the hint file describes but the segment does not contain.
   std::uint64_t checkHints(SegmentNumber number, const RecordsByOffset& records, bool isSealed) {
     const std::string name = hintFileName(number);
     const auto file = open(name, FileKind::hint);
@@ -173,9 +177,9 @@
       if (step.kind == RecordScanner::Step::Kind::record) location = decodeHintLocation(step.record.value);
       if (!location) {
         if (!isSealed && step.offset + step.bytes == file->size())
-          note(name, step.offset, step.bytes, "a write that was cut short");
+          note(name, step.offset, step.bytes, "an interrupted write of a hint entry");
         else
-          damage(name, step.offset, step.bytes, "can't be read");
+          damage(name, step.offset, step.bytes, "the range contains no intact hint entry");
         continue;
       }
       if (step.record.kind == RecordKind::hintEnd) {
@@ -186,9 +190,10 @@
       if (found != records.end() && found->second == step.record.sequence) continue;
       ++lostRecords;
       damage(segmentFileName(number), location->offset, location->bytes,
-             fmt::format("a record was here, key {}", printable(step.record.key)));
+             fmt::format("the record of key {} is missing", printable(step.record.key)));
     }
-    if (isSealed && !hasEnd) note(name, file->size(), 0, "has no end; the next start reads the segment");
+    if (isSealed && !hasEnd)
+      note(name, file->size(), 0, "the hint file has no end entry; the next start reads the whole segment");
     return lostRecords;
   }
 
--- a/src/store/verifier.h
+++ b/src/store/verifier.h
@@ -1,5 +1,5 @@
 /// @file
-/// Reads every byte of a store and reports what can't be read or contradicts itself. Changes nothing.
+/// Reads every byte of a store and reports unreadable and inconsistent data. Changes nothing.
 #pragma once
 
 #include <cstdint>
@@ -10,24 +10,24 @@
 
 namespace rainhook::store {
 
-/// What verify found.
+/// The result of `verify`.
 struct VerificationReport {
-  /// A place and what is to be said of it.
+  /// A range of a file and a description of the problem.
   struct Finding {
-    std::string file;          ///< Its name.
-    std::uint64_t offset = 0;  ///< From the beginning of the file.
-    std::uint64_t bytes = 0;   ///< Length of the place.
-    std::string description;   ///< For people.
+    std::string file;          ///< The file's name.
+    std::uint64_t offset = 0;  ///< Offset from the beginning of the file.
+    std::uint64_t bytes = 0;   ///< Length of the range.
+    std::string description;   ///< Human-readable.
   };
-  std::vector<Finding> damage;  ///< In the order of the files.
-  std::vector<Finding> notes;   ///< Worth knowing; nothing is lost by it.
-  std::uint64_t segments = 0;   ///< That were read.
-  std::uint64_t records = 0;    ///< Intact ones.
-  std::uint64_t bytes = 0;      ///< Of all files in the folder.
+  std::vector<Finding> damage;  ///< Damaged ranges in the order of the files.
+  std::vector<Finding> notes;   ///< Findings without any data loss.
+  std::uint64_t segments = 0;   ///< The number of segments that were read.
+  std::uint64_t records = 0;    ///< The number of intact records.
+  std::uint64_t bytes = 0;      ///< Size of all files in the folder.
 };
 
-/// The caller holds the folder's lock, or a write under way would look like damage. An error only where the
-/// folder can't be listed.
+/// Verifies the store in the folder. The caller must hold the folder's lock; otherwise a write in progress
+/// would look like damage. Returns an error only if the folder can't be listed.
 DiskError verify(Disk& disk, VerificationReport& report);
 
 }  // namespace rainhook::store
--- a/tests/fuzz/store_fuzz.cpp
+++ b/tests/fuzz/store_fuzz.cpp
@@ -10,12 +10,13 @@
 namespace rainhook::store {
 namespace {
 
-/// Also in builds without asserts: the fuzzer counts an abort as a finding.
+/// Aborts if the condition is false, even in builds without asserts. The fuzzer reports an abort as a
+/// finding.
 void require(bool condition) {
   if (!condition) std::abort();
 }
 
-/// Opens a store on these files, uses it, and opens it again.
+/// Opens a store on these files, uses it, and reopens it.
 void openTwice(std::map<std::string, std::string> image) {
   SimulatedDisk disk = SimulatedDisk::withFiles(image);
   for (int start = 0; start < 2; ++start) {
@@ -33,7 +34,7 @@
   }
 }
 
-/// Turns bytes into a file of entries with valid checksums and any content.
+/// Encodes the bytes as a file of entries with arbitrary content and valid checksums.
 std::string encodeEntries(std::string_view bytes, FileKind kind, std::uint64_t segmentBytes) {
   const FileHeader header{kind, StoreId{77}, SegmentNumber{1}};
   auto out = encodeHeader(header);
--- a/tests/fuzz/store_fuzz.h
+++ b/tests/fuzz/store_fuzz.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the fuzzer and the tests feed to the store's readers.
+/// The entry point that the fuzzer and the tests use to check the store's recovery with arbitrary bytes.
 #pragma once
 
 #include <cstddef>
@@ -7,8 +7,8 @@
 
 namespace rainhook::store {
 
-/// Aborts unless a start on these bytes succeeds, nothing is read beyond its end, and what is written is read
-/// back.
+/// Aborts unless the store recovers from files with these bytes, reads nothing past their end, and returns a
+/// value that it commits afterwards.
 void fuzzStore(const std::uint8_t* data, std::size_t size);
 
 }  // namespace rainhook::store
--- a/tests/store_command_test.cpp
+++ b/tests/store_command_test.cpp
@@ -1,6 +1,5 @@
 /// @file
-/// The store's commands as a person or a script uses them, in processes of their own that may be killed; and
-/// the fuzzer's corpus.
+/// Tests of `rainhook store`, run as separate processes that may be killed; and of the fuzzer's corpus.
 #include <fcntl.h>
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
@@ -33,15 +32,15 @@
   }
   ~StoreCommands() override { std::filesystem::remove_all(folder_); }
 
-  struct Ran {
+  struct CommandResult {
     int status = -1;
     std::string out, err;
   };
-  std::string file(const char* name, const std::string& bytes) const {
+  std::string writeFile(const char* name, const std::string& bytes) const {
     std::ofstream(folder_ + "/" + name, std::ios::binary) << bytes;
     return folder_ + "/" + name;
   }
-  static std::string read(const std::string& name) {
+  static std::string readFile(const std::string& name) {
     std::ifstream in(name, std::ios::binary);
     return {std::istreambuf_iterator<char>(in), {}};
   }
@@ -52,26 +51,26 @@
     argv.push_back(nullptr);
     const pid_t pid = ::fork();
     if (pid != 0) return pid;
-    const auto onto = [](const std::string& name, int flags, int descriptor) {
+    const auto redirect = [](const std::string& name, int flags, int descriptor) {
       ::dup2(::open(name.c_str(), flags, 0600), descriptor);
     };
-    onto(in, O_RDONLY, 0);
-    onto(out, O_WRONLY | O_CREAT | O_TRUNC, 1);
-    onto(folder_ + "/err", O_WRONLY | O_CREAT | O_TRUNC, 2);
+    redirect(in, O_RDONLY, 0);
+    redirect(out, O_WRONLY | O_CREAT | O_TRUNC, 1);
+    redirect(folder_ + "/err", O_WRONLY | O_CREAT | O_TRUNC, 2);
     ::execv(RAINHOOK_PROGRAM, argv.data());
     ::_exit(127);
   }
-  Ran run(const std::vector<std::string>& words, const std::string& in = "") const {
+  CommandResult run(const std::vector<std::string>& words, const std::string& in = "") const {
     const auto out = folder_ + "/out";
     int status = 0;
-    ::waitpid(start(words, file("in", in), out), &status, 0);
-    return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, read(out), read(folder_ + "/err")};
+    ::waitpid(start(words, writeFile("in", in), out), &status, 0);
+    return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, readFile(out), readFile(folder_ + "/err")};
   }
 
   std::string folder_, dir_;
 };
 
-TEST_F(StoreCommands, PutAndGetKeepEveryByteAndAnAbsentKeyHasStatusOne) {
+TEST_F(StoreCommands, PutAndGetPreserveEveryByteAndGetReturnsOneWhenKeyIsAbsent) {
   const std::string value("a\0b\n\xff\r\n", 7);
   EXPECT_EQ(run({"put", "k", "--dir", dir_}, value).status, 0);
   const auto got = run({"get", "k", "--dir", dir_});
@@ -92,7 +91,7 @@
   EXPECT_EQ(run({"put", "k", "--dir", dir_, "--for", "0"}).status, 2);
 }
 
-TEST_F(StoreCommands, ADumpLoadsIntoAnEqualStore) {
+TEST_F(StoreCommands, DumpLoadSnapshotAndCompactPreserveAllEntries) {
   std::string lines;
   for (std::uint64_t i = 0; i < 300; ++i) lines += numbered("k", i % 200) + "\t" + numbered("v", i) + "\n";
   EXPECT_EQ(run({"put", "--lines", "--dir", dir_}, lines).status, 0);
@@ -105,16 +104,17 @@
   EXPECT_EQ(run({"load", "--dir", folder_ + "/other"}, "{\"key\": \"*\", \"value\": \"\"}\n").status, 4);
   EXPECT_EQ(run({"snapshot", "--dir", dir_, "--to", folder_ + "/copy"}).status, 0);
   EXPECT_EQ(run({"dump", "--dir", folder_ + "/copy"}).out, dumped);
-  EXPECT_EQ(run({"snapshot", "--dir", dir_, "--to", folder_ + "/copy"}).status, 4) << "it is not empty";
+  EXPECT_EQ(run({"snapshot", "--dir", dir_, "--to", folder_ + "/copy"}).status, 4)
+      << "the destination folder is not empty";
   EXPECT_EQ(run({"compact", "--dir", dir_}).status, 0);
   EXPECT_EQ(run({"dump", "--dir", dir_}).out, dumped);
 }
 
-TEST_F(StoreCommands, VerifyListsDamageAndHasStatusThree) {
+TEST_F(StoreCommands, VerifyListsDamageAndReturnsThreeWhenASegmentIsCorrupt) {
   EXPECT_EQ(run({"put", "--lines", "--dir", dir_}, "a\tone\nb\ttwo\n").status, 0);
   EXPECT_EQ(run({"verify", "--dir", dir_}).status, 0);
   const auto segment = dir_ + "/" + segmentFileName(SegmentNumber{1});
-  auto bytes = read(segment);
+  auto bytes = readFile(segment);
   bytes[bytes.find("one")] = 'X';
   std::ofstream(segment, std::ios::binary) << bytes;
   const auto damaged = run({"verify", "--dir", dir_});
@@ -124,55 +124,57 @@
   EXPECT_EQ(run({"get", "b", "--dir", dir_}).out, "two");
 }
 
-TEST_F(StoreCommands, ALockedStoreIsRefusedWithTheHoldersPid) {
+TEST_F(StoreCommands, GetFailsWithTheHoldersPidWhenTheStoreIsLocked) {
   PosixDisk disk(dir_);
   ASSERT_FALSE(disk.lock(lockFileName).error);
-  const auto refused = run({"get", "k", "--dir", dir_});
-  EXPECT_EQ(refused.status, 4);
-  EXPECT_NE(refused.err.find(std::to_string(::getpid())), std::string::npos) << refused.err;
+  const auto rejected = run({"get", "k", "--dir", dir_});
+  EXPECT_EQ(rejected.status, 4);
+  EXPECT_NE(rejected.err.find(std::to_string(::getpid())), std::string::npos) << rejected.err;
   disk.unlock();
   EXPECT_EQ(run({"get", "k", "--dir", dir_}).status, 1);
 }
 
-// Killed at any moment: what it had printed as durable is there, with the value of its last printed write or
-// of a later one that was under way.
-TEST_F(StoreCommands, HoldWhatTheyPrintedWhenKilledDuringWrites) {
+// Guards against losing a write that the command has printed as durable when the process is killed at any
+// time. Each printed key must have the value of its last printed write or of a later write that was in
+// progress.
+TEST_F(StoreCommands, PutLinesKeepsEveryPrintedKeyWhenKilledDuringWrites) {
   constexpr std::uint64_t keys = 400, lines = 100000;
   const auto out = folder_ + "/printed";
   const auto options =
-      file("options.yaml",
-           "store:\n  folder: x\n  disk_bytes: 2 MB\n  segment_bytes: 32 kB\n  longest_value: 2 kB\n");
+      writeFile("options.yaml",
+                "store:\n  folder: x\n  disk_bytes: 2 MB\n  segment_bytes: 32 kB\n  longest_value: 2 kB\n");
   StoreSettings settings;
   settings.maxDiskBytes = 2 << 20;
   settings.maxSegmentBytes = 32 << 10;
   settings.maxValueBytes = 2 << 10;
   const auto written = [](std::uint64_t round, std::uint64_t i) { return round * lines + i; };
-  std::map<std::string, std::uint64_t> least;  // the last write of each key that was printed
+  std::map<std::string, std::uint64_t> lastPrinted;  // the number of the last printed write of each key
   std::uint64_t killed = 0;
   for (std::uint64_t round = 0; round < 12; ++round) {
     std::string all;
     for (std::uint64_t i = 0; i < lines; ++i)
       all += numbered("k", i % keys) + "\t" + std::to_string(written(round, i)) + "\n";
-    const pid_t pid = start({"put", "--lines", "--dir", dir_, "--options", options}, file("lines", all), out);
+    const pid_t pid =
+        start({"put", "--lines", "--dir", dir_, "--options", options}, writeFile("lines", all), out);
     std::this_thread::sleep_for(std::chrono::milliseconds(15 + 17 * round));
     ::kill(pid, SIGKILL);
     int status = 0;
     ::waitpid(pid, &status, 0);
     killed += WIFSIGNALED(status);
-    std::istringstream printed(read(out));
+    std::istringstream printed(readFile(out));
     std::map<std::string, std::uint64_t> times;
     for (std::string key; std::getline(printed, key) && !printed.eof();) ++times[key];
     for (const auto& [key, count] : times)
-      least[key] = written(round, (count - 1) * keys + std::stoull(key.substr(1)));
+      lastPrinted[key] = written(round, (count - 1) * keys + std::stoull(key.substr(1)));
     PosixDisk disk(dir_);
     LogStructuredStore opened(disk, settings, {});
     const UnixTime now{std::chrono::milliseconds(1)};
     ASSERT_TRUE(opened.open(1).isOk());
     EXPECT_EQ(opened.statistics().lostRecords, 0u);
-    for (const auto& [key, number] : least) {
+    for (const auto& [key, number] : lastPrinted) {
       const auto read = opened.get(key, now);
       ASSERT_TRUE(read.value) << key << " was printed by round " << round;
-      EXPECT_GE(std::stoull(*read.value), number) << key << ": something older is served";
+      EXPECT_GE(std::stoull(*read.value), number) << key << ": an older value is served";
       EXPECT_EQ(std::stoull(*read.value) % keys, number % keys) << key << ": the value of another key";
     }
     std::uint64_t folder = 0;
@@ -180,11 +182,11 @@
     EXPECT_LE(folder, settings.maxDiskBytes);
     opened.close();
   }
-  EXPECT_FALSE(least.empty());
-  EXPECT_GT(killed, 8u) << "it was through before it could be killed";
+  EXPECT_FALSE(lastPrinted.empty());
+  EXPECT_GT(killed, 8u) << "the command finished before it could be killed";
 }
 
-TEST(StoreFuzz, RecoversFromTheCorpus) {
+TEST(StoreFuzz, RecoversFromAllCorpusFiles) {
   std::set<std::filesystem::path> files;
   for (const auto& entry : std::filesystem::directory_iterator(RAINHOOK_CORPUS)) files.insert(entry.path());
   ASSERT_GE(files.size(), 5u);
--- a/tests/store_compaction_policy_test.cpp
+++ b/tests/store_compaction_policy_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// CompactionPolicy: which segment is compacted next, and how much room is left for what.
+/// Tests of CompactionPolicy: the choice of the next segment to compact, and the limits on disk space.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -13,7 +13,7 @@
   return {SegmentNumber{number}, bytes, liveBytes, true, false, false};
 }
 
-TEST(StoreCompactionPolicy, SelectsUntrustedThenEmptyThenDamagedThenDeadestSegment) {
+TEST(StoreCompactionPolicy, SelectsUntrustedThenEmptyThenDamagedThenLargestDeadShare) {
   const CompactionPolicy policy(StoreSettings{});
   StoreOccupancy occupancy{4000, 0, {sealed(1, 1000, 900), sealed(2, 1000, 400), sealed(3, 1000, 300)}};
   EXPECT_EQ(policy.selectInput(occupancy), SegmentNumber{3});
@@ -25,10 +25,10 @@
   EXPECT_EQ(policy.selectInput(occupancy), SegmentNumber{1});
   occupancy.segments[0].isSealed = false;
   EXPECT_EQ(policy.selectInput(occupancy), SegmentNumber{2})
-      << "a segment that is being written is left alone";
+      << "a segment that is being written must not be compacted";
 }
 
-TEST(StoreCompactionPolicy, RequiresLessDeadShareAsRoomGetsScarce) {
+TEST(StoreCompactionPolicy, RequiresSmallerDeadShareWhenFreeSpaceDecreases) {
   const StoreSettings settings;
   const CompactionPolicy policy(settings);
   StoreOccupancy occupancy{0, 0, {sealed(1, 1000, 700)}};
@@ -40,10 +40,10 @@
   occupancy.folderBytes = (settings.maxDiskBytes - policy.reservedBytes()) * 95 / 100;
   EXPECT_EQ(policy.selectInput(occupancy), SegmentNumber{1});
   occupancy.segments[0].liveBytes = 1000;
-  EXPECT_EQ(policy.selectInput(occupancy), std::nullopt) << "a copy that frees nothing";
+  EXPECT_EQ(policy.selectInput(occupancy), std::nullopt) << "a copy would free nothing";
 }
 
-RC_GTEST_PROP(StoreCompactionPolicy, NeverAllowsMoreThanTheDiskLimit,
+RC_GTEST_PROP(StoreCompactionPolicy, AllowsNoWriteOrCopyThatExceedsTheDiskLimit,
               (std::uint32_t folderBytes, std::uint16_t bytes)) {
   const StoreSettings settings = smallSettings();
   const CompactionPolicy policy(settings);
--- a/tests/store_crash_test.cpp
+++ b/tests/store_crash_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The store through crashes and failures of the disk: whatever is lost of what was not synced, each start
-/// succeeds and serves what was acknowledged.
+/// Tests of the store with crashes and disk failures: whichever unsynced data is lost, recovery succeeds and
+/// the store returns all acknowledged writes.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -11,41 +11,42 @@
 namespace rainhook::store {
 namespace {
 
-constexpr int steps = 70;           // of a history
-constexpr int survivalChoices = 5;  // of what a loss of power leaves
+constexpr int steps = 70;           // the number of steps in a history
+constexpr int survivalChoices = 5;  // the number of outcomes of each power loss
 
-/// How many seeds to try; RAINHOOK_SEEDS asks for a longer search by hand.
+/// The number of seeds to try; RAINHOOK_SEEDS overrides it for a longer search.
 std::uint64_t seedCount(std::uint64_t usual) {
   const char* requested = std::getenv("RAINHOOK_SEEDS");
   return requested ? std::strtoull(requested, nullptr, 10) : usual;
 }
 
-/// Opens the store on what a crash left, checks what it serves, writes on, and opens it again.
+/// Opens the store on the disk that a crash left, checks its reads, continues writing, and reopens it.
 void expectRecoversAndContinues(SimulatedDisk disk, ReferenceModel model, UnixTime now,
-                                const std::string& where) {
+                                const std::string& context) {
   OperationHistory after(disk, 5);
   after.now = now;
   after.model = std::move(model);
-  ASSERT_TRUE(after.open()) << where;
-  ASSERT_EQ(after.contradictions(), "") << where << " after the start";
-  ASSERT_EQ(after.store().statistics().lostRecords, 0u) << where;
+  ASSERT_TRUE(after.open()) << context;
+  ASSERT_EQ(after.contradictions(), "") << context << " after recovery";
+  ASSERT_EQ(after.store().statistics().lostRecords, 0u) << context;
   after.runAllMaintenance();
-  ASSERT_EQ(after.contradictions(), "") << where << " after compaction";
+  ASSERT_EQ(after.contradictions(), "") << context << " after compaction";
   after.run(15);
-  ASSERT_EQ(after.contradictions(), "") << where << " after more writes";
-  ASSERT_TRUE(after.open()) << where;
-  ASSERT_EQ(after.contradictions(), "") << where << " after another start";
+  ASSERT_EQ(after.contradictions(), "") << context << " after more writes";
+  ASSERT_TRUE(after.open()) << context;
+  ASSERT_EQ(after.contradictions(), "") << context << " after another recovery";
 }
 
-TEST(StoreCrash, LosesNothingAcknowledgedWhenAtAnyOperation) {
+// Guards against losing an acknowledged write when the machine crashes during any one disk operation.
+TEST(StoreCrash, LosesNoAcknowledgedWriteAtAnyOperation) {
   for (std::uint64_t seed = 1; seed <= seedCount(3); ++seed) {
-    SimulatedDisk whole;
-    OperationHistory first(whole, seed);
+    SimulatedDisk uninterrupted;
+    OperationHistory first(uninterrupted, seed);
     ASSERT_TRUE(first.open());
     first.run(steps);
     ASSERT_EQ(first.contradictions(), "");
     ASSERT_GT(first.earlierCompactions + first.store().statistics().compactions, 0u);
-    for (std::uint64_t at = 0; at < whole.operations; ++at) {
+    for (std::uint64_t at = 0; at < uninterrupted.operations; ++at) {
       SimulatedDisk disk;
       disk.crashAt = at;
       OperationHistory history(disk, seed);
@@ -61,12 +62,13 @@
   }
 }
 
-TEST(StoreCrash, LosesNothingAcknowledgedWhenRepeatedDuringRecovery) {
-  SimulatedDisk whole;
-  OperationHistory first(whole, 4);
+// Guards against losing an acknowledged write when a second crash interrupts the recovery from the first one.
+TEST(StoreCrash, LosesNoAcknowledgedWriteWhenRepeatedDuringRecovery) {
+  SimulatedDisk uninterrupted;
+  OperationHistory first(uninterrupted, 4);
   ASSERT_TRUE(first.open());
   first.run(steps);
-  for (std::uint64_t at = 3; at < whole.operations; at += 11) {
+  for (std::uint64_t at = 3; at < uninterrupted.operations; at += 11) {
     SimulatedDisk disk;
     disk.crashAt = at;
     OperationHistory history(disk, 4);
@@ -74,54 +76,58 @@
     history.kill();
     for (int choice = 0; choice < 3; ++choice) {
       const auto found = disk.afterPowerLoss(choice);
-      for (std::uint64_t again = 0;; ++again) {
+      for (std::uint64_t secondCrashAt = 0;; ++secondCrashAt) {
         SimulatedDisk second = found;
-        // The inodes are shared by a copy; take bytes of its own.
+        // A copy of the disk shares its inodes, so the bytes are copied separately.
         second = SimulatedDisk::withFiles(second.image());
-        second.crashAt = again;
+        second.crashAt = secondCrashAt;
         OperationHistory recovering(second, 5);
         recovering.now = history.now;
         recovering.open();
         recovering.kill();
-        const bool over = second.operations <= again;
-        expectRecoversAndContinues(second.afterPowerLoss(static_cast<int>(again % survivalChoices)),
-                                   history.model, history.now,
-                                   "crash at " + std::to_string(at) + ", again at " + std::to_string(again));
+        const bool isRecoveryComplete = second.operations <= secondCrashAt;
+        expectRecoversAndContinues(
+            second.afterPowerLoss(static_cast<int>(secondCrashAt % survivalChoices)), history.model,
+            history.now,
+            "crash at " + std::to_string(at) + ", second crash at " + std::to_string(secondCrashAt));
         if (HasFatalFailure()) return;
-        if (over) break;
+        if (isRecoveryComplete) break;
       }
     }
   }
 }
 
-// Each fault once at each operation; the process goes on, and then the power fails.
-TEST(StoreDiskError, LosesNothingAcknowledgedWhenAtAnyOperation) {
+// Guards against losing an acknowledged write after a disk error. Each fault occurs once, at each operation;
+// the process continues, and later the power fails.
+TEST(StoreDiskError, LosesNoAcknowledgedWriteAtAnyOperation) {
   for (std::uint64_t seed = 6; seed < 6 + seedCount(1); ++seed)
     for (const int fault : {EIO, ENOSPC, EMFILE, SimulatedDisk::shortWrite}) {
-      SimulatedDisk whole;
-      OperationHistory first(whole, seed);
+      SimulatedDisk uninterrupted;
+      OperationHistory first(uninterrupted, seed);
       ASSERT_TRUE(first.open());
       first.run(steps);
-      for (std::uint64_t at = 0; at < whole.operations; ++at) {
+      for (std::uint64_t at = 0; at < uninterrupted.operations; ++at) {
         SimulatedDisk disk;
         disk.faults[at] = fault;
         OperationHistory history(disk, seed);
-        const auto where =
+        const auto context =
             "seed " + std::to_string(seed) + ", fault " + std::to_string(fault) + " at " + std::to_string(at);
-        ASSERT_TRUE(history.open()) << where;
+        ASSERT_TRUE(history.open()) << context;
         history.run(steps);
-        ASSERT_EQ(history.contradictions(), "") << where;
+        ASSERT_EQ(history.contradictions(), "") << context;
         history.kill();
         for (const int choice : {0, 2}) {
           expectRecoversAndContinues(disk.afterPowerLoss(choice), history.model, history.now,
-                                     where + ", choice " + std::to_string(choice));
+                                     context + ", choice " + std::to_string(choice));
           if (HasFatalFailure()) return;
         }
       }
     }
 }
 
-TEST(StoreDiskError, AcknowledgesNothingWhenEverySyncFails) {
+// Guards against acknowledging a write without a successful sync, and against creating files without limit
+// while every sync fails.
+TEST(StoreDiskError, AcknowledgesNoWriteWhenEverySyncFails) {
   SimulatedDisk disk;
   OperationHistory history(disk, 7);
   ASSERT_TRUE(history.open());
@@ -134,7 +140,7 @@
     EXPECT_EQ(status.code, StoreErrorCode::ioError);
     history.model.recordWrite(writes[0], false);
   }
-  EXPECT_LE(disk.files.size(), names + 6) << "a failing disk fills with files";
+  EXPECT_LE(disk.files.size(), names + 6) << "retries must not fill a failing disk with files";
   disk.everySyncFault = 0;
   history.runAllMaintenance();
   EXPECT_TRUE(history.store().commit(writes, history.now).front().isOk());
@@ -142,31 +148,34 @@
   EXPECT_EQ(history.contradictions(), "");
   history.kill();
   expectRecoversAndContinues(disk.afterPowerLoss(0), history.model, history.now,
-                             "after the syncs worked again");
+                             "after the syncs succeeded again");
 }
 
-// A sync that failed in one process says nothing to the next, whose own sync succeeds and means nothing.
-TEST(StoreDiskError, LaterStartsDistrustWhatAFailedSyncLeft) {
+// Guards against trusting data whose sync failed in an earlier process. The next process does not know of the
+// failure, and its own sync succeeds without making the data durable.
+TEST(StoreDiskError, LosesNoAcknowledgedWriteWhenSyncsFailedInAnEarlierProcess) {
   SimulatedDisk disk;
   OperationHistory history(disk, 13);
   ASSERT_TRUE(history.open());
-  // Each segment half dead: the second round writes every other key again.
+  // The second round overwrites every other key, so that half of each segment is dead.
   for (std::uint64_t i = 0; i < 18; ++i)
     history.commit({WriteRequest::put(numbered("key", i < 12 ? i : (i - 12) * 2), std::string(40, 'a'))});
   while (history.store().statistics().compactedBytes == 0)
     ASSERT_TRUE(history.store().runMaintenance(history.now));
-  ASSERT_EQ(history.store().statistics().compactions, 0u) << "copies that were not synced, and their input";
+  ASSERT_EQ(history.store().statistics().compactions, 0u)
+      << "the disk must contain unsynced copies and their input";
   disk.everySyncFault = EIO;
   ASSERT_TRUE(history.open());
   disk.everySyncFault = 0;
   ASSERT_TRUE(history.open());
-  ASSERT_TRUE(history.open()) << "and by one that knows of it from the manifest alone";
+  ASSERT_TRUE(history.open()) << "this process knows of the failed sync only from the manifest";
   history.runAllMaintenance();
   expectRecoversAndContinues(disk.afterPowerLoss(0), history.model, history.now,
-                             "after a start whose syncs failed");
+                             "after a recovery whose syncs failed");
 }
 
-TEST(StoreDiskError, WritesAreRefusedWithoutDescriptorsAndGoOnAfterwards) {
+// Guards against lost writes after the process runs out of file descriptors (EMFILE) for some time.
+TEST(StoreDiskError, LosesNoAcknowledgedWriteWhenDescriptorsRunOut) {
   SimulatedDisk disk;
   OperationHistory history(disk, 8);
   ASSERT_TRUE(history.open());
@@ -175,17 +184,17 @@
   history.run(30);
   history.runAllMaintenance();
   disk.everyOpenFault = 0;
-  ASSERT_TRUE(history.open()) << "a start without descriptors may have failed";
+  ASSERT_TRUE(history.open()) << "an earlier start without descriptors may have failed";
   EXPECT_EQ(history.contradictions(), "");
   history.run(30);
   EXPECT_EQ(history.contradictions(), "");
   history.kill();
-  expectRecoversAndContinues(disk.afterPowerLoss(0), history.model, history.now,
-                             "after descriptors were short");
+  expectRecoversAndContinues(disk.afterPowerLoss(0), history.model, history.now, "after descriptors ran out");
 }
 
-TEST(StoreDiskError, AFullDiskDuringCompactionLosesNothingAcknowledged) {
-  std::uint64_t refused = 0;
+// Guards against lost writes when the disk becomes full during a commit or a compaction.
+TEST(StoreDiskError, LosesNoAcknowledgedWriteWhenTheDiskIsFull) {
+  std::uint64_t failed = 0;
   for (std::uint64_t spare = 0; spare < 3000; spare += 60) {
     SimulatedDisk disk;
     OperationHistory history(disk, 9);
@@ -195,7 +204,7 @@
     history.run(40);
     history.runAllMaintenance();
     ASSERT_EQ(history.contradictions(), "") << spare;
-    refused += history.store().statistics().failedWrites;
+    failed += history.store().statistics().failedWrites;
     disk.capacity = SimulatedDisk::never;
     const std::vector<WriteRequest> writes{WriteRequest::put("key2", "room again")};
     ASSERT_TRUE(history.store().commit(writes, history.now).front().isOk()) << spare;
@@ -205,10 +214,12 @@
                                "spare " + std::to_string(spare));
     if (HasFatalFailure()) return;
   }
-  EXPECT_GT(refused, 100u) << "the disk was never full";
+  EXPECT_GT(failed, 100u) << "the disk was never full";
 }
 
-TEST(StoreSnapshot, IsRefusedOrWholeWhenInterruptedAtAnyOperation) {
+// Guards against opening an interrupted snapshot as a store: it may contain older records without the records
+// that erased them.
+TEST(StoreSnapshot, IsRejectedOrCompleteWhenInterruptedAtAnyOperation) {
   std::uint64_t operations = 1;
   for (std::uint64_t at = 0; at <= operations; ++at) {
     SimulatedDisk disk;
@@ -219,9 +230,10 @@
     target.crashAt = at;
     std::optional<StoreStatus> ended;
     auto copied = history.model;
-    const auto begun = history.store().startSnapshot(std::make_unique<CrashSimulatingDisk>(target),
-                                                     [&](StoreStatus status) { ended = std::move(status); });
-    if (!begun.isOk()) ended = begun;
+    const auto started =
+        history.store().startSnapshot(std::make_unique<CrashSimulatingDisk>(target),
+                                      [&](StoreStatus status) { ended = std::move(status); });
+    if (!started.isOk()) ended = started;
     for (int i = 0; i < 2000 && !ended; ++i) {
       history.store().runMaintenance(history.now);
       if (i % 3 == 0)
@@ -235,11 +247,12 @@
       SimulatedDisk found = target.afterPowerLoss(choice);
       OperationHistory other(found, 11);
       other.now = history.now;
-      // Cut short, it is refused or was never begun; whole, it is the store as it was at its beginning.
+      // An interrupted snapshot is rejected or contains no files of the store. A complete snapshot has the
+      // contents that the store had when the snapshot started.
       const bool opened = other.open();
-      const bool begunThere =
-          found.files.size() > 1 || ended->isOk();  // beside the manifest of an empty store
-      if (opened && begunThere) {
+      // Opening an empty folder creates one file, the manifest of an empty store.
+      const bool hasSnapshotFiles = found.files.size() > 1 || ended->isOk();
+      if (opened && hasSnapshotFiles) {
         ASSERT_EQ(copied.contradictions(other.store(), history.now), "") << at << ", choice " << choice;
       }
       ASSERT_TRUE(opened || !ended->isOk()) << at << ", choice " << choice;
@@ -247,30 +260,31 @@
   }
 }
 
-// A write that failed may be found by a start all the same: its file was not truncated, or the truncation was
-// lost. An erasure that was acknowledged after it holds against that.
-TEST(StoreDiskError, AnErasureHoldsAgainstAWriteThatFailedBefore) {
+// Guards against a failed write that reappears after an acknowledged erasure. Recovery may find the record of
+// a failed write, because its file was not truncated or the truncation was lost in a power loss.
+TEST(StoreDiskError, AcknowledgedErasureOverridesAnEarlierFailedWrite) {
   for (const bool older : {false, true})
     for (const bool syncFails : {true, false})
       for (int choice = 0; choice < 40; ++choice) {
         SimulatedDisk disk;
         OperationHistory history(disk, 12);
         ASSERT_TRUE(history.open());
-        // Beside enough that lives to keep its segment from being compacted first.
+        // The second entry keeps enough of the segment live that it is not compacted first.
         if (older)
           history.commit({WriteRequest::put("key1", "older"),
                           WriteRequest::put("keeper", "0123456789abcdefghijklmnopqrstuvwxyz")});
-        ASSERT_TRUE(history.open());  // what is older stands in a segment of its own
+        ASSERT_TRUE(history.open());  // puts the older record into a separate segment
         history.commit({WriteRequest::put("other", "there")});
         const auto next = disk.operations;
-        disk.everyOpenFault = EMFILE;  // no new segment can be had for a second try
+        disk.everyOpenFault = EMFILE;  // no new segment can be created for a second attempt
         if (syncFails) {
-          disk.faults[next + 1] = EIO;  // the sync behind the write; then the truncation works
+          disk.faults[next + 1] = EIO;  // the sync after the write fails; the truncation succeeds
         } else {
-          disk.faults[next] =
-              SimulatedDisk::shortWrite;  // half of the write, which holds the whole record of key1, ...
-          disk.faults[next + 1] = EIO;    // no more of it, ...
-          disk.faults[next + 2] = EIO;    // and no truncation
+          // Half of the data is written, including the complete record of key1. The rest of the write and the
+          // truncation fail.
+          disk.faults[next] = SimulatedDisk::shortWrite;
+          disk.faults[next + 1] = EIO;
+          disk.faults[next + 2] = EIO;
         }
         const std::vector<WriteRequest> failing{WriteRequest::put("key1", "failed"),
                                                 WriteRequest::put("key2", std::string(190, 'z'))};
@@ -281,24 +295,24 @@
         const std::vector<WriteRequest> erasing{WriteRequest::erase("key1")};
         ASSERT_TRUE(history.store().commit(erasing, history.now).front().isOk());
         history.model.recordWrite(erasing[0], true);
-        const auto where = std::string(older ? "older, " : "") + (syncFails ? "sync" : "truncation") +
-                           ", choice " + std::to_string(choice);
-        expectRecoversAndContinues(disk.afterPowerLoss(choice), history.model, history.now, where);
+        const auto context = std::string(older ? "older, " : "") + (syncFails ? "sync" : "truncation") +
+                             ", choice " + std::to_string(choice);
+        expectRecoversAndContinues(disk.afterPowerLoss(choice), history.model, history.now, context);
         if (HasFatalFailure()) return;
-        // Whatever is compacted, and whenever the power fails.
+        // The power fails after each step of a full compaction.
         std::optional<StoreStatus> ended;
         history.store().startCompaction([&](StoreStatus status) { ended = std::move(status); });
         for (int step = 0; step < 200 && !ended; ++step) {
           history.store().runMaintenance(history.now);
           expectRecoversAndContinues(disk.afterPowerLoss(choice % 4), history.model, history.now,
-                                     where + ", step " + std::to_string(step));
+                                     context + ", step " + std::to_string(step));
           if (HasFatalFailure()) return;
         }
         ASSERT_TRUE(ended);
       }
 }
 
-RC_GTEST_PROP(StoreHistory, AgreesWithTheReferenceModel, (std::uint64_t seed)) {
+RC_GTEST_PROP(StoreHistory, AgreesWithTheReferenceModelForAnySeed, (std::uint64_t seed)) {
   SimulatedDisk disk;
   OperationHistory history(disk, seed);
   RC_ASSERT(history.open());
