--- a/tests/store_damage_test.cpp
+++ b/tests/store_damage_test.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// Damage to a store that is not open: files truncated at every byte, bytes flipped, segments missing,
-/// foreign files in the folder. A key may be missing where its latest record is hit; nothing older and
-/// nothing wrong is ever served.
+/// Tests of damage to a closed store: files truncated at every byte, flipped bits, missing segments, foreign
+/// files in the folder. A key may be missing if its latest record is damaged, but the store never returns an
+/// older or a wrong value.
 #include <gtest/gtest.h>
 
 #include <functional>
@@ -15,7 +15,7 @@
 namespace rainhook::store {
 namespace {
 
-/// The files that a history left, and what a store that opens them may serve.
+/// The files that a history left, and the values that a store opened on them may return.
 struct RecordedHistory {
   struct RecordPlace {
     std::string file;
@@ -26,9 +26,9 @@
   std::map<std::string, std::string> image;
   ReferenceModel model;
   UnixTime now;
-  /// Where the latest record of a live key stands; several after an interrupted compaction.
+  /// The positions of the latest record of each key; there are several after an interrupted compaction.
   std::map<std::string, std::vector<RecordPlace>> latest;
-  /// Erasures, expiries, compactions and several segments were in it.
+  /// Whether the history contained erasures, expiries and compactions and left several segments.
   bool isVaried = false;
 };
 
@@ -65,20 +65,20 @@
   return out;
 }
 
-/// The keys of which every latest record is hit.
-std::set<std::string> keysHit(const RecordedHistory& recorded,
-                              const std::function<bool(const RecordedHistory::RecordPlace&)>& isHit) {
+/// Returns the keys for which every copy of the latest record is damaged.
+std::set<std::string> damagedKeys(const RecordedHistory& recorded,
+                                  const std::function<bool(const RecordedHistory::RecordPlace&)>& isDamaged) {
   std::set<std::string> out;
   for (const auto& [key, places] : recorded.latest)
-    if (std::all_of(places.begin(), places.end(), isHit)) out.insert(key);
+    if (std::all_of(places.begin(), places.end(), isDamaged)) out.insert(key);
   return out;
 }
 
-/// Opens the store in the image, checks what it serves, compacts everything, opens it again. Returns how many
-/// keys are missing that should be there.
+/// Opens the store in the image, checks its reads, compacts all segments, and reopens it. Returns the number
+/// of keys whose value is missing.
 std::uint64_t checkDamagedImage(const std::map<std::string, std::string>& image,
                                 const RecordedHistory& recorded, const std::set<std::string>& mayBeMissing,
-                                const std::string& where) {
+                                const std::string& context) {
   SimulatedDisk disk = SimulatedDisk::withFiles(image);
   VerificationReport report;
   {
@@ -88,33 +88,33 @@
   OperationHistory history(disk, 1);
   history.now = recorded.now;
   history.model = recorded.model;
-  EXPECT_TRUE(history.open()) << where;
-  EXPECT_EQ(history.model.contradictions(history.store(), history.now, mayBeMissing), "") << where;
+  EXPECT_TRUE(history.open()) << context;
+  EXPECT_EQ(history.model.contradictions(history.store(), history.now, mayBeMissing), "") << context;
   std::uint64_t missing = 0;
   for (const auto& [key, states] : history.model.states())
     missing += states.front().value && !history.store().get(key, history.now).value;
   const auto statistics = history.store().statistics();
   if (missing > 0) {
-    EXPECT_FALSE(report.damage.empty()) << where << ": verify found nothing";
+    EXPECT_FALSE(report.damage.empty()) << context << ": verify found no damage";
     EXPECT_GT(statistics.lostRecords + statistics.lostBytes + statistics.lostFiles, 0u)
-        << where << ": a key is missing and nothing was reported";
+        << context << ": a key is missing, but the statistics report no loss";
   }
   history.compactAll();
   EXPECT_EQ(history.model.contradictions(history.store(), history.now, mayBeMissing), "")
-      << where << " after compaction";
-  EXPECT_TRUE(history.open()) << where;
+      << context << " after compaction";
+  EXPECT_TRUE(history.open()) << context;
   EXPECT_EQ(history.model.contradictions(history.store(), history.now, mayBeMissing), "")
-      << where << " after another start";
+      << context << " after another recovery";
   return missing;
 }
 
 class StoreDamage : public testing::TestWithParam<HistoryEnd> {};
-INSTANTIATE_TEST_SUITE_P(AfterAHistoryThatWas, StoreDamage,
-                         testing::Values(HistoryEnd::killed, HistoryEnd::closed), [](const auto& info) {
+INSTANTIATE_TEST_SUITE_P(AfterHistory, StoreDamage, testing::Values(HistoryEnd::killed, HistoryEnd::closed),
+                         [](const auto& info) {
                            return info.param == HistoryEnd::closed ? "Closed" : "Killed";
                          });
 
-TEST_P(StoreDamage, ServesNothingWrongWithAnyFileTruncatedAtAnyByte) {
+TEST_P(StoreDamage, ReturnsNoWrongValueWhenAnyFileIsTruncatedAtAnyByte) {
   const auto recorded = recordHistory(21, 45, GetParam());
   ASSERT_TRUE(recorded.isVaried);
   std::uint64_t missing = 0;
@@ -124,7 +124,7 @@
       auto image = recorded.image;
       image[name].resize(at);
       const auto mayBeMissing =
-          keysHit(recorded, [&, &file = name](const RecordedHistory::RecordPlace& place) {
+          damagedKeys(recorded, [&, &file = name](const RecordedHistory::RecordPlace& place) {
             return place.file == file && place.offset + place.bytes > at;
           });
       missing +=
@@ -132,10 +132,10 @@
       if (HasFailure()) return;
     }
   EXPECT_GT(truncations, 3000u);
-  EXPECT_GT(missing, 0u) << "no truncation hit anything";
+  EXPECT_GT(missing, 0u) << "no truncation removed a value";
 }
 
-TEST_P(StoreDamage, ServesNothingWrongWithAnyByteFlipped) {
+TEST_P(StoreDamage, ReturnsNoWrongValueWhenABitOfAnyByteIsFlipped) {
   const auto recorded = recordHistory(22, 45, GetParam());
   ASSERT_TRUE(recorded.isVaried);
   std::uint64_t missing = 0;
@@ -144,7 +144,7 @@
       auto image = recorded.image;
       image[name][at] = static_cast<char>(image[name][at] ^ (1 << (at % 8)));
       const auto mayBeMissing =
-          keysHit(recorded, [&, &file = name](const RecordedHistory::RecordPlace& place) {
+          damagedKeys(recorded, [&, &file = name](const RecordedHistory::RecordPlace& place) {
             return place.file == file && place.offset <= at && at < place.offset + place.bytes;
           });
       missing += checkDamagedImage(image, recorded, mayBeMissing, name + " flipped at " + std::to_string(at));
@@ -153,7 +153,7 @@
   EXPECT_GT(missing, 0u);
 }
 
-TEST_P(StoreDamage, ServesNothingWrongWithAnySegmentsMissing) {
+TEST_P(StoreDamage, ReturnsNoWrongValueWhenAnySegmentsAreMissing) {
   const auto recorded = recordHistory(23, 60, GetParam());
   std::vector<std::string> segments;
   for (const auto& [name, bytes] : recorded.image)
@@ -167,7 +167,8 @@
         image.erase(segments[i]);
         if (hintsToo) image.erase(segments[i].substr(0, 10) + ".hint");
       }
-      // Without the hints nobody can say what else was written over: older keys may go too.
+      // Without the hint files, recovery can't know which older records were overwritten, so keys with older
+      // records may be missing, too.
       std::set<std::string> mayBeMissing;
       for (const auto& [key, places] : recorded.latest)
         if (hintsToo || GetParam() == HistoryEnd::killed ||
@@ -180,7 +181,7 @@
     }
 }
 
-TEST(StoreRecovery, QuarantinesForeignFilesAndNeverDeletesThem) {
+TEST(StoreRecovery, QuarantinesForeignFilesWithoutDeletingThem) {
   const auto recorded = recordHistory(24, 40, HistoryEnd::closed);
   auto image = recorded.image;
   const auto foreignHeader = encodeHeader({FileKind::segment, StoreId{1234}, SegmentNumber{900}});
@@ -204,10 +205,10 @@
   EXPECT_EQ(history.store().statistics().quarantinedFiles, 3u);
   ASSERT_TRUE(history.open());
   EXPECT_EQ(history.store().statistics().quarantinedFiles, 3u)
-      << "what is quarantined already stays as it is";
+      << "quarantined files must not be quarantined again";
 }
 
-TEST(StoreRecovery, QuarantinesAManifestOfANewerVersionAndServesTheSegments) {
+TEST(StoreRecovery, QuarantinesTheManifestAndUsesAllSegmentsWhenItsVersionIsNewer) {
   const auto recorded = recordHistory(25, 40, HistoryEnd::closed);
   auto image = recorded.image;
   const auto header = encodeHeader({FileKind::manifest, StoreId{77}, SegmentNumber{0}, formatVersion + 1});
@@ -221,19 +222,21 @@
   EXPECT_TRUE(disk.image().contains("aside-newer-MANIFEST"));
 }
 
-TEST(StoreRecovery, NeverReadsARecordInsideAValue) {
+// Guards against reading bytes inside a value as a record. The scan for the next intact record after a
+// corrupt one runs through the value, which contains a complete record.
+TEST(StoreRecovery, IgnoresARecordInsideAValueWhenTheOuterRecordIsCorrupt) {
   SimulatedDisk disk;
   OperationHistory history(disk, 1);
   ASSERT_TRUE(history.open());
   history.commit({WriteRequest::put("inner", "true")});
-  std::string inner;  // as it would be later in this file, at another place than where it comes to stand
+  std::string inner;  // a valid record of this file, but encoded for another offset than it is written to
   appendRecord(inner, {RecordKind::put, false, SequenceNumber{1000}, neverExpires, "inner", "forged"},
                {{FileKind::segment, history.store().id(), SegmentNumber{1}}, fileHeaderBytes});
   history.commit({WriteRequest::put("outer", inner)});
   const auto name = segmentFileName(SegmentNumber{1});
   auto image = disk.image();
   const auto at = image.at(name).rfind("outer");
-  image[name][at] = 'X';  // the outer record breaks, and the search for the next one runs through its value
+  image[name][at] = 'X';  // corrupts the outer record
   image[hintFileName(SegmentNumber{1})].resize(fileHeaderBytes);
   SimulatedDisk found = SimulatedDisk::withFiles(image);
   OperationHistory after(found, 1);
@@ -242,7 +245,9 @@
   EXPECT_FALSE(after.store().get("outer", after.now).value);
 }
 
-TEST(StoreRecovery, ServesNothingOlderThanAMissingSegmentWithoutItsHint) {
+// Guards against returning an overwritten value when the segment with the newer record and its hint file are
+// missing.
+TEST(StoreRecovery, ReturnsNoOlderValueWhenASegmentAndItsHintFileAreMissing) {
   for (const bool closed : {true, false}) {
     SimulatedDisk disk;
     OperationHistory history(disk, 1);
@@ -267,7 +272,9 @@
   }
 }
 
-TEST(StoreReads, ReportCorruptionOnceAndServeNothingOlder) {
+// Guards against returning the older value of a key whose latest record became corrupt while the store was
+// open.
+TEST(StoreReads, ReportCorruptionOnceAndReturnNoOlderValueWhenARecordIsCorrupt) {
   SimulatedDisk disk;
   OperationHistory history(disk, 1);
   ASSERT_TRUE(history.open());
@@ -289,7 +296,7 @@
   EXPECT_FALSE(history.store().get("key1", history.now).value);
 }
 
-TEST(StoreRecovery, ReportsALossWithFileOffsetAndBytes) {
+TEST(StoreRecovery, LogsFileOffsetAndSizeWhenARecordIsCorrupt) {
   const auto recorded = recordHistory(22, 45, HistoryEnd::closed);
   const auto& place = recorded.latest.begin()->second.front();
   auto image = recorded.image;
@@ -307,7 +314,8 @@
       << line;
 }
 
-TEST(StoreExpiry, ASweepKeepsTheLatestTimeThatWasSeen) {
+// Guards against a sweep with a time that is too early, which would restore an expired entry after a restart.
+TEST(StoreExpiry, SweepKeepsTheLatestExpiryTimeWhenTheClockStepsBackBeforeTheCommit) {
   SimulatedDisk disk;
   OperationHistory history(disk, 1);
   ASSERT_TRUE(history.open());
@@ -316,7 +324,7 @@
   history.commit({WriteRequest::put("key1", "long", in(80)), WriteRequest::put("key2", "short", in(10))});
   history.now = in(100);
   EXPECT_FALSE(history.store().get("key1", history.now).value);
-  history.now = in(20);  // the clock steps back, and another is seen to expire before anything is written
+  history.now = in(20);  // the clock steps back, and key2 is found to be expired before the next commit
   EXPECT_FALSE(history.store().get("key2", history.now).value);
   history.commit({WriteRequest::put("key3", "carries the sweep")});
   history.now = begin;
@@ -325,13 +333,15 @@
   EXPECT_FALSE(history.store().get("key2", history.now).value);
 }
 
-TEST(StoreSnapshot, LetsTheCompactionBeforeItEnd) {
+// Guards against tombstones that are kept without limit. A snapshot that starts after a compaction has
+// removed a segment, but before the index is updated, must let the index update finish.
+TEST(StoreSnapshot, LetsACompactionInProgressUpdateTheIndex) {
   SimulatedDisk disk;
   SimulatedDisk target;
   OperationHistory history(disk, 1);
   ASSERT_TRUE(history.open());
   history.commit({WriteRequest::put("key1", "v"), WriteRequest::put("key2", "v")});
-  ASSERT_TRUE(history.open());  // its segment is closed by that
+  ASSERT_TRUE(history.open());  // reopening seals the segment
   history.commit({WriteRequest::erase("key1"), WriteRequest::erase("key2")});
   while (history.store().statistics().compactions == 0)
     ASSERT_TRUE(history.store().runMaintenance(history.now));
@@ -345,14 +355,15 @@
   history.compactAll();
   history.compactAll();
   EXPECT_EQ(history.store().statistics().tombstones, 0u)
-      << "erasures of what is no longer on disk are kept for ever";
+      << "erasures must be dropped once the erased records are no longer on disk";
 }
 
-TEST(StoreCompaction, ARequestedOneLetsCommitsThrough) {
+// Guards against a requested compaction that blocks commits until it has finished.
+TEST(StoreCompaction, AllowsCommitsBetweenItsStepsWhenRequested) {
   SimulatedDisk disk;
   OperationHistory history(disk, 1);
   ASSERT_TRUE(history.open());
-  // A quarter of it dead: not worth the while until somebody asks.
+  // A quarter of the bytes are dead: too few for an automatic compaction, enough for a requested one.
   for (std::uint64_t i = 0; i < 50; ++i)
     history.commit({WriteRequest::put(numbered("n", i < 40 ? i : i * 4 % 40), std::string(40, 'x'))});
   history.runAllMaintenance();
@@ -364,11 +375,13 @@
     history.commit({WriteRequest::put("while", numbered("v", between))});
   }
   ASSERT_TRUE(ended && ended->isOk());
-  EXPECT_GT(between, 3u) << "it was done in one step";
+  EXPECT_GT(between, 3u) << "the compaction was done in too few steps";
   EXPECT_EQ(history.contradictions(), "");
 }
 
-TEST(StoreExpiry, WhatExpiredStaysSoWhenTheClockStepsBack) {
+// Guards against an expired entry that returns when the clock steps back, in the same process or after a
+// restart.
+TEST(StoreExpiry, ExpiredEntryStaysExpiredWhenTheClockStepsBack) {
   SimulatedDisk disk;
   OperationHistory history(disk, 1);
   ASSERT_TRUE(history.open());
@@ -381,8 +394,8 @@
   EXPECT_FALSE(history.store().get("key1", history.now).value) << "in the same process";
   history.commit({WriteRequest::put("key3", "carries the sweep")});
   ASSERT_TRUE(history.open());
-  EXPECT_FALSE(history.store().get("key1", history.now).value) << "after a start";
-  // A clock that was wrong once must not doom what is written later.
+  EXPECT_FALSE(history.store().get("key1", history.now).value) << "after a restart";
+  // A clock that was ahead once must not expire entries that are written later.
   history.commit({WriteRequest::put("key1", "again", begin + std::chrono::milliseconds(60))});
   ASSERT_TRUE(history.open());
   EXPECT_EQ(history.store().get("key1", history.now).value, "again");
--- a/tests/store_format_test.cpp
+++ b/tests/store_format_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The byte formats: records, the manifest, compressed values.
+/// Tests of the byte formats: records, the manifest, compressed values.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -13,7 +13,7 @@
 
 using std::chrono::milliseconds;
 
-RC_GTEST_PROP(StoreFormat, ARecordIsReadAtItsOwnPositionOnly,
+RC_GTEST_PROP(StoreFormat, ReadsARecordOnlyAtItsOwnPosition,
               (const std::string& key, const std::string& value, std::uint64_t sequence,
                std::uint16_t offset)) {
   const RecordPosition position{{FileKind::segment, StoreId{5}, SegmentNumber{6}}, offset};
@@ -33,7 +33,7 @@
   RC_ASSERT(readRecord(bytes, elsewhere).state == RecordReadResult::State::notARecord);
 }
 
-TEST(StoreFormat, AManifestWithAnyCorruptByteIsRefused) {
+TEST(StoreFormat, RejectsAManifestWhenAnyByteIsCorruptOrMissing) {
   const Manifest manifest{
       StoreId{9},
       SegmentNumber{4},
@@ -51,7 +51,7 @@
   }
 }
 
-TEST(StoreFormat, LongValuesAreCompressed) {
+TEST(StoreFormat, CompressesLongValues) {
   SimulatedDisk disk;
   OperationHistory history(disk, 1);
   ASSERT_TRUE(history.open());
--- a/tests/store_key_index_test.cpp
+++ b/tests/store_key_index_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// KeyIndex: which record of a key is current, and how long a deletion is remembered.
+/// Tests of KeyIndex: which record of a key is current, and how long a deleted key stays in the index.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -12,12 +12,12 @@
 namespace rainhook::store {
 namespace {
 
-TEST(StoreKeyIndex, RemembersADeletedKeyWhileAnOlderRecordStands) {
+TEST(StoreKeyIndex, RemembersADeletedKeyWhileAnOlderRecordIsOnDisk) {
   KeyIndex index;
   index.addRecord("k", RecordKind::put, SequenceNumber{1}, neverExpires, {SegmentNumber{1}, 40, 60});
   index.addRecord("k", RecordKind::erase, SequenceNumber{2}, neverExpires, {SegmentNumber{2}, 40, 50});
   EXPECT_EQ(index.liveBytesIn(SegmentNumber{1}), 0u);
-  EXPECT_GT(index.liveBytesIn(SegmentNumber{2}), 0u) << "its erasure has to be copied while the put stands";
+  EXPECT_GT(index.liveBytesIn(SegmentNumber{2}), 0u) << "the erasure must be copied while the put is on disk";
   index.removeRecord("k", SequenceNumber{1});
   EXPECT_EQ(index.liveBytesIn(SegmentNumber{2}), 0u);
   ASSERT_NE(index.find("k"), nullptr);
@@ -26,19 +26,20 @@
   EXPECT_EQ(index.memoryBytes(), 0u);
 }
 
-TEST(StoreKeyIndex, OrdersALostRecordByItsOwnAge) {
+TEST(StoreKeyIndex, OrdersALostRecordByItsOwnSequenceNumber) {
   KeyIndex index;
   index.addRecord("a", RecordKind::put, SequenceNumber{1}, neverExpires, {SegmentNumber{1}, 40, 60});
   index.addRecord("b", RecordKind::put, SequenceNumber{2}, neverExpires, {SegmentNumber{1}, 100, 60});
   EXPECT_TRUE(index.markLost("a", SequenceNumber{5}, SegmentNumber{2}));
   index.sortByAge();
-  EXPECT_EQ(index.raiseFloor(SequenceNumber{3}), 1u) << "what is behind it ages out all the same";
+  EXPECT_EQ(index.raiseFloor(SequenceNumber{3}), 1u)
+      << "an older entry that follows the lost one must age out";
   EXPECT_EQ(index.find("b"), nullptr);
   ASSERT_NE(index.find("a"), nullptr);
   EXPECT_EQ(index.find("a")->state, EntryState::lost);
 }
 
-RC_GTEST_PROP(StoreKeyIndex, DoesNotDependOnTheOrderOfRecords, (std::uint32_t seed)) {
+RC_GTEST_PROP(StoreKeyIndex, HasTheSameContentsForAnyOrderOfRecords, (std::uint32_t seed)) {
   struct Row {
     std::string key;
     RecordKind kind;
@@ -52,7 +53,7 @@
                     randomBelow(random, 3) == 0 ? RecordKind::erase : RecordKind::put,
                     SequenceNumber{i + 1},
                     {SegmentNumber{randomBelow(random, 5) + 1}, i * 100 + 40, 80}});
-  const auto read = [](const std::vector<Row>& allRows) {
+  const auto contentsOf = [](const std::vector<Row>& allRows) {
     KeyIndex out;
     for (const Row& row : allRows) out.addRecord(row.key, row.kind, row.sequence, neverExpires, row.location);
     out.sortByAge();
@@ -65,7 +66,7 @@
   auto shuffled = rows;
   for (std::size_t i = shuffled.size(); i > 1; --i)
     std::swap(shuffled[i - 1], shuffled[randomBelow(random, static_cast<std::uint32_t>(i))]);
-  RC_ASSERT(read(rows) == read(shuffled));
+  RC_ASSERT(contentsOf(rows) == contentsOf(shuffled));
 }
 
 }  // namespace
--- a/tests/store_limits_test.cpp
+++ b/tests/store_limits_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The limits on the folder and the index: what is compacted, and what ages out.
+/// Tests of the limits on the folder and the index, and of what is compacted and ages out under them.
 #include <gtest/gtest.h>
 
 #include <map>
@@ -10,8 +10,9 @@
 namespace rainhook::store {
 namespace {
 
-// The folder stays under its bound at each moment; what lives beyond it ages out, the oldest first.
-TEST(StoreLimits, TheFolderNeverExceedsItsLimitAndTheOldestEntriesAgeOut) {
+// Guards against a folder that exceeds its limit at any time, and against entries that age out before older
+// ones.
+TEST(StoreLimits, FolderStaysWithinItsLimitAndOldestEntriesAgeOutWhenWritesContinue) {
   SimulatedDisk disk;
   auto settings = smallSettings();
   settings.maxDiskBytes = 24 << 10;
@@ -36,12 +37,12 @@
   const int first = std::stoi(oldest.substr(1));
   for (int i = first; i < 1500; ++i)
     EXPECT_TRUE(history.store().get(numbered("n", static_cast<std::uint64_t>(i)), history.now).value)
-        << i << " went before its time";
+        << i << " aged out before an older entry";
 }
 
-// Nobody tidies between the commits, so the folder fills to its line; half of it lives, and none of that may
-// go.
-TEST(StoreLimits, AFullFolderCanStillCompactWithoutAgeingOut) {
+// Guards against live entries that age out although compaction could free space. No maintenance runs between
+// the commits, so the folder fills to its limit; half of its bytes are live and none of them may age out.
+TEST(StoreLimits, CommitsCompactAFullFolderWithoutAgeingOut) {
   SimulatedDisk disk;
   auto settings = smallSettings();
   settings.maxDiskBytes = 24 << 10;
@@ -63,7 +64,7 @@
   for (const auto& [key, value] : latest) EXPECT_EQ(history.store().get(key, history.now).value, value);
 }
 
-TEST(StoreLimits, TheIndexStaysBelowItsLimit) {
+TEST(StoreLimits, IndexIsBoundedAndOldEntriesAgeOutWhenKeysAreAdded) {
   SimulatedDisk disk;
   auto settings = smallSettings();
   settings.maxDiskBytes = 256 << 10, settings.maxIndexBytes = 20'000;
@@ -78,7 +79,7 @@
   EXPECT_EQ(history.store().get("n399", history.now).value, "v");
 }
 
-TEST(StoreLimits, AnErasedStoreReturnsItsRoom) {
+TEST(StoreLimits, CompactionFreesDiskAndIndexWhenAllKeysAreErased) {
   SimulatedDisk disk;
   OperationHistory history(disk, 1);
   ASSERT_TRUE(history.open());
@@ -89,7 +90,8 @@
   history.compactAll();
   history.compactAll();
   EXPECT_LT(disk.usedBytes(), 1000u);
-  EXPECT_EQ(history.store().statistics().indexBytes, 0u) << "nothing on disk could bring them back";
+  EXPECT_EQ(history.store().statistics().indexBytes, 0u)
+      << "no record on disk could restore the erased keys, so none may be remembered";
 }
 
 }  // namespace
--- a/tests/store_operation_history.h
+++ b/tests/store_operation_history.h
@@ -1,5 +1,5 @@
 /// @file
-/// A random history of operations on a store over a simulated disk, beside its reference model.
+/// Runs a random history of operations on a store over a simulated disk and on its reference model.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -17,13 +17,13 @@
 
 namespace rainhook::store {
 
-/// "key", 7 -> "key7".
+/// Appends a number to a prefix: numbered("key", 7) is "key7".
 inline std::string numbered(const char* prefix, std::uint64_t number) {
   std::string out(prefix);
   return out += std::to_string(number);
 }
 
-/// Limits so small that a short history fills several segments.
+/// Returns limits so small that a short history fills several segments.
 inline StoreSettings smallSettings() {
   StoreSettings out;
   out.maxDiskBytes = 64 << 10;
@@ -36,13 +36,14 @@
   return out;
 }
 
-/// Puts, overwrites, erasures, expiries, compactions, snapshots and restarts, drawn from a seed.
+/// Performs puts, overwrites, erasures, expiries, compactions, snapshots and restarts, chosen at random from
+/// a seed.
 class OperationHistory {
  public:
   explicit OperationHistory(SimulatedDisk& disk, std::uint64_t seed, StoreSettings settings = smallSettings())
       : simulatedDisk_(disk), settings_(settings), random_(seed) {}
 
-  /// Opens the store, also again. False once the disk is dead.
+  /// Opens or reopens the store. Returns false once the disk has failed permanently.
   bool open() {
     if (store_) {
       earlierCompactions += store_->statistics().compactions;
@@ -60,17 +61,18 @@
     const auto choice = randomBelow(random_, 20);
     if (choice < 12) {
       std::vector<WriteRequest> writes;
-      for (auto left = 1 + randomBelow(random_, 3); left > 0; --left) writes.push_back(randomWrite());
+      for (auto remaining = 1 + randomBelow(random_, 3); remaining > 0; --remaining)
+        writes.push_back(randomWrite());
       commit(writes);
     } else if (choice < 17) {
-      for (auto left = randomBelow(random_, 12); left > 0; --left) store_->runMaintenance(now);
+      for (auto remaining = randomBelow(random_, 12); remaining > 0; --remaining) store_->runMaintenance(now);
     } else if (choice < 19) {
       now += std::chrono::milliseconds(randomBelow(random_, 40));
     } else if (simulatedDisk_.operations < simulatedDisk_.crashAt) {
       snapshotOrReopen();
     }
   }
-  /// Commits the writes and records in the model what was acknowledged.
+  /// Commits the writes and records in the model which of them were acknowledged.
   void commit(const std::vector<WriteRequest>& writes) {
     const auto statuses = store_->commit(writes, now);
     for (std::size_t i = 0; i < writes.size(); ++i) model.recordWrite(writes[i], statuses[i].isOk());
@@ -85,17 +87,17 @@
     for (int i = 0; i < maxMaintenanceSteps && !ended; ++i) store_->runMaintenance(now);
     EXPECT_TRUE(ended);
   }
-  /// The keys that the store serves wrongly, as text.
+  /// Describes the keys for which the store returns wrong results; empty if there are none.
   std::string contradictions() { return model.contradictions(*store_, now); }
   LogStructuredStore& store() { return *store_; }
-  /// Drops the store without closing it, as a kill of its process does.
+  /// Destroys the store without closing it, like a kill of its process.
   void kill() { store_.reset(); }
 
   UnixTime now{std::chrono::milliseconds(1'000'000)};
   ReferenceModel model;
   std::vector<std::string> logLines;
-  std::uint64_t earlierCompactions = 0;     // by the stores before the present one
-  std::uint64_t earlierExpiredEntries = 0;  // by the stores before the present one
+  std::uint64_t earlierCompactions = 0;     // by the stores before the current one
+  std::uint64_t earlierExpiredEntries = 0;  // by the stores before the current one
   std::uint64_t erasures = 0;
 
  private:
@@ -103,7 +105,7 @@
   static constexpr int maxMaintenanceSteps = 10000;
 
   void snapshotOrReopen() {
-    // The maintenance that follows carries a snapshot on; a restart ends it.
+    // The maintenance steps that follow continue the snapshot; a restart ends it.
     if (randomBelow(random_, 3) == 0) {
       snapshotDisk_ = SimulatedDisk();
       (void)store_->startSnapshot(std::make_unique<CrashSimulatingDisk>(snapshotDisk_), {});
--- a/tests/store_reference_model.h
+++ b/tests/store_reference_model.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a store may serve, by the writes that were made: the model that the store's tests compare it with.
+/// The model of a store's permitted contents, with which the store's tests compare its reads.
 #pragma once
 
 #include <algorithm>
@@ -13,8 +13,8 @@
 
 namespace rainhook::store {
 
-/// Holds for each key the values that may be served: one once a write of it is acknowledged, more where it is
-/// open whether a write took effect.
+/// Holds the values that a store may return for each key: a single value after an acknowledged write, several
+/// values after writes that may or may not have taken effect.
 class ReferenceModel {
  public:
   struct State {
@@ -29,7 +29,7 @@
     if (isAcknowledged) states.clear();
     states.push_back(write.isErase() ? State{} : State{write.value, write.expiry});
   }
-  /// What expired once stays so.
+  /// Removes the values that have expired at `now`; they never return.
   void expire(UnixTime now) {
     for (auto& [key, states] : states_)
       for (State& state : states)
@@ -41,7 +41,8 @@
     return std::any_of(found->second.begin(), found->second.end(),
                        [&](const State& state) { return state.value == value; });
   }
-  /// The keys that the store serves wrongly, as text; those of `mayBeMissing` may have no value.
+  /// Describes the keys for which the store returns wrong results; the keys in `mayBeMissing` may have no
+  /// value.
   std::string contradictions(const LogStructuredStore& store, UnixTime now,
                              const std::set<std::string>& mayBeMissing = {}) {
     expire(now);
--- a/tests/store_simulated_disk.h
+++ b/tests/store_simulated_disk.h
@@ -1,5 +1,5 @@
 /// @file
-/// A disk for the store's tests that forgets what was not synced and fails on demand.
+/// A simulated disk for the store's tests that loses unsynced data and fails on demand.
 #pragma once
 
 #include <algorithm>
@@ -20,11 +20,12 @@
 using RandomSource = pcg32;
 inline std::uint32_t randomBelow(RandomSource& random, std::uint32_t bound) { return random(bound); }
 
-/// The bytes that a machine holds: what it would find after a loss of power, and what has not been synced
-/// yet. CrashSimulatingDisk is the interface to it.
+/// The data of a simulated machine: the durable data, which survives a power loss, and the data that has not
+/// been synced yet. CrashSimulatingDisk is the Disk interface to it.
 class SimulatedDisk {
  public:
-  /// A fault of one operation that writes half of its bytes and fails the next time.
+  /// A fault in which a write stores only half of its bytes without an error; any other operation fails with
+  /// EIO.
   static constexpr int shortWrite = -1;
   static constexpr std::uint64_t never = ~std::uint64_t{0};
 
@@ -35,10 +36,10 @@
     std::string bytes;
   };
   struct Inode {
-    std::string bytes;         // as the running system sees them
-    std::string durableBytes;  // after a loss of power
+    std::string bytes;         // the contents that the running system sees
+    std::string durableBytes;  // the contents after a power loss
     std::vector<Change> unsynced;
-    std::vector<Change> failedSync;  // no later sync brings them back
+    std::vector<Change> failedSync;  // changes whose sync failed; no later sync makes them durable
   };
   struct NameChange {
     enum class Kind { create, rename, remove } kind;
@@ -46,17 +47,17 @@
     std::string newName;
     std::shared_ptr<Inode> inode;
   };
-  /// What of the unsynced changes survives a loss of power.
-  enum Survival { nothingSurvives = 0, everythingSurvives = 1 };  // greater numbers seed a random choice
+  /// Which unsynced changes survive a power loss. Higher numbers are seeds of a random choice.
+  enum Survival { nothingSurvives = 0, everythingSurvives = 1 };
 
   std::map<std::string, std::shared_ptr<Inode>> files;
   std::map<std::string, std::shared_ptr<Inode>> durableFiles;
   std::vector<NameChange> unsyncedNames;
   std::uint64_t capacity = never;
   std::uint64_t peakBytes = 0;
-  std::uint64_t operations = 0;  // of those that change something
+  std::uint64_t operations = 0;  // the number of operations that change data
   std::uint64_t crashAt = never;
-  std::map<std::uint64_t, int> faults;  // errno or shortWrite by operation
+  std::map<std::uint64_t, int> faults;  // errno or shortWrite, by operation number
   int everySyncFault = 0;               // errno
   int everyOpenFault = 0;               // errno
 
@@ -72,8 +73,8 @@
     return sum;
   }
 
-  /// The disk that is found after a loss of power. With a random choice each write survives whole, in part or
-  /// not at all, in any order.
+  /// Returns the disk after a power loss. With a random choice, each write survives completely, partly or not
+  /// at all, independently of the order of the writes.
   SimulatedDisk afterPowerLoss(int survival) const {
     RandomSource random(static_cast<std::uint64_t>(survival) * 7919 + operations);
     const bool isRandom = survival > everythingSurvives;
@@ -109,7 +110,7 @@
     return out;
   }
 
-  /// A disk that holds these files durably; for trying one image many times.
+  /// Returns a disk that contains these files durably, so that a test can use one image many times.
   static SimulatedDisk withFiles(const std::map<std::string, std::string>& image) {
     SimulatedDisk out;
     for (const auto& [name, bytes] : image) {
@@ -127,7 +128,8 @@
     return out;
   }
 
-  /// Counts an operation; returns its fault, 0 for none. After the crash nothing has an effect any more.
+  /// Counts an operation and returns its fault, or 0 for none. After the crash, every operation fails and
+  /// changes nothing.
   int nextFault() {
     const std::uint64_t number = operations++;
     if (number >= crashAt) return EIO;
@@ -203,7 +205,7 @@
         : disk_(disk), inode_(std::move(inode)) {}
 
     IoResult read(std::uint64_t offset, std::span<char> into) override {
-      constexpr std::size_t maxReadBytes = 3000;  // the store has to go on after short reads
+      constexpr std::size_t maxReadBytes = 3000;  // causes short reads, after which the store must continue
       if (offset >= inode_->bytes.size()) return {};
       const auto count = std::min<std::size_t>({into.size(), inode_->bytes.size() - offset, maxReadBytes});
       std::copy_n(inode_->bytes.data() + offset, count, into.data());
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Store: the writer's thread, its bounded queue and its completions, on a real folder.
+/// Tests of Store in a real folder: the writer thread, its bounded queue and its completions.
 #include "store/store.h"
 
 #include <gtest/gtest.h>
@@ -19,7 +19,7 @@
 
 using std::chrono::milliseconds;
 
-// A real folder, and what only a real process can show.
+/// Creates stores in a temporary folder on the real file system.
 class StoreTest : public testing::Test {
  protected:
   StoreTest() {
@@ -27,7 +27,7 @@
     folder_ = ::mkdtemp(name);
   }
   ~StoreTest() override { std::filesystem::remove_all(folder_); }
-  std::unique_ptr<Store> store(const StoreSettings& settings = {}) {
+  std::unique_ptr<Store> makeStore(const StoreSettings& settings = {}) {
     return std::make_unique<Store>(
         std::make_unique<PosixDisk>(folder_), settings,
         [] { return std::chrono::floor<milliseconds>(std::chrono::system_clock::now()); },
@@ -36,53 +36,53 @@
   std::string folder_;
 };
 
-TEST_F(StoreTest, APutIsVisibleAtOnceAndCompletesOnceDurable) {
-  const auto opened = store();
+TEST_F(StoreTest, PutIsVisibleImmediatelyAndCompletesWhenDurable) {
+  const auto opened = makeStore();
   ASSERT_TRUE(opened->open(1).isOk());
   int completed = 0;
   for (int i = 0; i < 500; ++i) {
     const auto key = numbered("k", static_cast<std::uint64_t>(i % 50));
-    ASSERT_TRUE(
-        opened
-            ->put(key, std::to_string(i), neverExpires, [&](const StoreStatus& o) { completed += o.isOk(); })
-            .isOk());
+    ASSERT_TRUE(opened
+                    ->put(key, std::to_string(i), neverExpires,
+                          [&](const StoreStatus& status) { completed += status.isOk(); })
+                    .isOk());
     ASSERT_EQ(opened->get(key).value, std::to_string(i));
   }
   ASSERT_TRUE(opened->erase("k7", {}).isOk());
   EXPECT_FALSE(opened->get("k7").value);
-  EXPECT_EQ(completed, 0) << "no callback runs before it is dispatched";
+  EXPECT_EQ(completed, 0) << "no callback may run before dispatchCompletions";
   opened->waitUntilIdle();
   EXPECT_EQ(completed, 500);
   std::optional<std::string> fetched;
   ASSERT_TRUE(opened->getAsync("k8", [&](const ReadResult& got) { fetched = got.value; }).isOk());
   opened->waitUntilIdle();
   EXPECT_EQ(fetched, "458");
-  EXPECT_LT(opened->statistics().log.commits, 500u) << "writes that wait go together";
+  EXPECT_LT(opened->statistics().log.commits, 500u) << "waiting writes must share commits";
   opened->close();
   EXPECT_EQ(opened->put("late", "", neverExpires, {}).code, StoreErrorCode::closed);
-  const auto again = store();
-  ASSERT_TRUE(again->open(2).isOk());
-  EXPECT_EQ(again->get("k8").value, "458");
-  EXPECT_FALSE(again->get("k7").value);
+  const auto reopened = makeStore();
+  ASSERT_TRUE(reopened->open(2).isOk());
+  EXPECT_EQ(reopened->get("k8").value, "458");
+  EXPECT_FALSE(reopened->get("k7").value);
 }
 
-TEST_F(StoreTest, AFullQueueRefusesAtOnceAndTheEventSignalsCompletions) {
+TEST_F(StoreTest, PutIsRejectedWhenTheQueueIsFullAndEventFdSignalsCompletions) {
   StoreSettings settings;
   settings.maxQueueBytes = 8 << 10, settings.maxValueBytes = 1 << 10;
-  const auto opened = store(settings);
+  const auto opened = makeStore(settings);
   ASSERT_TRUE(opened->open(1).isOk());
-  std::uint64_t accepted = 0, refused = 0, completed = 0;
+  std::uint64_t accepted = 0, rejected = 0, completed = 0;
   for (int i = 0; i < 2000; ++i) {
     const auto outcome =
         opened->put(numbered("k", static_cast<std::uint64_t>(i)), std::string(500, 'x'), neverExpires,
                     [&](const StoreStatus& status) { completed += status.isOk(); });
-    ++(outcome.isOk() ? accepted : refused);
+    ++(outcome.isOk() ? accepted : rejected);
     if (!outcome.isOk()) {
       EXPECT_EQ(outcome.code, StoreErrorCode::queueFull);
     }
   }
-  EXPECT_GT(refused, 0u);
-  EXPECT_EQ(opened->statistics().rejectedCalls, refused);
+  EXPECT_GT(rejected, 0u);
+  EXPECT_EQ(opened->statistics().rejectedCalls, rejected);
   EXPECT_LE(opened->statistics().peakQueueBytes, settings.maxQueueBytes);
   pollfd ready{opened->eventFd(), POLLIN, 0};
   EXPECT_EQ(::poll(&ready, 1, 5000), 1);
@@ -92,45 +92,47 @@
   EXPECT_EQ(opened->put("k", std::string(2000, 'x'), neverExpires, {}).code, StoreErrorCode::entryTooLarge);
 }
 
-TEST_F(StoreTest, UndispatchedCompletionsCountAgainstTheQueue) {
+TEST_F(StoreTest, CompletionsCountAgainstTheQueueWhenNotDispatched) {
   StoreSettings settings;
   settings.maxQueueBytes = 16 << 10, settings.maxValueBytes = 1 << 10;
-  const auto opened = store(settings);
+  const auto opened = makeStore(settings);
   ASSERT_TRUE(opened->open(1).isOk());
   std::uint64_t accepted = 0, completed = 0;
   StoreStatus last;
-  const auto refused = [&](const auto& attempt) {
+  const auto repeatUntilRejected = [&](const auto& attempt) {
     for (int i = 0; i < 4000 && last.isOk(); ++i) {
       last = attempt();
       if (last.isOk())
-        ++accepted, std::this_thread::sleep_for(std::chrono::microseconds(200));  // the writer keeps up
+        // The pause lets the writer thread complete the call.
+        ++accepted, std::this_thread::sleep_for(std::chrono::microseconds(200));
     }
     return std::exchange(last, {}).code;
   };
-  EXPECT_EQ(refused([&] {
+  EXPECT_EQ(repeatUntilRejected([&] {
               return opened->put("key", "value", neverExpires, [&](const StoreStatus&) { ++completed; });
             }),
             StoreErrorCode::queueFull);
   EXPECT_LE(accepted, 64u);
   opened->waitUntilIdle();
   EXPECT_EQ(completed, accepted);
-  EXPECT_EQ(refused([&] { return opened->getAsync("key", [&](const ReadResult&) { ++completed; }); }),
-            StoreErrorCode::queueFull);
-  EXPECT_LE(accepted, 64u + 16u) << "a read may bring the longest value";
+  EXPECT_EQ(
+      repeatUntilRejected([&] { return opened->getAsync("key", [&](const ReadResult&) { ++completed; }); }),
+      StoreErrorCode::queueFull);
+  EXPECT_LE(accepted, 64u + 16u) << "each read must reserve the longest value";
   opened->waitUntilIdle();
   EXPECT_EQ(completed, accepted);
 }
 
-TEST_F(StoreTest, ASecondStoreIsRefusedWithTheHoldersPid) {
-  const auto opened = store();
+TEST_F(StoreTest, OpenFailsWithTheHoldersPidWhenTheFolderIsLocked) {
+  const auto opened = makeStore();
   ASSERT_TRUE(opened->open(1).isOk());
-  const auto outcome = store()->open(2);
+  const auto outcome = makeStore()->open(2);
   EXPECT_EQ(outcome.code, StoreErrorCode::locked);
   EXPECT_NE(outcome.message.find(std::to_string(::getpid())), std::string::npos) << outcome.message;
 }
 
-TEST_F(StoreTest, ASnapshotDuringWritesHoldsTheStateOfItsStart) {
-  const auto opened = store();
+TEST_F(StoreTest, SnapshotContainsAllEarlierEntriesWhenWritesContinue) {
+  const auto opened = makeStore();
   ASSERT_TRUE(opened->open(1).isOk());
   for (int i = 0; i < 300; ++i)
     ASSERT_TRUE(opened->put(numbered("k", static_cast<std::uint64_t>(i)), "before", neverExpires, {}).isOk());
@@ -151,12 +153,13 @@
   EXPECT_EQ(copy.statistics().entries, 300u);
 }
 
-// Readers on other threads while the writer commits and compacts; for the thread and address sanitizers too.
-TEST_F(StoreTest, ReadersSeeWholeValuesDuringCompaction) {
+// Guards against torn or wrong values when other threads read while the writer thread commits and compacts.
+// It also lets the thread and address sanitizers check these accesses.
+TEST_F(StoreTest, ReadersSeeCompleteValuesDuringCompaction) {
   StoreSettings settings;
   settings.maxSegmentBytes = 64 << 10, settings.maxValueBytes = 1 << 10, settings.maxDiskBytes = 2 << 20,
   settings.maxOpenFiles = 2;
-  const auto opened = store(settings);
+  const auto opened = makeStore(settings);
   ASSERT_TRUE(opened->open(1).isOk());
   std::atomic<bool> stop = false;
   std::atomic<std::uint64_t> reads = 0, wrong = 0;
