--- a/bench/store_measure.cpp
+++ b/bench/store_measure.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// `make measure-store`: what the store does on a real folder, against itself with group commit off and
-/// without hint files. Usage: store_measure FOLDER [entries of the start]. Takes about a minute; the folder
-/// is removed at the end.
+/// `make measure-store`: measures the store in a real folder and compares it with the same store without
+/// group commit and without hint files. Usage: store_measure FOLDER [ENTRIES], where ENTRIES is the number of
+/// entries in the measurement of the start. Takes about a minute and removes the folder at the end.
 #include <fcntl.h>
 #include <fmt/format.h>
 #include <malloc.h>
@@ -57,22 +57,22 @@
 
 std::string keyOf(std::uint64_t i) { return fmt::format("key{:08}", i); }
 
-/// Bytes that zstd can't make shorter.
+/// Returns random bytes, which zstd can't compress.
 std::string randomValue(pcg32& random, std::size_t bytes) {
   std::string out(bytes, '\0');
   for (char& c : out) c = static_cast<char>(random());
   return out;
 }
 
-/// Prints rows as they are measured and all of them as one line at the end.
+/// Prints each row when it is measured, and all rows as one line at the end.
 class Report {
  public:
   void row(const std::string& text, const std::string& name, double value, int digits) {
     fmt::print("  {:<42}{:>12.{}f}\n", text, value, digits);
     values_.emplace_back(name, value);
   }
-  /// The value of the row that was printed so many rows ago; 1 is the last.
-  double earlier(std::size_t rowsAgo) const { return values_[values_.size() - rowsAgo].second; }
+  /// Returns the value of an earlier row; `rowsAgo` 1 is the last row.
+  double valueOfRow(std::size_t rowsAgo) const { return values_[values_.size() - rowsAgo].second; }
   void printSummary() const {
     fmt::print("\nmeasure store:");
     for (const auto& [name, value] : values_) fmt::print(" {}={:.2f}", name, value);
@@ -83,8 +83,8 @@
   std::vector<std::pair<std::string, double>> values_;
 };
 
-/// A folder for the stores that are measured, with their settings.
-struct Rig {
+/// The folder and the settings of the measured stores.
+struct StoreSetup {
   std::string folder;
   StoreSettings settings;
 
@@ -105,7 +105,7 @@
   double p99Ms = 0;
 };
 
-/// Keeps so many writes in flight; the next begins when one is acknowledged.
+/// Keeps `inFlight` writes pending for the given time; starts the next write when one is acknowledged.
 PutMeasurement measurePuts(Store& store, std::uint64_t inFlight, double seconds,
                            const std::function<std::string()>& nextKey, std::size_t valueBytes) {
   pcg32 random(7);
@@ -132,31 +132,31 @@
   return out;
 }
 
-double putsPerSecond(Rig rig, std::uint64_t inFlight, std::uint64_t maxCommitWrites) {
-  rig.settings.maxCommitWrites = maxCommitWrites;
+double putsPerSecond(StoreSetup setup, std::uint64_t inFlight, std::uint64_t maxCommitWrites) {
+  setup.settings.maxCommitWrites = maxCommitWrites;
   return medianOfRuns([&] {
-    rig.clear();
-    const auto store = rig.openStore();
+    setup.clear();
+    const auto store = setup.openStore();
     std::uint64_t number = 0;
     const auto nextKey = [&] { return keyOf(number++); };
     return measurePuts(*store, inFlight, 1.0, nextKey, 100).perSecond;
   });
 }
 
-void measureGroupCommit(const Rig& rig, Report& report) {
-  fmt::print("{:<44}{:>12}\n", "durable puts a second", "");
+void measureGroupCommit(const StoreSetup& setup, Report& report) {
+  fmt::print("{:<44}{:>12}\n", "durable puts per second", "");
   for (const std::uint64_t inFlight : {1, 8, 64})
     report.row(fmt::format("{} in flight", inFlight), fmt::format("puts_{}", inFlight),
-               putsPerSecond(rig, inFlight, 1024), 0);
-  report.row("64 in flight, a sync each", "puts_64_single", putsPerSecond(rig, 64, 1), 0);
-  report.row("group commit, times as many", "group_gain", report.earlier(2) / report.earlier(1), 1);
+               putsPerSecond(setup, inFlight, 1024), 0);
+  report.row("64 in flight, one sync per put", "puts_64_single", putsPerSecond(setup, 64, 1), 0);
+  report.row("speed-up by group commit", "group_gain", report.valueOfRow(2) / report.valueOfRow(1), 1);
 }
 
-void measureGets(Rig rig, Report& report) {
-  rig.clear();
-  rig.settings.maxDiskBytes = 512 << 20;
-  rig.settings.maxIndexBytes = 512 << 20;
-  const auto store = rig.openStore();
+void measureGets(StoreSetup setup, Report& report) {
+  setup.clear();
+  setup.settings.maxDiskBytes = 512 << 20;
+  setup.settings.maxIndexBytes = 512 << 20;
+  const auto store = setup.openStore();
   std::uint64_t entries = 0;
   const auto nextKey = [&] { return keyOf(entries++); };
   measurePuts(*store, 512, 2.0, nextKey, 100);
@@ -171,15 +171,15 @@
     latenciesUs.push_back(secondsSince(sent) * microsecondsPerSecond);
   }
   fmt::print("gets from {} entries\n", entries);
-  report.row("a second", "gets", static_cast<double>(latenciesUs.size()) / secondsSince(begin), 0);
+  report.row("gets per second", "gets", static_cast<double>(latenciesUs.size()) / secondsSince(begin), 0);
   report.row("p99, microseconds", "get_p99_us", quantile(latenciesUs, 0.99), 1);
-  if (missing > 0) fmt::print("  {} were missing\n", missing);
+  if (missing > 0) fmt::print("  {} gets found no value\n", missing);
 }
 
-void fillForStart(const Rig& rig, std::uint64_t entries) {
-  constexpr std::uint64_t keyStride = 7919;  // a prime, so that the keys are not written in their order
-  PosixDisk disk(rig.folder);
-  LogStructuredStore store(disk, rig.settings, {});
+void fillForStart(const StoreSetup& setup, std::uint64_t entries) {
+  constexpr std::uint64_t keyStride = 7919;  // a prime number, so that the keys are not written in key order
+  PosixDisk disk(setup.folder);
+  LogStructuredStore store(disk, setup.settings, {});
   if (!store.open(1).isOk()) std::exit(1);
   pcg32 random(5);
   for (std::uint64_t i = 0; i < entries;) {
@@ -191,7 +191,7 @@
   store.close();
 }
 
-/// Drops the folder's files from the page cache, as a start of the machine does.
+/// Drops the folder's files from the page cache, to simulate a restart of the machine.
 void dropPageCache(const std::string& folder) {
   ::sync();
   for (const auto& entry : std::filesystem::directory_iterator(folder)) {
@@ -209,13 +209,13 @@
 enum class Hints { present, absent };
 enum class PageCache { cold, warm };
 
-double startSeconds(const Rig& rig, std::uint64_t entries, Hints hints, PageCache cache) {
+double startSeconds(const StoreSetup& setup, std::uint64_t entries, Hints hints, PageCache cache) {
   return medianOfRuns([&] {
-    if (hints == Hints::absent) removeHintFiles(rig.folder);
-    if (cache == PageCache::cold) dropPageCache(rig.folder);
+    if (hints == Hints::absent) removeHintFiles(setup.folder);
+    if (cache == PageCache::cold) dropPageCache(setup.folder);
     const auto begin = Clock::now();
-    PosixDisk disk(rig.folder);
-    LogStructuredStore store(disk, rig.settings, {});
+    PosixDisk disk(setup.folder);
+    LogStructuredStore store(disk, setup.settings, {});
     if (!store.open(1).isOk() || store.statistics().entries != entries) std::exit(1);
     return secondsSince(begin);
   });
@@ -223,49 +223,49 @@
 
 std::uint64_t allocatedBytes() { return ::mallinfo2().uordblks; }
 
-void measureMemory(const Rig& rig, std::uint64_t entries, Report& report) {
-  PosixDisk disk(rig.folder);
-  LogStructuredStore store(disk, rig.settings, {});
+void measureMemory(const StoreSetup& setup, std::uint64_t entries, Report& report) {
+  PosixDisk disk(setup.folder);
+  LogStructuredStore store(disk, setup.settings, {});
   const std::uint64_t allocatedBefore = allocatedBytes();
   if (!store.open(1).isOk()) std::exit(1);
   const auto perEntry = [&](std::uint64_t bytes) {
     return static_cast<double>(bytes) / static_cast<double>(entries);
   };
-  report.row("index bytes an entry, as counted", "index_entry", perEntry(store.statistics().indexBytes), 0);
-  report.row("allocated bytes an entry, as measured", "allocated_entry",
-             perEntry(allocatedBytes() - allocatedBefore), 0);
+  report.row("counted index bytes per entry", "index_entry", perEntry(store.statistics().indexBytes), 0);
+  report.row("allocated bytes per entry", "allocated_entry", perEntry(allocatedBytes() - allocatedBefore), 0);
 }
 
-void measureStart(Rig rig, std::uint64_t entries, Report& report) {
-  rig.clear();
-  rig.settings.maxDiskBytes = std::uint64_t{4} << 30;
-  rig.settings.maxIndexBytes = 1 << 30;
-  rig.settings.maxSegmentBytes = 16 << 20;
-  rig.settings.maxQueueBytes = 64 << 20;
-  fillForStart(rig, entries);
-  fmt::print("start with {} entries of 1000 bytes\n", entries);
+void measureStart(StoreSetup setup, std::uint64_t entries, Report& report) {
+  setup.clear();
+  setup.settings.maxDiskBytes = std::uint64_t{4} << 30;
+  setup.settings.maxIndexBytes = 1 << 30;
+  setup.settings.maxSegmentBytes = 16 << 20;
+  setup.settings.maxQueueBytes = 64 << 20;
+  fillForStart(setup, entries);
+  fmt::print("start with {} entries with values of 1000 bytes\n", entries);
   for (const PageCache cache : {PageCache::cold, PageCache::warm}) {
     const std::string name = cache == PageCache::cold ? "cold" : "warm";
-    report.row(name + ", with hints, seconds", "start_" + name + "_hints_s",
-               startSeconds(rig, entries, Hints::present, cache), 2);
-    report.row(name + ", without, seconds", "start_" + name + "_scan_s",
-               startSeconds(rig, entries, Hints::absent, cache), 2);
-    report.row("times as quick", "start_" + name + "_gain", report.earlier(1) / report.earlier(2), 1);
+    report.row(name + " page cache, with hint files, seconds", "start_" + name + "_hints_s",
+               startSeconds(setup, entries, Hints::present, cache), 2);
+    report.row(name + " page cache, without hint files, seconds", "start_" + name + "_scan_s",
+               startSeconds(setup, entries, Hints::absent, cache), 2);
+    report.row("speed-up by hint files", "start_" + name + "_gain",
+               report.valueOfRow(1) / report.valueOfRow(2), 1);
   }
-  measureMemory(rig, entries, report);
+  measureMemory(setup, entries, report);
 }
 
-/// The latency of acknowledgements while nothing is overwritten, and while compaction never rests.
-void measureLatencyDuringCompaction(Rig rig, Report& report) {
+/// Measures the latency of acknowledgements while nothing is overwritten, and during continuous compaction.
+void measureLatencyDuringCompaction(StoreSetup setup, Report& report) {
   constexpr std::uint32_t keys = 20000;
-  rig.settings.maxDiskBytes = 64 << 20;
-  rig.settings.maxSegmentBytes = 2 << 20;
+  setup.settings.maxDiskBytes = 64 << 20;
+  setup.settings.maxSegmentBytes = 2 << 20;
   std::vector<double> quietMs;
   std::vector<double> compactingMs;
   std::vector<double> compactions;
   for (int i = 0; i < runs; ++i) {
-    rig.clear();
-    const auto store = rig.openStore();
+    setup.clear();
+    const auto store = setup.openStore();
     std::uint64_t number = 0;
     quietMs.push_back(measurePuts(
                           *store, 8, 1.5, [&] { return keyOf(number++); }, 1000)
@@ -281,45 +281,45 @@
     compactions.push_back(static_cast<double>(store->statistics().log.compactions - before.compactions));
   }
   fmt::print("acknowledgements, 8 in flight, values of 1000 bytes\n");
-  report.row("p99 quiet, ms", "ack_quiet_p99_ms", median(quietMs), 2);
-  report.row("p99 while compacting, ms", "ack_compact_p99_ms", median(compactingMs), 2);
-  report.row("times as long", "ack_ratio", median(compactingMs) / median(quietMs), 1);
-  report.row("segments compacted meanwhile", "compactions", median(compactions), 0);
+  report.row("p99 without compaction, ms", "ack_quiet_p99_ms", median(quietMs), 2);
+  report.row("p99 during compaction, ms", "ack_compact_p99_ms", median(compactingMs), 2);
+  report.row("ratio of the latencies", "ack_ratio", median(compactingMs) / median(quietMs), 1);
+  report.row("segments compacted", "compactions", median(compactions), 0);
 }
 
 struct Amplification {
   double factor = 0;
   std::uint64_t peakFolderBytes = 0;
   std::uint64_t maxFolderBytes = 0;
-  std::uint64_t refusedWrites = 0;
+  std::uint64_t failedWrites = 0;
 };
 
-/// Random overwrites with this share of the usable room live, once the folder has filled.
-Amplification measureAmplification(Rig rig, double liveShare) {
+/// Measures random overwrites after the folder has filled, with this share of the usable bytes live.
+Amplification measureAmplification(StoreSetup setup, double liveShare) {
   constexpr std::size_t valueBytes = 300;
   constexpr std::size_t keyBytes = 11;
-  rig.clear();
-  rig.settings.maxDiskBytes = 32 << 20;
-  rig.settings.maxSegmentBytes = 1 << 20;
-  PosixDisk disk(rig.folder);
-  LogStructuredStore store(disk, rig.settings, {});
+  setup.clear();
+  setup.settings.maxDiskBytes = 32 << 20;
+  setup.settings.maxSegmentBytes = 1 << 20;
+  PosixDisk disk(setup.folder);
+  LogStructuredStore store(disk, setup.settings, {});
   if (!store.open(1).isOk()) std::exit(1);
   pcg32 random(9);
   const auto entryBytes = static_cast<double>(recordBytes(keyBytes, valueBytes) + hintEntryBytes(keyBytes));
   const auto usableBytes =
-      static_cast<double>(rig.settings.maxDiskBytes - CompactionPolicy(rig.settings).reservedBytes());
+      static_cast<double>(setup.settings.maxDiskBytes - CompactionPolicy(setup.settings).reservedBytes());
   const auto entries = static_cast<std::uint32_t>(liveShare * usableBytes / entryBytes);
   Amplification out;
-  out.maxFolderBytes = rig.settings.maxDiskBytes;
+  out.maxFolderBytes = setup.settings.maxDiskBytes;
   const auto write = [&](std::uint64_t count, const std::function<std::uint64_t(std::uint64_t)>& keyNumber) {
     for (std::uint64_t i = 0; i < count;) {
       std::vector<WriteRequest> batch;
       for (int b = 0; b < 128 && i < count; ++b, ++i)
         batch.push_back(WriteRequest::put(keyOf(keyNumber(i)), randomValue(random, valueBytes)));
-      for (const auto& status : store.commit(batch, systemTime())) out.refusedWrites += !status.isOk();
+      for (const auto& status : store.commit(batch, systemTime())) out.failedWrites += !status.isOk();
       store.runMaintenance(systemTime());
       std::uint64_t folderBytes = 0;
-      for (const auto& entry : std::filesystem::directory_iterator(rig.folder))
+      for (const auto& entry : std::filesystem::directory_iterator(setup.folder))
         folderBytes += entry.file_size();
       out.peakFolderBytes = std::max(out.peakFolderBytes, folderBytes);
     }
@@ -337,13 +337,13 @@
   return out;
 }
 
-void reportAmplification(const Rig& rig, Report& report) {
+void reportAmplification(const StoreSetup& setup, Report& report) {
   for (const double liveShare : {0.5, 0.8}) {
-    const auto result = measureAmplification(rig, liveShare);
-    fmt::print("random overwrites, {:.0f}% of the usable room living, {} refused\n", liveShare * 100,
-               result.refusedWrites);
+    const auto result = measureAmplification(setup, liveShare);
+    fmt::print("random overwrites, {:.0f}% of the usable bytes live, {} failed\n", liveShare * 100,
+               result.failedWrites);
     report.row("write amplification", fmt::format("amplification_{:.0f}", liveShare * 100), result.factor, 2);
-    report.row("largest folder, part of its bound", fmt::format("folder_most_{:.0f}", liveShare * 100),
+    report.row("peak folder size, share of its limit", fmt::format("folder_most_{:.0f}", liveShare * 100),
                static_cast<double>(result.peakFolderBytes) / static_cast<double>(result.maxFolderBytes), 3);
   }
 }
@@ -356,15 +356,15 @@
     return 2;
   }
   const std::uint64_t entries = argc > 2 ? std::strtoull(argv[2], nullptr, 10) : 1000000;
-  const Rig rig{argv[1], {}};
+  const StoreSetup setup{argv[1], {}};
   Report report;
-  fmt::print("medians of {} runs, values of 100 bytes unless said\n\n", runs);
-  measureGroupCommit(rig, report);
-  measureGets(rig, report);
-  measureStart(rig, entries, report);
-  measureLatencyDuringCompaction(rig, report);
-  reportAmplification(rig, report);
-  rig.clear();
+  fmt::print("medians of {} runs, values of 100 bytes unless stated otherwise\n\n", runs);
+  measureGroupCommit(setup, report);
+  measureGets(setup, report);
+  measureStart(setup, entries, report);
+  measureLatencyDuringCompaction(setup, report);
+  reportAmplification(setup, report);
+  setup.clear();
   report.printSummary();
   return 0;
 }
--- a/src/commands/store_command.cpp
+++ b/src/commands/store_command.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// `rainhook store`: look into a store, check it, change it. Each sub-command locks the folder, so none works
-/// beside a process that has it open.
+/// `rainhook store`: reads, verifies and changes a store. Each sub-command locks the folder and therefore
+/// fails while another process has the store open.
 #include <fmt/format.h>
 
 #include <cstdio>
@@ -20,33 +20,33 @@
 
 constexpr const char* usage = R"(usage: rainhook store COMMAND --dir D [options]
 
-  put KEY       keep what standard input holds; returns once it is on the disk
-  put --lines   the same for each line KEY<TAB>VALUE; prints each key once it is on the disk
-  get KEY       write the value to standard output; status 1 where there is none
-  erase KEY     forget it; returns once that is on the disk
-  list          the keys in order, or with --by-age the oldest first
-  stats         what the store holds and has done, name=value a line
-  verify        read everything, say what is damaged; status 3 where something is
-  compact       write anew whatever holds anything dead
-  snapshot      copy the store into an empty folder (--to)
-  dump          all entries as JSON lines, keys and values in base64
-  load          take such lines from standard input
+  put KEY       store standard input as the value of KEY; returns once the value is durable
+  put --lines   store each line KEY<TAB>VALUE of standard input; prints each key once its value is durable
+  get KEY       write the value of KEY to standard output; exit status 1 if KEY has no value
+  erase KEY     remove the value of KEY; returns once the erasure is durable
+  list          print the keys in key order, or the oldest first with --by-age
+  stats         print the size and the counters of the store as lines NAME=VALUE
+  verify        read all files and list damaged ranges; exit status 3 if there are any
+  compact       rewrite every segment that contains dead entries
+  snapshot      copy the store to an empty folder (--to)
+  dump          write all entries as JSON lines, with keys and values in base64
+  load          store entries in the format of dump from standard input
 
 )";
 
 po::options_description describeOptions() {
   po::options_description out("options of store");
-  out.add_options()("dir", po::value<std::string>(),
-                    "the store's folder; made by put and load where it is absent")(
+  out.add_options()("dir", po::value<std::string>(), "the folder of the store; created if it does not exist")(
       "options", po::value<std::string>()->default_value(environmentVariable("RAINHOOK_OPTIONS")),
-      "our own settings, for the store's bounds, and for its folder where --dir is absent")(
-      "command", po::value<std::string>(), "what to do, as the first word")(
-      "key", po::value<std::string>(), "the key, also as the word behind the command")(
-      "for", po::value<std::uint64_t>(), "put: seconds that it is good for; for ever where absent")(
-      "lines", po::bool_switch(), "put: many, a line each")("by-age", po::bool_switch(),
-                                                            "list: the oldest first")(
-      "long", po::bool_switch(), "list: with the end in milliseconds of Unix time, and the bytes on disk")(
-      "to", po::value<std::string>(), "snapshot: the folder to make")("help", "this page");
+      "the options file (YAML) with the limits of the store, and with its folder if --dir is not given")(
+      "command", po::value<std::string>(), "the command; can also be given as the first argument")(
+      "key", po::value<std::string>(), "the key; can also be given as the argument after the command")(
+      "for", po::value<std::uint64_t>(), "put: the lifetime of the value in seconds; unlimited by default")(
+      "lines", po::bool_switch(), "put: read one entry from each line of standard input")(
+      "by-age", po::bool_switch(), "list: print the oldest keys first")(
+      "long", po::bool_switch(),
+      "list: also print the expiry in milliseconds of Unix time and the size on disk in bytes")(
+      "to", po::value<std::string>(), "snapshot: the folder to create")("help", "print this help");
   return out;
 }
 
@@ -64,10 +64,10 @@
   if (command == "dump") return dumpStore(session);
   if (command == "load") return loadStore(session);
   if (command == "snapshot") {
-    if (!options.count("to")) throw UsageError("store snapshot: --to is missing");
+    if (!options.count("to")) throw UsageError("store snapshot: the option --to FOLDER is missing");
     return snapshotStore(session, options["to"].as<std::string>());
   }
-  throw UsageError("unknown command 'store " + command + "'");
+  throw UsageError("store: unknown command '" + command + "'");
 }
 
 }  // namespace
@@ -79,7 +79,7 @@
     std::cout << usage << describeOptions();
     return arguments.empty() ? exitUsageError : exitSuccess;
   }
-  if (command.empty()) throw UsageError("store: no command is given");
+  if (command.empty()) throw UsageError("store: the command is missing, for example 'rainhook store list'");
   StoreSession session(options);
   try {
     return runSubCommand(command, options, session);
--- a/src/commands/store_dump_commands.cpp
+++ b/src/commands/store_dump_commands.cpp
@@ -21,7 +21,7 @@
 
 using store::StoreStatus;
 
-/// The keys of a line.
+/// The names of the JSON members of a line.
 constexpr const char* keyField = "key";
 constexpr const char* valueField = "value";
 constexpr const char* expiryField = "good_until_ms";
@@ -35,10 +35,11 @@
   return out.str();
 }
 
-std::string decodeBase64Field(const nlohmann::json& line, const char* field) {
+std::string decodeBase64Field(const nlohmann::json& line, const char* field, std::uint64_t lineNumber) {
   const auto found = line.find(field);
   if (found == line.end() || !found->is_string())
-    throw StoreCommandError(fmt::format("a line has no text under {}", field));
+    throw StoreCommandError(
+        fmt::format("line {}: member '{}' is missing or not a string", lineNumber, field));
   const auto text = found->get<std::string>();
   std::istringstream in(text);
   Poco::Base64Decoder decoder(in);
@@ -46,24 +47,25 @@
   try {
     out = readAllInput(decoder);
   } catch (const Poco::Exception&) {
-    throw StoreCommandError(fmt::format("{} is no base64", field));
+    throw StoreCommandError(fmt::format("line {}: member '{}' is not valid base64", lineNumber, field));
   }
-  // The decoder ignores what it does not know.
-  if (encodeBase64(out) != text) throw StoreCommandError(fmt::format("{} is no base64", field));
+  // The decoder ignores invalid characters, so the result is encoded again and compared.
+  if (encodeBase64(out) != text)
+    throw StoreCommandError(fmt::format("line {}: member '{}' is not valid base64", lineNumber, field));
   return out;
 }
 
-/// Throws StoreCommandError where the line is no entry.
+/// Throws StoreCommandError if the line is not a valid entry.
 store::WriteRequest parseEntry(const std::string& text, std::uint64_t lineNumber) {
   const auto line = nlohmann::json::parse(text, nullptr, false);
-  if (!line.is_object()) throw StoreCommandError(fmt::format("line {} is no JSON object", lineNumber));
-  const std::string key = decodeBase64Field(line, keyField);
-  const std::string value = decodeBase64Field(line, valueField);
+  if (!line.is_object()) throw StoreCommandError(fmt::format("line {}: not a JSON object", lineNumber));
+  const std::string key = decodeBase64Field(line, keyField, lineNumber);
+  const std::string value = decodeBase64Field(line, valueField, lineNumber);
   auto out = store::WriteRequest::put(key, value);
   const auto expiry = line.find(expiryField);
   if (expiry == line.end()) return out;
   if (!expiry->is_number_integer())
-    throw StoreCommandError(fmt::format("line {}: good_until_ms is no whole number", lineNumber));
+    throw StoreCommandError(fmt::format("line {}: member 'good_until_ms' is not an integer", lineNumber));
   out.expiry = store::UnixTime(std::chrono::milliseconds(expiry->get<std::int64_t>()));
   return out;
 }
@@ -77,7 +79,7 @@
     const auto read = store.get(row.key);
     if (!read.value) {
       if (read.status.isOk()) return;
-      fmt::print(stderr, "store: {}\n", read.status.message);
+      fmt::print(stderr, "store: skipped an entry that can't be read: {}\n", read.status.message);
       status = exitDamaged;
       return;
     }
@@ -108,7 +110,7 @@
   }
   store.waitUntilIdle();
   requireSuccess(lastFailure);
-  fmt::print("{} entries are on the disk\n", durableEntries);
+  fmt::print("loaded {} entries\n", durableEntries);
   return exitSuccess;
 }
 
--- a/src/commands/store_entry_commands.cpp
+++ b/src/commands/store_entry_commands.cpp
@@ -1,5 +1,6 @@
 #include "commands/store_entry_commands.h"
 
+#include <cstdint>
 #include <iostream>
 #include <string>
 
@@ -13,12 +14,16 @@
 
 constexpr std::size_t rowsPerPage = 1000;
 
-/// Puts single lines until one fails; prints each key once it is durable.
+/// Stores lines from standard input until one fails; prints each key once its value is durable.
 void putLines(StoreSession& session, store::Store& store, store::UnixTime expiry, StoreStatus& lastFailure) {
   std::string line;
+  std::uint64_t lineNumber = 0;
   while (lastFailure.isOk() && std::getline(std::cin, line)) {
+    ++lineNumber;
     const auto tab = line.find('\t');
-    if (tab == std::string::npos || tab == 0) throw StoreCommandError("a line is no KEY<TAB>VALUE");
+    if (tab == std::string::npos || tab == 0)
+      throw StoreCommandError("line " + std::to_string(lineNumber) +
+                              ": expected KEY<TAB>VALUE with a non-empty key");
     const std::string key = line.substr(0, tab);
     const std::string value = line.substr(tab + 1);
     session.acceptWhenQueueHasRoom([&] {
--- a/src/commands/store_entry_commands.h
+++ b/src/commands/store_entry_commands.h
@@ -1,6 +1,6 @@
 /// @file
-/// The sub-commands of `rainhook store` on single entries and lists of them. Each returns the status to end
-/// with and throws StoreCommandError or UsageError.
+/// The sub-commands of `rainhook store` for single entries and lists of entries. Each returns the exit status
+/// and may throw StoreCommandError or UsageError.
 #pragma once
 
 #include <functional>
@@ -9,24 +9,24 @@
 
 namespace rainhook::commands {
 
-/// Whether `put` takes one value or lines of KEY<TAB>VALUE from standard input.
+/// Whether `put` reads one value or lines of KEY<TAB>VALUE from standard input.
 enum class PutInput { singleValue, lines };
 /// The order of `list`.
 enum class ListOrder { byKey, byAge };
-/// What `list` prints of each entry.
+/// What `list` prints for each entry.
 enum class ListFormat { keysOnly, withExpiryAndSize };
 
-/// Calls `visit` with all live entries, which are read a page at a time.
+/// Calls `visit` for all live entries, which are read one page at a time.
 void forEachEntry(const store::Store& store, ListOrder order,
                   const std::function<void(const store::ScanPage::Row&)>& visit);
 
-/// `put`: writes one value or many lines; returns once they are durable.
+/// `put`: stores one value or many lines; returns once they are durable.
 int putEntries(StoreSession& session, PutInput input);
-/// `get`: prints the value; the status exitNotFound where there is none.
+/// `get`: prints the value; returns exitNotFound if the key has no value.
 int getEntry(StoreSession& session);
 /// `erase`: returns once the erasure is durable.
 int eraseEntry(StoreSession& session);
-/// `list`: prints the live keys, a line each.
+/// `list`: prints the live keys, one per line.
 int listEntries(StoreSession& session, ListOrder order, ListFormat format);
 
 }  // namespace rainhook::commands
--- a/src/commands/store_maintenance_commands.cpp
+++ b/src/commands/store_maintenance_commands.cpp
@@ -47,14 +47,14 @@
     throw StoreCommandError(fmt::format("the store is open in process {}", locked.holder));
   store::VerificationReport report;
   if (const auto error = store::verify(disk, report))
-    throw StoreCommandError("the folder: " + error.message());
+    throw StoreCommandError("folder " + session.folder() + " can't be listed: " + error.message());
   const auto print = [](const char* kind, const store::VerificationReport::Finding& finding) {
     fmt::print("{}: {} at {}, {} bytes: {}\n", kind, finding.file, finding.offset, finding.bytes,
                finding.description);
   };
   for (const auto& finding : report.notes) print("note", finding);
   for (const auto& finding : report.damage) print("damage", finding);
-  fmt::print("{} segments, {} records, {} bytes, {} damaged places\n", report.segments, report.records,
+  fmt::print("{} segments, {} records, {} bytes, {} damaged ranges\n", report.segments, report.records,
              report.bytes, report.damage.size());
   return report.damage.empty() ? exitSuccess : exitDamaged;
 }
@@ -66,7 +66,8 @@
   requireSuccess(store.compact([&](const StoreStatus& status) { outcome = status; }));
   store.waitUntilIdle();
   requireSuccess(outcome);
-  fmt::print("{} bytes before, {} after\n", bytesBefore, store.statistics().log.folderBytes);
+  fmt::print("folder size: {} bytes before compaction, {} bytes after\n", bytesBefore,
+             store.statistics().log.folderBytes);
   return exitSuccess;
 }
 
--- a/src/commands/store_maintenance_commands.h
+++ b/src/commands/store_maintenance_commands.h
@@ -1,6 +1,6 @@
 /// @file
-/// The sub-commands of `rainhook store` on the store as a whole. Each returns the status to end with and
-/// throws StoreCommandError.
+/// The sub-commands of `rainhook store` for the store as a whole. Each returns the exit status and may throw
+/// StoreCommandError.
 #pragma once
 
 #include <string>
@@ -9,13 +9,13 @@
 
 namespace rainhook::commands {
 
-/// Prints name=value lines. The names are part of the command line.
+/// Prints the statistics as NAME=VALUE lines. Scripts depend on the names.
 int printStoreStatistics(StoreSession& session);
-/// Reads everything without opening the store; the status exitDamaged where something is.
+/// Reads all files without opening the store and prints the damage; returns exitDamaged if there is any.
 int verifyStore(const StoreSession& session);
-/// Writes every segment anew that holds anything dead, and prints what that gained.
+/// Rewrites every segment with dead bytes and prints the folder's size before and after.
 int compactStore(StoreSession& session);
-/// Copies the store into an empty folder.
+/// Copies the store to an empty folder.
 int snapshotStore(StoreSession& session, const std::string& destination);
 
 }  // namespace rainhook::commands
--- a/src/commands/store_session.cpp
+++ b/src/commands/store_session.cpp
@@ -41,7 +41,9 @@
     settings_ = ownOptions.store->bounds;
   }
   if (options.count("dir")) folder_ = options["dir"].as<std::string>();
-  if (folder_.empty()) throw UsageError("store: --dir is missing");
+  if (folder_.empty())
+    throw UsageError(
+        "store: the folder is missing; give --dir FOLDER or an options file with a store section");
 }
 
 store::Store& StoreSession::openStore() {
@@ -54,7 +56,7 @@
 }
 
 std::string StoreSession::key() const {
-  if (!options_.count("key")) throw UsageError("store: the key is missing");
+  if (!options_.count("key")) throw UsageError("store: the argument KEY is missing");
   return options_["key"].as<std::string>();
 }
 
@@ -62,7 +64,8 @@
   if (!options_.count("for")) return store::neverExpires;
   const auto seconds = options_["for"].as<std::uint64_t>();
   if (seconds == 0 || seconds > maxExpirySeconds)
-    throw UsageError("store: --for takes 1 to 3162240000 seconds");
+    throw UsageError(
+        fmt::format("store: --for must be from 1 to {} seconds, but is {}", maxExpirySeconds, seconds));
   return systemTime() + std::chrono::seconds(seconds);
 }
 
--- a/src/commands/store_session.h
+++ b/src/commands/store_session.h
@@ -1,6 +1,5 @@
 /// @file
-/// What the sub-commands of `rainhook store` share: the store's folder, its settings, the way that errors
-/// end.
+/// Shared code of the sub-commands of `rainhook store`: the store's folder, its settings, error handling.
 #pragma once
 
 #include <boost/program_options.hpp>
@@ -16,34 +15,34 @@
 
 namespace rainhook::commands {
 
-/// A failure of the store, or input that it can't take; ends the command with exitStoreError.
+/// A failure of the store or invalid input; ends the command with exitStoreError.
 struct StoreCommandError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// Throws StoreCommandError with the status' message unless it is a success.
+/// Throws StoreCommandError with the status message unless the status is a success.
 void requireSuccess(const store::StoreStatus& status);
-/// All of a stream's bytes.
+/// Reads all bytes of a stream.
 std::string readAllInput(std::istream& in);
 
-/// A store that is open for the time of one command. Its log lines go to standard error.
+/// The store that one command uses. The store's log lines go to standard error.
 class StoreSession {
  public:
-  /// Throws UsageError where no folder is given, neither as an option nor in our own settings.
+  /// Throws UsageError if neither the command line nor the options file specifies a folder.
   explicit StoreSession(const boost::program_options::variables_map& options);
 
   /// The store's folder.
   const std::string& folder() const { return folder_; }
-  /// Opens the store at the first call; throws StoreCommandError where that fails.
+  /// Opens the store on the first call; throws StoreCommandError on failure.
   store::Store& openStore();
 
-  /// The option `key`; throws UsageError where it is absent.
+  /// The option `key`; throws UsageError if it is absent.
   std::string key() const;
-  /// The time that the option `for` asks for; throws UsageError where it is out of range.
+  /// The expiry that results from the option `for`; throws UsageError if the option is out of range.
   store::UnixTime expiry() const;
 
-  /// Repeats a call while the queue is full, as a command may wait; throws StoreCommandError for other
-  /// errors.
+  /// Repeats a call while the queue is full; unlike a server, a command may block. Throws StoreCommandError
+  /// on other errors.
   void acceptWhenQueueHasRoom(const std::function<store::StoreStatus()>& call);
 
  private:
