--- a/tests/store_damage_test.cpp
+++ b/tests/store_damage_test.cpp
@@ -114,6 +114,8 @@
                            return info.param == HistoryEnd::closed ? "Closed" : "Killed";
                          });
 
+// Guards against a wrong or an older value, and against an unreported loss, when the end of any file is
+// missing.
 TEST_P(StoreDamage, ReturnsNoWrongValueWhenAnyFileIsTruncatedAtAnyByte) {
   const auto recorded = recordHistory(21, 45, GetParam());
   ASSERT_TRUE(recorded.isVaried);
@@ -135,6 +137,7 @@
   EXPECT_GT(missing, 0u) << "no truncation removed a value";
 }
 
+// Guards against a wrong or an older value, and against an unreported loss, when the disk corrupts any byte.
 TEST_P(StoreDamage, ReturnsNoWrongValueWhenABitOfAnyByteIsFlipped) {
   const auto recorded = recordHistory(22, 45, GetParam());
   ASSERT_TRUE(recorded.isVaried);
@@ -153,6 +156,8 @@
   EXPECT_GT(missing, 0u);
 }
 
+// Guards against an older value when any combination of segments is missing, with or without their hint
+// files.
 TEST_P(StoreDamage, ReturnsNoWrongValueWhenAnySegmentsAreMissing) {
   const auto recorded = recordHistory(23, 60, GetParam());
   std::vector<std::string> segments;
@@ -181,6 +186,7 @@
     }
 }
 
+// Guards against deleting or using files of another store, of a newer version or of unknown origin.
 TEST(StoreRecovery, QuarantinesForeignFilesWithoutDeletingThem) {
   const auto recorded = recordHistory(24, 40, HistoryEnd::closed);
   auto image = recorded.image;
@@ -208,6 +214,7 @@
       << "quarantined files must not be quarantined again";
 }
 
+// Guards against losing all entries when the manifest was written by a newer release and can't be read.
 TEST(StoreRecovery, QuarantinesTheManifestAndUsesAllSegmentsWhenItsVersionIsNewer) {
   const auto recorded = recordHistory(25, 40, HistoryEnd::closed);
   auto image = recorded.image;
--- a/tests/store_format_test.cpp
+++ b/tests/store_format_test.cpp
@@ -13,6 +13,7 @@
 
 using std::chrono::milliseconds;
 
+// Guards against accepting the bytes of a record that were copied to another offset or to another segment.
 RC_GTEST_PROP(StoreFormat, ReadsARecordOnlyAtItsOwnPosition,
               (const std::string& key, const std::string& value, std::uint64_t sequence,
                std::uint16_t offset)) {
--- a/tests/store_key_index_test.cpp
+++ b/tests/store_key_index_test.cpp
@@ -12,6 +12,8 @@
 namespace rainhook::store {
 namespace {
 
+// Guards against a deleted key that returns after a restart because its tombstone was dropped before the
+// older record of the key.
 TEST(StoreKeyIndex, RemembersADeletedKeyWhileAnOlderRecordIsOnDisk) {
   KeyIndex index;
   index.addRecord("k", RecordKind::put, SequenceNumber{1}, neverExpires, {SegmentNumber{1}, 40, 60});
@@ -39,6 +41,7 @@
   EXPECT_EQ(index.find("a")->state, EntryState::lost);
 }
 
+// Guards against an index that depends on the order in which recovery reads the segments.
 RC_GTEST_PROP(StoreKeyIndex, HasTheSameContentsForAnyOrderOfRecords, (std::uint32_t seed)) {
   struct Row {
     std::string key;
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -92,6 +92,7 @@
   EXPECT_EQ(opened->put("k", std::string(2000, 'x'), neverExpires, {}).code, StoreErrorCode::entryTooLarge);
 }
 
+// Guards against an unbounded list of completions when the owner does not call dispatchCompletions.
 TEST_F(StoreTest, CompletionsCountAgainstTheQueueWhenNotDispatched) {
   StoreSettings settings;
   settings.maxQueueBytes = 16 << 10, settings.maxValueBytes = 1 << 10;
