--- a/src/commands/witness_command.cpp
+++ b/src/commands/witness_command.cpp
@@ -28,7 +28,7 @@
 /// Says why this instance can't be a member, and gives the status to end with; nothing where it can.
 std::optional<ExitStatus> rejectionStatus(const MembershipSettings& settings, const MembershipEvent& event) {
   if (event.type == MembershipEvent::Type::regionMismatch) {
-    fmt::print(stderr, "rainhook: {}\n", server::regionMismatch(settings, event.member));
+    fmt::print(stderr, "rainhook: {}\n", server::describeRegionMismatch(settings, event.member));
     return exitUsageError;
   }
   if (event.type != MembershipEvent::Type::nameRejected) return std::nullopt;
@@ -63,7 +63,7 @@
     fmt::print(stderr, "rainhook: can't listen at {}: {}\n", settings.listen.text, error.displayText());
     return exitFailure;
   }
-  incarnations.follow(*transport);
+  incarnations.startPersisting(*transport);
   transport->publishStatus(membership::MemberStatus{});  // an observer
   reactor.run();
   transport.reset();
--- a/src/server/incarnation_store.cpp
+++ b/src/server/incarnation_store.cpp
@@ -143,7 +143,7 @@
   if (members_) members_->reserveUpTo(Incarnation{incarnation});
 }
 
-void IncarnationStore::follow(membershipTransport::MembershipTransport& members) {
+void IncarnationStore::startPersisting(membershipTransport::MembershipTransport& members) {
   members_ = &members;
   if (store_) update();
 }
--- a/src/server/incarnation_store.h
+++ b/src/server/incarnation_store.h
@@ -43,7 +43,7 @@
   /// call it before the reactor runs. Throws StateLockedError.
   membership::PersistedIdentity open();
   /// Persists the state of this member from now on; it must outlive this.
-  void follow(membershipTransport::MembershipTransport& members);
+  void startPersisting(membershipTransport::MembershipTransport& members);
 
  private:
   using KnownMembers = std::vector<membership::KnownMember>;
--- a/src/server/membership_service.cpp
+++ b/src/server/membership_service.cpp
@@ -32,7 +32,8 @@
 
 }  // namespace
 
-std::string regionMismatch(const MembershipSettings& settings, const membership::MemberRecord& other) {
+std::string describeRegionMismatch(const MembershipSettings& settings,
+                                   const membership::MemberRecord& other) {
   return fmt::format("{}: zone {} stands in region {}, as {} says", settings.regionSource, settings.zone.text,
                      other.region.text, other.name.text);
 }
@@ -57,7 +58,7 @@
 
 void MembershipService::open() {
   transport_.open();
-  incarnations_.follow(transport_);
+  incarnations_.startPersisting(transport_);
   update();
 }
 
@@ -71,7 +72,7 @@
 void MembershipService::onEvent(const MembershipEvent& event) {
   if (event.type == MembershipEvent::Type::regionMismatch) {
     log_.message(logging::LogCategory::membership, "{}: this one leaves",
-                 regionMismatch(settings_, event.member));
+                 describeRegionMismatch(settings_, event.member));
     server_.shutDownGracefully();
   } else if (event.type == MembershipEvent::Type::nameRejected) {
     log_.message(logging::LogCategory::membership,
--- a/src/server/membership_service.h
+++ b/src/server/membership_service.h
@@ -16,8 +16,8 @@
 
 /// For the operator who stated a zone in a region in which it does not stand: one line with file, line and
 /// key.
-[[nodiscard]] std::string regionMismatch(const membership::MembershipSettings& settings,
-                                         const membership::MemberRecord& other);
+[[nodiscard]] std::string describeRegionMismatch(const membership::MembershipSettings& settings,
+                                                 const membership::MemberRecord& other);
 
 /// Runs on the thread of the event loop. Stops the server in good order where it can't be a member.
 class MembershipService {
