--- a/src/membership/death_declaration.h
+++ b/src/membership/death_declaration.h
@@ -1,7 +1,8 @@
 /// @file
-/// Whether a suspected member may be declared dead. A declaration needs two accusers, of two zones where two
-/// zones can accuse; none is made while the own view is in doubt, nor beyond a bounded rate and share of the
-/// fleet. docs/membership.md gives the reasons.
+/// Decides whether a suspected member may be declared dead. A declaration needs two accusers, from two zones
+/// if two zones have members that can accuse. This member declares no member dead while its own view is
+/// uncertain, nor above a limited rate and a limited share of the fleet. docs/membership.md gives the
+/// reasons.
 #pragma once
 
 #include <vector>
@@ -12,25 +13,25 @@
 
 namespace rainhook::membership {
 
-/// What the deciding member knows about itself.
+/// The condition of the member that decides.
 struct LocalView {
-  ZoneName zone;                   ///< its own zone
-  bool isIsolated = false;         ///< no message was received for several probe intervals
-  bool isInGracePeriod = false;    ///< the process was paused a moment ago
+  ZoneName zone;                   ///< the zone of the deciding member
+  bool isIsolated = false;         ///< whether it received no message for several probe intervals
+  bool isInGracePeriod = false;    ///< whether its process was paused recently
   Duration minSuspicionTimeout{};  ///< the shortest time from a suspicion to its deadline
 };
 
-/// Remembers the declarations of the declaration window.
+/// Keeps the times of the declarations within the declaration window.
 class DeathDeclaration {
  public:
   /// Keeps a reference to the settings.
   explicit DeathDeclaration(const ProtocolSettings& settings) : settings_(settings) {}
 
-  /// Remembers one declaration, made at `now`.
+  /// Records one declaration, made at `now`.
   void record(Duration now) { declaredAt_.push_back(now); }
-  /// Forgets the declarations that are older than the window.
+  /// Removes the declarations that are older than the window.
   void removeExpired(Duration now);
-  /// Why the declaration has to wait; `none` where the member may be declared dead.
+  /// Returns why the declaration has to be postponed, or `none` if the member may be declared dead.
   [[nodiscard]] PostponeReason reasonToPostpone(Duration now, const Member& suspected, const LocalView& view,
                                                 const MemberTable& members, const ZoneHealth& zones) const;
 
--- a/src/membership/dependency_quota.cpp
+++ b/src/membership/dependency_quota.cpp
@@ -10,7 +10,7 @@
   return static_cast<std::size_t>(std::min(member.status.advertisedFleetSize, maxFleetSize));
 }
 
-/// A member of which nothing is known yet may call as well.
+/// A member without a known status may call as well.
 bool mayCall(const Member& member) {
   return member.status.version == 0 || member.status.phase != Phase::observer;
 }
@@ -20,7 +20,7 @@
   if (mayCall(member)) ++view.quotaHolders;
   if (isAlive) ++view.aliveMembers;
   if (member.state != MemberState::left) ++view.fleetSize;
-  // Whoever lives and may call has to have counted this member, before it calls.
+  // Every member that is alive and may call has to count this member before this member calls.
   if (isAlive && mayCall(member))
     view.smallestAdvertised = std::min(view.smallestAdvertised, advertisedFleetSize(member));
   if (member.isPresent())
@@ -33,36 +33,36 @@
   FleetView out;
   out.isUncertain = membership.isViewUncertain(now);
   for (const auto& [name, member] : membership.members()) {
-    const bool isLeaseOver = member.isGone() && now - member.stateSince > 2 * lease;
-    if (!isLeaseOver) addMember(out, member);
+    const bool hasLeaseExpired = member.isDeadOrLeft() && now - member.stateSince > 2 * lease;
+    if (!hasLeaseExpired) addMember(out, member);
   }
   return out;
 }
 
 double DependencyQuota::update(Duration now, const FleetView& view) {
-  const Standing standing = updateStanding(now, view);
-  updateLease(now, view, standing.hasHalf);
-  updateHolders(now, view, standing.hasMajority);
+  const Quorum quorum = updateQuorum(now, view);
+  updateLease(now, view, quorum.hasHalf);
+  updateHolders(now, view, quorum.hasMajority);
   const auto servers = static_cast<std::size_t>(std::max(settings_.servers, 1));
-  if (!lastWithHalf_) return 0;  // not admitted yet: nobody counts this member
-  // A newcomer to others is counted first; a member that is alone is the first.
-  hasBegun_ = hasBegun_ || isLeaseValid_ || quotaHolders_ == 1;
-  if (!hasBegun_) return 0;
+  if (!lastHalfReachedAt_) return 0;  // not admitted yet: no other member counts this one
+  // A member that joins others has to be counted first; a member that is alone is the first of the fleet.
+  hasBeenCounted_ = hasBeenCounted_ || isLeaseValid_ || quotaHolders_ == 1;
+  if (!hasBeenCounted_) return 0;
   if (quotaHolders_ <= servers) return 1;
   if (!isLeaseValid_) return 0;
   return static_cast<double>(servers) / static_cast<double>(quotaHolders_);
 }
 
-DependencyQuota::Standing DependencyQuota::updateStanding(Duration now, const FleetView& view) {
-  // After a late call the view is as old as at the call before.
+DependencyQuota::Quorum DependencyQuota::updateQuorum(Duration now, const FleetView& view) {
+  // After a late call, the view may be as old as the previous call.
   const bool isLate = lastUpdate_ && now - *lastUpdate_ > settings_.lease / 4;
   lastUpdate_ = now;
   const bool isCertain = !view.isUncertain && !isLate;
-  if (!lastWithHalf_) {
+  if (!lastHalfReachedAt_) {
     fleetSize_ = std::max({fleetSize_, view.fleetSize, view.largestAdvertised});
     quotaHolders_ = fleetSize_;
   }
-  Standing out;
+  Quorum out;
   out.hasMajority = isCertain && view.aliveMembers * 2 > fleetSize_;
   if (view.fleetSize > fleetSize_ || out.hasMajority) fleetSize_ = view.fleetSize;
   out.hasHalf = isCertain && view.aliveMembers * 2 >= fleetSize_;
@@ -70,15 +70,15 @@
 }
 
 void DependencyQuota::updateLease(Duration now, const FleetView& view, bool hasHalf) {
-  if (lastWithHalf_ && now - *lastWithHalf_ > settings_.lease) isLeaseValid_ = false;
-  if (hasHalf) lastWithHalf_ = now;
-  // Whoever comes, or comes back, lets the others count it before it calls.
-  if (!hasHalf || isLeaseValid_) backSince_.reset();
-  if (hasHalf && !isLeaseValid_ && !backSince_) backSince_ = now;
+  if (lastHalfReachedAt_ && now - *lastHalfReachedAt_ > settings_.lease) isLeaseValid_ = false;
+  if (hasHalf) lastHalfReachedAt_ = now;
+  // A member that joins or returns lets the others count it before it calls.
+  if (!hasHalf || isLeaseValid_) halfRegainedAt_.reset();
+  if (hasHalf && !isLeaseValid_ && !halfRegainedAt_) halfRegainedAt_ = now;
   const bool isCounted =
       view.smallestAdvertised >= view.fleetSize && view.fleetSize >= view.largestAdvertised;
   const Duration wait = isCounted ? settings_.stabilizationPeriod : settings_.lease;
-  if (backSince_ && now - *backSince_ >= wait) isLeaseValid_ = true;
+  if (halfRegainedAt_ && now - *halfRegainedAt_ >= wait) isLeaseValid_ = true;
 }
 
 void DependencyQuota::updateHolders(Duration now, const FleetView& view, bool hasMajority) {
--- a/src/membership/dissemination.cpp
+++ b/src/membership/dissemination.cpp
@@ -11,7 +11,7 @@
 constexpr std::size_t maxUnreachable = 8;
 constexpr std::size_t maxUpdates = 24;
 constexpr int statusesOfOthers = 2;
-constexpr std::size_t authenticationRoom = 64;  // bytes of a datagram that the transport adds
+constexpr std::size_t authenticationReserveBytes = 64;  // reserved for the bytes that the transport adds
 
 GossipUpdate::Kind kindOf(MemberState state) {
   switch (state) {
@@ -27,8 +27,8 @@
   return GossipUpdate::Kind::alive;
 }
 
-/// What this member holds of another, as an update.
-GossipUpdate updateOn(const Member& member) {
+/// Returns an update with the state, death reporters and accusers that this member knows of another.
+GossipUpdate toUpdate(const Member& member) {
   GossipUpdate out{kindOf(member.state), member.record, member.deathReporters};
   if (member.suspicion)
     out.reporters.assign(member.suspicion->accusers.begin(), member.suspicion->accusers.end());
@@ -40,8 +40,8 @@
   message.statuses.push_back({member.record.name, member.record.incarnation, member.status});
 }
 
-/// The queue holds moments, messages hold ages.
-void turnMomentsIntoAges(std::vector<GossipUpdate>& updates, Duration now) {
+/// The queue stores the times of observations; messages carry their ages.
+void convertTimesToAges(std::vector<GossipUpdate>& updates, Duration now) {
   for (auto& update : updates)
     if (update.kind == GossipUpdate::Kind::receivedFrom)
       update.observed = std::max(now - update.observed, Duration{});
@@ -66,7 +66,7 @@
   ownStatus_.version = version;
 }
 
-void Dissemination::addOwnFacts(Message& message, const MemberTable& members) const {
+void Dissemination::addOwnObservations(Message& message, const MemberTable& members) const {
   for (const auto& name : members.unreachable()) {
     if (message.unreachable.size() >= maxUnreachable) break;
     message.unreachable.push_back(name);
@@ -76,9 +76,9 @@
 }
 
 std::string Dissemination::encodeState(Message message, bool hasLeft, const MemberTable& members) const {
-  addOwnFacts(message, members);
+  addOwnObservations(message, members);
   for (const auto& [name, member] : members.all()) {
-    message.updates.push_back(updateOn(member));
+    message.updates.push_back(toUpdate(member));
     addStatus(message, member);
   }
   if (hasLeft) message.updates.push_back({GossipUpdate::Kind::left, message.sender, {}});
@@ -87,17 +87,17 @@
 
 std::string Dissemination::encodeDatagram(Message message, Duration now, const MemberTable& members,
                                           const ProbeRound& round, RandomSource& random) {
-  addOwnFacts(message, members);
+  addOwnObservations(message, members);
   message.updates = queue_.next(maxUpdates, message.recipient);
   const Member* const recipient = members.find(message.recipient);
   const bool isFirstAboutRecipient =
       !message.updates.empty() && message.updates.front().subject.name == message.recipient;
   if (recipient && recipient->state != MemberState::alive && !isFirstAboutRecipient)
-    message.updates.insert(message.updates.begin(), updateOn(*recipient));
+    message.updates.insert(message.updates.begin(), toUpdate(*recipient));
   for (int i = 0; i < statusesOfOthers && !round.isEmpty(); ++i)
-    if (const Member* const member = members.find(round.any(random))) addStatus(message, *member);
-  turnMomentsIntoAges(message.updates, now);
-  auto encoded = encodeMessage(message, maxDatagramBytes - authenticationRoom);
+    if (const Member* const member = members.find(round.randomName(random))) addStatus(message, *member);
+  convertTimesToAges(message.updates, now);
+  auto encoded = encodeMessage(message, maxDatagramBytes - authenticationReserveBytes);
   queue_.markSent(message.updates, encoded.updateCount, members.admittedCount());
   return std::move(encoded.bytes);
 }
--- a/src/membership/dissemination.h
+++ b/src/membership/dissemination.h
@@ -1,5 +1,5 @@
 /// @file
-/// What rides along on each message: gossip, statuses, and who is unreachable.
+/// The content that each message carries: gossip updates, statuses, and the names of unreachable members.
 #pragma once
 
 #include <string>
@@ -13,33 +13,33 @@
 
 namespace rainhook::membership {
 
-/// Fills and encodes outgoing messages. The random statuses that ride on a message are drawn from the probe
-/// round, since that holds the present members in a vector.
+/// Fills and encodes outgoing messages. The statuses of random members are drawn from the probe round,
+/// because it holds the present members in a vector.
 class Dissemination {
  public:
-  /// Queues an update, in place of an earlier one on the same member or zone.
+  /// Queues an update; it replaces an earlier one about the same member or zone.
   void announce(GossipUpdate::Kind kind, const MemberRecord& subject, std::vector<Reporter> reporters = {});
-  /// Queues the proof that `reporter` received from `subject` at that moment.
+  /// Queues the observation that `reporter` received a message from `subject` at `observedAt`.
   void announceReceivedFrom(const MemberRecord& subject, const Reporter& reporter, Duration observedAt);
-  /// Drops what is queued about a member.
+  /// Removes the queued updates about a member.
   void removeUpdatesAbout(const MemberName& name) { queue_.remove(name); }
-  /// How many updates are yet to be passed on.
+  /// Returns the number of updates that are still to be sent.
   [[nodiscard]] std::size_t queuedUpdates() const { return queue_.size(); }
 
-  /// What this member states about itself from now on; its version is set here.
+  /// Replaces the status that this member publishes; this function sets its version.
   void publishStatus(const MemberStatus& status);
-  /// What this member states about itself at present.
+  /// Returns the status that this member publishes.
   [[nodiscard]] const MemberStatus& ownStatus() const { return ownStatus_; }
 
-  /// A message with the full state, for a stateRequest or stateResponse.
+  /// Encodes a message with the full state, for a stateRequest or stateResponse.
   [[nodiscard]] std::string encodeState(Message message, bool hasLeft, const MemberTable& members) const;
-  /// A message that fits into a datagram. The update on its recipient goes first, so that a member that is
-  /// suspected learns of it at once (Lifeguard's buddy system, section IV.C).
+  /// Encodes a message that fits into a datagram. The update about the recipient comes first, so that a
+  /// suspected member learns of the suspicion immediately (Lifeguard's buddy system, section IV.C).
   [[nodiscard]] std::string encodeDatagram(Message message, Duration now, const MemberTable& members,
                                            const ProbeRound& round, RandomSource& random);
 
  private:
-  void addOwnFacts(Message& message, const MemberTable& members) const;
+  void addOwnObservations(Message& message, const MemberTable& members) const;
 
   GossipQueue queue_;
   MemberStatus ownStatus_;
--- a/src/membership/effects.h
+++ b/src/membership/effects.h
@@ -1,5 +1,5 @@
 /// @file
-/// What a step of membership asks its host to do: messages to send and events to report.
+/// The effects of one protocol step, which the host carries out: messages to send and events to report.
 #pragma once
 
 #include <cstdint>
@@ -10,51 +10,51 @@
 
 namespace rainhook::membership {
 
-/// An encoded message that is to be sent.
+/// An encoded message for the host to send.
 struct OutgoingMessage {
-  /// How the message is sent; a datagram goes by UDP, the others by TCP.
+  /// How the message is sent: a datagram by UDP, the others by TCP.
   enum class Channel : std::uint8_t {
     datagram,
-    connection,  ///< a new one to `address`
-    reply        ///< the connection by which the message came that is answered
+    connection,  ///< a new connection to `address`
+    reply        ///< the connection on which the request arrived
   };
-  Channel channel = Channel::datagram;  ///< how it is sent
-  MemberName recipient;                 ///< empty: only the address is known
-  Address address;                      ///< where it is sent; of no use for a reply
-  std::string bytes;                    ///< the encoded message, not signed yet
+  Channel channel = Channel::datagram;  ///< how the message is sent
+  MemberName recipient;                 ///< empty if only the address is known
+  Address address;                      ///< the destination; unused for a reply
+  std::string bytes;                    ///< the encoded message without its signature
 };
 
-/// A change in what this member knows.
+/// A change in the view of this member.
 struct MembershipEvent {
-  /// What happened.
+  /// The type of the change.
   enum class Type : std::uint8_t {
-    joined,          ///< this member was admitted under its name
-    nameRejected,    ///< another instance holds our name; this one is to stop
-    regionMismatch,  ///< our zone stands in another region for those who are there; this one is to stop
-    stateChanged,    ///< of a member
-    unreachable,     ///< alive, but does not answer this member
-    reachable,
-    refuted,        ///< this member was suspected or declared dead, and has refuted it
-    pauseDetected,  ///< this process did not run for a while
-    viewUncertain,  ///< from now on, see Membership::isViewUncertain
-    viewCertain,
-    zoneUnreachable,
-    zoneReachable,
-    addressChanged,  ///< a member came back under another address or in another process
-    nameConflict     ///< somebody else sends under our name
+    joined,           ///< this member was admitted under its name
+    nameRejected,     ///< another instance holds this member's name; this instance has to stop
+    regionMismatch,   ///< members of this zone are configured with another region; this instance has to stop
+    stateChanged,     ///< the state of another member changed
+    unreachable,      ///< another member is alive but does not answer this one
+    reachable,        ///< an unreachable member answers again
+    refuted,          ///< this member refuted a suspicion or a declaration of its death
+    pauseDetected,    ///< this process did not run for some time
+    viewUncertain,    ///< Membership::isViewUncertain has become true
+    viewCertain,      ///< Membership::isViewUncertain has become false
+    zoneUnreachable,  ///< a zone is unreachable as a whole
+    zoneReachable,    ///< an unreachable zone is reachable again
+    addressChanged,   ///< a member runs at another address or in another process
+    nameConflict      ///< another process sends messages under this member's name
   };
-  Type type = Type::stateChanged;          ///< what happened
-  MemberRecord member;                     ///< whom it is about; of a zone, zone and region only
+  Type type = Type::stateChanged;  ///< the type of the change
+  MemberRecord member;             ///< the member concerned; for a zone only `zone` and `region` are set
   MemberState state = MemberState::alive;  ///< the member's state after the event
-  std::string reason;                      ///< in words, for the log; may be empty
+  std::string reason;                      ///< an explanation for the log; may be empty
 };
-/// The name of the event in logs.
+/// Returns the name of the event in logs.
 const char* nameOf(MembershipEvent::Type type);
 
-/// What one step leads to, in order.
+/// The messages and events that one step produced, each in order.
 struct Effects {
-  std::vector<OutgoingMessage> messages;  ///< to be sent
-  std::vector<MembershipEvent> events;    ///< to be reported
+  std::vector<OutgoingMessage> messages;  ///< messages to send
+  std::vector<MembershipEvent> events;    ///< events to report
 };
 
 }  // namespace rainhook::membership
--- a/src/membership/explain.cpp
+++ b/src/membership/explain.cpp
@@ -25,15 +25,15 @@
     if (!out.empty()) out += ", ";
     out += reporter.name.text + " (" + reporter.zone.text + ")";
   }
-  return out.empty() ? "nobody" : out;
+  return out.empty() ? "no member" : out;
 }
 
 void explainSuspicion(const Suspicion& suspicion, Duration now, std::vector<std::string>& lines) {
   lines.push_back("suspected by " + listOf(suspicion.accusers));
   if (suspicion.lastCorroborated >= Duration{})
-    lines.push_back("another member received from it " + ago(now, suspicion.lastCorroborated));
+    lines.push_back("another member received a message from it " + ago(now, suspicion.lastCorroborated));
   std::string declaration =
-      "declared dead in " + inMilliseconds(suspicion.deadline - now) + " at the earliest";
+      "may be declared dead in " + inMilliseconds(suspicion.deadline - now) + " at the earliest";
   if (suspicion.postponedBecause != PostponeReason::none)
     declaration += std::string(", postponed: ") + describe(suspicion.postponedBecause);
   lines.push_back(std::move(declaration));
@@ -43,32 +43,32 @@
                          std::vector<std::string>& lines) {
   std::string names;
   for (const auto& other : member.cannotReach) names += (names.empty() ? "" : ", ") + other.text;
-  if (!names.empty()) lines.push_back("it does not reach " + names);
+  if (!names.empty()) lines.push_back("it receives no answer from " + names);
   for (const auto& [other, seen] : membership.members())
     if (std::find(seen.cannotReach.begin(), seen.cannotReach.end(), member.record.name) !=
         seen.cannotReach.end())
-      lines.push_back(other.text + " does not reach it");
+      lines.push_back(other.text + " receives no answer from it");
 }
 
 }  // namespace
 
 std::vector<std::string> explainMember(const Membership& membership, const MemberName& name, Duration now) {
   if (name == membership.self().name)
-    return {"that is the instance asked; incarnation " + textOf(membership.self().incarnation)};
+    return {"this is the queried instance itself; incarnation " + textOf(membership.self().incarnation)};
   const auto it = membership.members().find(name);
   if (it == membership.members().end()) return {};
   const Member& member = it->second;
   std::vector<std::string> lines;
   lines.push_back(std::string(nameOf(member.state)) + " since " + ago(now, member.stateSince) +
                   ", incarnation " + textOf(member.record.incarnation));
-  lines.push_back("last message directly from it " + ago(now, member.lastReceived) +
-                  ", last proof that it lives " + ago(now, member.lastEvidence));
+  lines.push_back("last direct message from it " + ago(now, member.lastReceived) +
+                  ", last evidence that it is alive " + ago(now, member.lastEvidence));
   lines.push_back(std::to_string(member.missedProbes) + " probes in a row without a direct answer");
   if (member.suspicion) explainSuspicion(*member.suspicion, now, lines);
   if (member.state == MemberState::dead)
-    lines.push_back("declared dead on the word of " + listOf(member.deathReporters));
+    lines.push_back("declared dead on reports by " + listOf(member.deathReporters));
   if (const auto since = membership.zones().unreachableSince(member.record.zone))
-    lines.push_back("its whole zone is unreachable since " + ago(now, *since));
+    lines.push_back("its whole zone has been unreachable since " + ago(now, *since));
   explainReachability(membership, member, lines);
   return lines;
 }
--- a/src/membership/explain.h
+++ b/src/membership/explain.h
@@ -1,5 +1,5 @@
 /// @file
-/// Why a member is in its state, in words for operators (`rainhook members explain`).
+/// Explains to operators why a member is in its state (`rainhook members explain`).
 #pragma once
 
 #include <string>
@@ -9,7 +9,7 @@
 
 namespace rainhook::membership {
 
-/// One statement a line; nothing where the name is not known.
+/// Returns the lines of the explanation; none if the name is unknown.
 [[nodiscard]] std::vector<std::string> explainMember(const Membership& membership, const MemberName& name,
                                                      Duration now);
 
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -9,7 +9,7 @@
 
 namespace {
 
-constexpr std::size_t maxProbes = 128;  // of each kind
+constexpr std::size_t maxProbes = 128;  // applies to direct and to indirect probes separately
 constexpr int maxLocalHealthMultiplier = 8;
 constexpr Duration minPause = 100ms;
 constexpr Duration minTimerWait = 1ms;
@@ -57,7 +57,7 @@
                                                  ProbePurpose purpose, RandomSource& random) {
   if (probes_.size() >= maxProbes) return std::nullopt;
   const Nonce nonce = random.nonce();
-  const Duration interval = byLocalHealth(settings_.probeInterval);
+  const Duration interval = scaleByLocalHealth(settings_.probeInterval);
   Probe probe{.target = target, .purpose = purpose, .started = now};
   probe.askHelpersAt = now + interval * 2 / 5;
   probe.deadline = now + interval;
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -1,9 +1,9 @@
 /// @file
-/// Probes under way, and whether this member is itself in a condition to judge others by them.
+/// The pending probes, and whether the condition of this member allows conclusions from them.
 ///
 /// Direct and indirect probes as in SWIM (Das, Gupta and Motivala, DSN 2002); the local health multiplier as
 /// in Lifeguard (Dadgar, Phillips and Currey, DSN-W 2018, section IV.A), except that the probe interval is
-/// never stretched: a member that sends nothing would be taken for dead.
+/// never extended: the others would declare a member dead that sends nothing.
 #pragma once
 
 #include <cstddef>
@@ -18,99 +18,103 @@
 
 namespace rainhook::membership {
 
-/// What a probe is to find out.
+/// The question that a probe answers.
 enum class ProbePurpose : std::uint8_t {
   failureDetection,
-  nameChallenge,  ///< whether another process lives under our name
-  tombstone       ///< whether a member that was declared dead is back, as after a network partition
+  nameChallenge,  ///< whether another process is running under this member's name
+  tombstone       ///< whether a member that was declared dead has returned, as after a network partition
 };
 
-/// A probe that waits for its acknowledgement.
+/// A probe without an acknowledgement so far.
 struct Probe {
-  MemberRecord target;                                    ///< whom it probes
-  ProbePurpose purpose = ProbePurpose::failureDetection;  ///< what it is to find out
-  Duration started{};                                     ///< the moment at which it was sent
-  Duration askHelpersAt{};                                ///< the moment from which on helpers are asked
-  Duration deadline{};                                    ///< the moment at which it has failed
-  std::size_t helpersAsked = 0;                           ///< members that were asked for an indirect probe
-  std::size_t nacks = 0;  ///< helpers that answered that they got no acknowledgement
-
-  /// Whether helpers are still to be asked; a tombstone is probed without any.
+  MemberRecord target;                                    ///< the probed member
+  ProbePurpose purpose = ProbePurpose::failureDetection;  ///< the question that the probe answers
+  Duration started{};                                     ///< when the probe was sent
+  Duration askHelpersAt{};                                ///< when helpers are asked
+  Duration deadline{};                                    ///< when the probe fails
+  std::size_t helpersAsked = 0;                           ///< number of members asked for an indirect probe
+  std::size_t nacks = 0;  ///< number of helpers that reported no acknowledgement
+
+  /// Returns whether helpers are still to be asked; a tombstone is probed without helpers.
   [[nodiscard]] bool mayAskHelpers() const { return helpersAsked == 0 && purpose != ProbePurpose::tombstone; }
 };
 
 /// A probe on behalf of another member (SWIM's ping-req).
 struct IndirectProbe {
-  MemberName requester;    ///< the member that asked for it
+  MemberName requester;    ///< the member that asked for the probe
   Nonce requesterNonce{};  ///< the nonce of the requester's own probe
-  Duration deadline{};     ///< the moment at which a nack is due
+  Duration deadline{};     ///< when a nack is due
 };
 
-/// Holds 128 probes and 128 indirect probes at most; each ends with its answer or its deadline.
+/// Holds at most 128 probes and 128 indirect probes; each ends with its answer or at its deadline.
 class FailureDetector {
  public:
   /// Keeps a reference to the settings.
   explicit FailureDetector(const ProtocolSettings& settings) : settings_(settings) {}
 
-  /// Draws the moment of the first probe, so that members do not probe in step.
+  /// Draws a random time for the first probe, so that members do not probe simultaneously.
   void open(Duration now, RandomSource& random);
 
-  // Own condition
-  /// Takes `now` for the moment at which the latest message came, by which isIsolated() judges.
+  // Condition of this member
+  /// Records `now` as the time of the latest message, which isIsolated() uses.
   void onMessageReceived(Duration now) { lastReceived_ = now; }
-  /// Whether nothing was received for so long that this member may be cut off.
-  /// @param now the present moment
-  /// @param admittedMembers with this one; a member that is alone is not isolated
+  /// Returns whether this member received no message for so long that it may be disconnected.
+  /// @param now the current time
+  /// @param admittedMembers number of members including this one; a member that is alone is not isolated
   [[nodiscard]] bool isIsolated(Duration now, std::size_t admittedMembers) const;
-  /// For how long this process did not run, where that is over half a probe interval (and 100 ms).
+  /// Returns how long this process did not run, if that is at least half a probe interval and at least 100
+  /// ms.
   [[nodiscard]] std::optional<Duration> detectPause(Duration now) const;
-  /// Lets what ran out during a pause run on, and starts the grace period in which nobody is judged.
+  /// Extends the deadlines by the duration of a pause, and starts the grace period without suspicions.
   void onPause(Duration now, Duration pause);
-  /// Whether a pause ended a moment ago, so that nobody is judged.
+  /// Returns whether a pause ended so recently that this member raises no suspicions.
   [[nodiscard]] bool isInGracePeriod(Duration now) const { return now < gracePeriodEnd_; }
-  /// 0 (well) to 8: by how much slower this member judges.
+  /// Returns Lifeguard's multiplier, 0 (healthy) to 8: the higher it is, the longer probes wait for an
+  /// answer.
   [[nodiscard]] int localHealthMultiplier() const { return localHealthMultiplier_; }
-  /// Positive where this member's health got worse.
+  /// Changes the local health multiplier; a positive value means that this member's health got worse.
   void adjustLocalHealth(int by);
 
   // Probes
-  /// Whether the next probe is to be sent.
+  /// Returns whether the next probe is due.
   [[nodiscard]] bool isProbeDue(Duration now) const { return now >= nextProbeAt_; }
-  /// The next probe is due one probe interval from now.
+  /// Schedules the next probe one probe interval from now.
   void scheduleNextProbe(Duration now) { nextProbeAt_ = now + settings_.probeInterval; }
-  /// The nonce to send; nothing where too many probes are under way.
+  /// Starts a probe and returns the nonce to send; nothing if too many probes are pending.
   [[nodiscard]] std::optional<Nonce> beginProbe(Duration now, const MemberRecord& target,
                                                 ProbePurpose purpose, RandomSource& random);
-  /// Null where no such probe is under way.
+  /// Returns null if no probe with this nonce is pending.
   [[nodiscard]] Probe* findProbe(Nonce nonce);
-  /// Forgets a probe, such as one that was answered.
+  /// Removes a probe, for example because it was answered.
   void endProbe(Nonce nonce) { probes_.erase(nonce); }
-  /// Removes and returns the probes that got no answer in time.
+  /// Removes and returns the probes without an answer in time.
   std::vector<Probe> takeExpiredProbes(Duration now);
-  /// The probes whose target has not answered directly, so that helpers are to be asked.
+  /// Returns the probes whose target has not answered directly, for which helpers have to be asked now.
   [[nodiscard]] std::vector<Nonce> probesToAskHelpersFor(Duration now) const;
 
-  // Probes on behalf of others
-  /// The nonce to send; nothing where too many are under way.
+  // Probes on behalf of other members
+  /// Starts an indirect probe and returns the nonce to send; nothing if too many are pending.
   [[nodiscard]] std::optional<Nonce> beginIndirectProbe(Duration now, const MemberName& requester,
                                                         Nonce requesterNonce, RandomSource& random);
-  /// Whether fewer than 128 indirect probes are under way.
+  /// Returns whether fewer than 128 indirect probes are pending.
   [[nodiscard]] bool hasRoomForIndirectProbe() const;
-  /// Removes and returns the one that this nonce acknowledges.
+  /// Removes and returns the indirect probe with this nonce.
   std::optional<IndirectProbe> takeIndirectProbe(Nonce nonce);
-  /// Removes and returns the indirect probes that got no answer in time.
+  /// Removes and returns the indirect probes without an answer in time.
   std::vector<IndirectProbe> takeExpiredIndirectProbes(Duration now);
 
   // Timer
-  /// Finds the next deadline: a quarter of a probe interval from now, or what is due before.
-  /// @param now the present moment
-  /// @param isProbing whether this member sends probes, so that the next one counts
+  /// Computes the next deadline: a quarter of a probe interval from now, or an earlier deadline of a probe.
+  /// @param now the current time
+  /// @param isProbing whether this member sends probes, so that the time of the next probe is considered
   void updateNextDeadline(Duration now, bool isProbing);
-  /// The moment at which the timer is to run next.
+  /// Returns the time at which the timer has to fire next.
   [[nodiscard]] Duration nextDeadline() const { return nextDeadline_; }
 
  private:
-  [[nodiscard]] Duration byLocalHealth(Duration span) const { return span * (1 + localHealthMultiplier_); }
+  [[nodiscard]] Duration scaleByLocalHealth(Duration span) const {
+    return span * (1 + localHealthMultiplier_);
+  }
 
   const ProtocolSettings& settings_;
   std::map<Nonce, Probe> probes_;
--- a/src/membership/gossip_queue.cpp
+++ b/src/membership/gossip_queue.cpp
@@ -56,7 +56,7 @@
   }
 }
 
-/// Four times, and four more for each factor of ten in the size of the fleet.
+/// Each update is sent four times, and four more times for each factor of ten in the fleet size.
 std::size_t GossipQueue::transmissions(std::size_t fleetSize) {
   constexpr std::size_t perDecade = 4;
   std::size_t out = perDecade;
--- a/src/membership/gossip_queue.h
+++ b/src/membership/gossip_queue.h
@@ -1,6 +1,7 @@
 /// @file
-/// The updates that are yet to be passed on. Each goes out a number of times that grows with the logarithm of
-/// the fleet (SWIM, Das, Gupta and Motivala, DSN 2002, section 4.1); those sent least often go first.
+/// The queue of updates to send. Each update is sent a number of times that grows with the logarithm of the
+/// fleet size (SWIM, Das, Gupta and Motivala, DSN 2002, section 4.1); the updates that were sent least often
+/// go first.
 #pragma once
 
 #include <cstddef>
@@ -14,28 +15,31 @@
 
 namespace rainhook::membership {
 
-/// Holds one update for each member, one proof of life for each member and one update for each zone: a later
-/// one replaces the earlier. Sending empties it.
+/// Holds one state update and one `receivedFrom` update for each member, and one update for each zone. A
+/// later update replaces the earlier one. An update leaves the queue after its last transmission.
 class GossipQueue {
  public:
-  /// Queues an update as one that was never sent, in place of an earlier one on the same topic.
+  /// Queues an update as not sent yet; it replaces an earlier one with the same topic and name.
   void add(GossipUpdate update);
-  /// Drops what is queued about a member.
+  /// Removes the updates about a member.
   void remove(const MemberName& name);
-  /// The updates to send next, at most `limit` of them; one about `first` goes before all others.
+  /// Returns at most `limit` updates to send next; a state update about the member `first` comes before all
+  /// others.
   [[nodiscard]] std::vector<GossipUpdate> next(std::size_t limit, const MemberName& first) const;
-  /// Counts the first `count` of these updates as sent once more, in a fleet of that size.
+  /// Records that the first `count` of these updates were sent once more. The fleet size determines how often
+  /// an update is sent.
   void markSent(const std::vector<GossipUpdate>& updates, std::size_t count, std::size_t fleetSize);
-  /// How many updates are yet to be passed on.
+  /// Returns the number of updates that are still to be sent.
   [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
  private:
-  /// What an update is about. The order of the topics is the order among updates of equal rank.
+  /// The topic of an update. Updates of equal rank are sent in the order of the topics.
   enum class Topic : char { receivedFrom = 'h', member = 'm', zone = 'z' };
   struct Key {
     Topic topic{};
     std::string name;
-    // NOLINTNEXTLINE(modernize-use-nullptr): takes the zero inside of a defaulted comparison for a pointer
+    // NOLINTNEXTLINE(modernize-use-nullptr): the check mistakes the zero in a defaulted comparison for a
+    // pointer
     auto operator<=>(const Key&) const = default;
   };
   struct Entry {
@@ -43,12 +47,13 @@
     std::size_t timesSent = 0;
     std::int64_t number = 0;
   };
-  /// Those sent least often first, among them the newest first.
+  /// The order of sending: updates sent least often first, among those the newest first.
   struct Rank {
     std::size_t timesSent = 0;
     std::int64_t number = 0;
     Key key;
-    // NOLINTNEXTLINE(modernize-use-nullptr): takes the zero inside of a defaulted comparison for a pointer
+    // NOLINTNEXTLINE(modernize-use-nullptr): the check mistakes the zero in a defaulted comparison for a
+    // pointer
     auto operator<=>(const Rank&) const = default;
   };
   static Key keyOf(const GossipUpdate& update);
@@ -57,7 +62,7 @@
 
   std::map<Key, Entry> entries_;
   std::set<Rank> order_;
-  std::int64_t newest_ = 0;  ///< goes down, so that the newest ranks first
+  std::int64_t newest_ = 0;  ///< decreases with each update, so that the newest ranks first
 };
 
 }  // namespace rainhook::membership
--- a/src/membership/join.h
+++ b/src/membership/join.h
@@ -1,5 +1,6 @@
 /// @file
-/// How an instance becomes a member: whom it asks for the fleet's state, and whether its name is its own.
+/// How an instance becomes a member: the contacts that it asks for the fleet's state, and the check that no
+/// other process uses its name.
 #pragma once
 
 #include <cstddef>
@@ -9,34 +10,36 @@
 
 namespace rainhook::membership {
 
-/// A member by its address; the name is empty where only the address is known.
+/// The name and address of a member.
 struct KnownMember {
-  MemberName name;  ///< empty where only the address is known
-  Address address;  ///< where it is asked
-  /// Equal where name and address are.
+  MemberName name;  ///< empty if only the address is known
+  Address address;  ///< the address to contact
+  /// Compares name and address.
   bool operator==(const KnownMember&) const = default;
 };
 
-/// What an instance has persisted in its earlier processes.
+/// The identity that earlier processes of an instance persisted.
 struct PersistedIdentity {
-  static constexpr std::size_t maxKnownMembers = 8;  ///< persisted, at most
+  static constexpr std::size_t maxKnownMembers = 8;  ///< maximum number of persisted members
 
-  Incarnation firstIncarnation{1};                     ///< beyond all that were ever sent
-  Incarnation reservedIncarnation{~std::uint64_t{0}};  ///< none beyond it is sent
-  std::vector<KnownMember> knownMembers;  ///< asked where no seed answers, maxKnownMembers at most
+  Incarnation firstIncarnation{1};                     ///< higher than all that were ever sent
+  Incarnation reservedIncarnation{~std::uint64_t{0}};  ///< no higher one is sent
+  std::vector<KnownMember> knownMembers;               ///< asked if no seed answers, at most maxKnownMembers
 };
 
-/// The incarnations that this member may use: none is sent before it is reserved on the disk.
+/// The incarnations that this member may use. None is sent before its reservation is on disk.
 class IncarnationReservation {
  public:
-  /// Incarnations up to `reserved` may be used from the beginning.
+  /// Allows incarnations up to `reserved` from the start.
   explicit IncarnationReservation(Incarnation reserved) : reserved_(reserved) {}
 
-  /// The incarnation to use where `wanted` is needed: not lower than `current`, nor beyond what is reserved.
+  /// Returns the incarnation to use if `wanted` is needed: at least `current`, and otherwise not higher than
+  /// the reserved one.
   [[nodiscard]] Incarnation raise(Incarnation current, Incarnation wanted);
-  /// Incarnations up to this one are on the disk; a lower one than before changes nothing.
+  /// Allows incarnations up to this one, whose reservation is on disk; a lower value than before has no
+  /// effect.
   void reserveUpTo(Incarnation incarnation);
-  /// The highest incarnation that was needed so far.
+  /// Returns the highest incarnation that was needed so far.
   [[nodiscard]] Incarnation required() const { return required_; }
 
  private:
@@ -44,41 +47,41 @@
   Incarnation required_{};
 };
 
-/// Asks the seeds in turn for three rounds, then once each of the members known from earlier processes; where
-/// none answers, this instance is the first member.
+/// Asks the seeds in turn for three rounds, then each member known from earlier processes once. If none of
+/// them answers, this instance is the first member.
 class JoinProtocol {
  public:
-  /// Asks the seeds first, in their order, then the known members.
+  /// Asks the seeds first, in the given order, then the known members.
   JoinProtocol(const std::vector<Address>& seeds, const std::vector<KnownMember>& known);
 
-  /// Whether there is anybody to ask.
+  /// Returns whether there is any contact to ask.
   [[nodiscard]] bool hasContacts() const { return !contacts_.empty(); }
-  /// Whether all contacts were asked as often as is planned.
+  /// Returns whether all seeds were asked three times and all known members once.
   [[nodiscard]] bool hasAskedAll() const;
-  /// Whether the next contact is to be asked.
+  /// Returns whether it is time to ask the next contact.
   [[nodiscard]] bool isContactDue(Duration now) const { return now >= nextContactAt_; }
-  /// The next contact is to be asked at this moment.
+  /// Sets the time at which to ask the next contact.
   void scheduleContact(Duration at) { nextContactAt_ = at; }
-  /// Whom to ask next; there is one.
+  /// Advances to the next contact and returns it; there must be at least one.
   [[nodiscard]] const KnownMember& nextContact();
 
-  /// Whether this instance was admitted under its name.
+  /// Returns whether this instance was admitted under its name.
   [[nodiscard]] bool hasJoined() const { return hasJoined_; }
-  /// This instance was admitted under its name.
+  /// Records that this instance was admitted under its name.
   void setJoined() { hasJoined_ = true; }
-  /// This instance can't be a member and is to stop.
+  /// Returns whether this instance cannot be a member and has to stop.
   [[nodiscard]] bool isRejected() const { return isRejected_; }
-  /// This instance is to stop; there is no way back.
+  /// Records that this instance has to stop; this cannot be undone.
   void setRejected() { isRejected_ = true; }
-  /// Another process under our name is being probed.
+  /// Returns whether a probe of another process under this name is pending.
   [[nodiscard]] bool isNameChallenged() const { return isNameChallenged_; }
-  /// Begins or ends the probe of another process under our name.
+  /// Records the start or the end of the probe of another process under this name.
   void setNameChallenged(bool isChallenged) { isNameChallenged_ = isChallenged; }
 
  private:
   static constexpr std::size_t seedRounds = 3;
 
-  std::vector<KnownMember> contacts_;  ///< the seeds, then those known from earlier processes
+  std::vector<KnownMember> contacts_;  ///< the seeds, then the members known from earlier processes
   std::size_t seedCount_ = 0;
   std::size_t contactsAsked_ = 0;
   Duration nextContactAt_{};
--- a/src/membership/member.h
+++ b/src/membership/member.h
@@ -1,5 +1,5 @@
 /// @file
-/// Another member and the suspicion against it, as this member sees them.
+/// The state that this member keeps about another member, including a suspicion against it.
 #pragma once
 
 #include <cstdint>
@@ -11,58 +11,59 @@
 
 namespace rainhook::membership {
 
-/// Why a suspected member is not declared dead although its time is over.
+/// Why this member does not declare a suspected member dead although its deadline has passed.
 enum class PostponeReason : std::uint8_t {
   none,
-  isolated,         ///< this member receives from nobody
-  recentPause,      ///< this process did not run a moment ago
+  isolated,         ///< this member receives no messages
+  recentPause,      ///< this process was paused recently
   noSecondAccuser,  ///< no other member is alive
   awaitsSecondAccuser,
   awaitsSecondZone,
-  zoneUnreachable,   ///< it waits longer where the whole zone is unreachable
-  probesZoneMember,  ///< another member of its zone is probed first
-  shareExceeded,     ///< of the fleet
-  rateExceeded
+  zoneUnreachable,   ///< its whole zone is unreachable, which doubles the waiting time
+  probesZoneMember,  ///< another member of its zone has to be probed first
+  shareExceeded,     ///< too large a share of the fleet would be declared dead
+  rateExceeded       ///< too many members were declared dead within a second
 };
-/// The reason in the words of `explain`; empty for `none`.
+/// Returns the text that `explain` prints for the reason; empty for `none`.
 const char* describe(PostponeReason reason);
 
 /// A suspicion against one member.
 struct Suspicion {
-  Duration since{};               ///< the moment at which it began
-  Duration deadline{};            ///< when the member may be declared dead
-  std::set<Reporter> accusers;    ///< those that confirm it, maxReporters at most
-  Duration lastCorroborated{-1};  ///< when a member last reported that it receives from the suspect
-  PostponeReason postponedBecause = PostponeReason::none;  ///< why the declaration waits
-  int zoneProbes = 0;  ///< probes of others of its zone before the declaration
+  Duration since{};               ///< when the suspicion began
+  Duration deadline{};            ///< when the member may be declared dead at the earliest
+  std::set<Reporter> accusers;    ///< the members that confirm it, at most maxReporters
+  Duration lastCorroborated{-1};  ///< when any member last received a message from the suspect
+  PostponeReason postponedBecause = PostponeReason::none;  ///< why the declaration is postponed
+  int zoneProbes = 0;  ///< probes of other members of its zone before the declaration
 };
 
-/// Another member, as this one sees it.
+/// Another member in the view of this one.
 struct Member {
-  /// Probes in a row without a direct answer, from which on a member counts as unreachable.
+  /// Number of consecutive probes without a direct answer after which a member counts as unreachable.
   static constexpr int unreachableAfterProbes = 3;
 
-  MemberRecord record;                     ///< who it is
-  MemberState state = MemberState::alive;  ///< in which state this member sees it
-  Duration stateSince{};                   ///< the moment of the last change of state
-  Duration lastReceived{-1};               ///< a message directly from it
-  Duration lastEvidence{-1};               ///< any proof that it lives, also by way of others
-  Duration lastCorroborated{-1};           ///< some member, or this one, received a message from it
-  int missedProbes = 0;                    ///< in a row without a direct answer
-  std::optional<Suspicion> suspicion;      ///< while it is suspect
-  std::vector<Reporter> deathReporters;    ///< on whose word it was declared dead
-  MemberStatus status;                     ///< the latest that it stated about itself
-  Duration statusReceived{-1};             ///< the moment at which that was received
-  std::vector<MemberName> cannotReach;     ///< members that it reports as unreachable from it
+  MemberRecord record;                     ///< the identity of the member
+  MemberState state = MemberState::alive;  ///< its state in the view of this member
+  Duration stateSince{};                   ///< when the state last changed
+  Duration lastReceived{-1};               ///< when a message arrived directly from it
+  Duration lastEvidence{
+      -1};  ///< when this member last had evidence, direct or through others, that it is alive
+  Duration lastCorroborated{-1};         ///< when any member, including this one, received a message from it
+  int missedProbes = 0;                  ///< consecutive probes without a direct answer
+  std::optional<Suspicion> suspicion;    ///< set while the state is `suspect`
+  std::vector<Reporter> deathReporters;  ///< the members on whose reports it was declared dead
+  MemberStatus status;                   ///< the latest status that it published
+  Duration statusReceived{-1};           ///< when that status was received
+  std::vector<MemberName> cannotReach;   ///< the members that it reports as not answering it
 
-  /// Whether it missed fewer than unreachableAfterProbes probes in a row.
+  /// Returns whether fewer than unreachableAfterProbes consecutive probes had no direct answer.
   [[nodiscard]] bool isReachable() const { return missedProbes < unreachableAfterProbes; }
-  /// Alive or suspect.
+  /// Returns whether the state is `alive` or `suspect`.
   [[nodiscard]] bool isPresent() const {
     return state == MemberState::alive || state == MemberState::suspect;
   }
-  /// Dead or left.
-  [[nodiscard]] bool isGone() const { return !isPresent(); }
+  /// Returns whether the state is `dead` or `left`.
+  [[nodiscard]] bool isDeadOrLeft() const { return !isPresent(); }
 };
 
 }  // namespace rainhook::membership
--- a/src/membership/member_table.cpp
+++ b/src/membership/member_table.cpp
@@ -48,10 +48,10 @@
 }
 
 void MemberTable::setState(Member& member, MemberState state, Duration now) {
-  if (member.isGone()) tombstones_.erase({member.stateSince, member.record.name});
+  if (member.isDeadOrLeft()) tombstones_.erase({member.stateSince, member.record.name});
   member.state = state;
   member.stateSince = now;
-  if (member.isGone()) tombstones_.insert({now, member.record.name});
+  if (member.isDeadOrLeft()) tombstones_.insert({now, member.record.name});
 }
 
 std::optional<MemberName> MemberTable::removeExpired(Duration now, Duration retention) {
--- a/src/membership/member_table.h
+++ b/src/membership/member_table.h
@@ -1,5 +1,5 @@
 /// @file
-/// What one member knows about each of the others.
+/// The table of the other members that one member knows.
 #pragma once
 
 #include <cstddef>
@@ -15,59 +15,61 @@
 
 namespace rainhook::membership {
 
-/// How many members the fleet has, this one with them.
+/// Numbers of members in the fleet, including this one.
 struct FleetCount {
-  std::size_t present = 1;  ///< alive, suspect, or declared dead within the window
-  std::size_t alive = 1;    ///< alive, neither suspect nor dead
+  std::size_t present = 1;  ///< members that are alive, suspect, or were declared dead within the window
+  std::size_t alive = 1;    ///< members that are alive and not suspect
 };
 
-/// All members but the own one, with the tombstones of the dead and the left. Bounded by its user, who asks
-/// for size() before add().
+/// All members except this one, including tombstones of dead and left members. The caller bounds the table:
+/// it checks size() before add().
 class MemberTable {
  public:
   /// The other members by name.
   using Members = std::map<MemberName, Member>;
-  using Tombstones = std::set<std::pair<Duration, MemberName>>;  ///< by the moment of the state
+  /// Dead and left members, ordered by the time at which they got that state.
+  using Tombstones = std::set<std::pair<Duration, MemberName>>;
 
-  /// All other members, the gone among them.
+  /// Returns all other members, including dead and left ones.
   [[nodiscard]] const Members& all() const { return members_; }
-  /// All other members, to be changed.
+  /// Returns all other members for modification.
   [[nodiscard]] Members& all() { return members_; }
-  /// Null where the name is not known.
+  /// Returns null if the name is unknown.
   [[nodiscard]] Member* find(const MemberName& name);
-  /// Null where the name is not known.
+  /// Returns null if the name is unknown.
   [[nodiscard]] const Member* find(const MemberName& name) const;
-  /// The member of that name, which is known.
+  /// Returns the member with this name, which must be known.
   [[nodiscard]] Member& at(const MemberName& name) { return members_.at(name); }
-  /// The member of that name, which is known.
+  /// Returns the member with this name, which must be known.
   [[nodiscard]] const Member& at(const MemberName& name) const { return members_.at(name); }
-  /// Other members, the gone among them.
+  /// Returns the number of other members, including dead and left ones.
   [[nodiscard]] std::size_t size() const { return members_.size(); }
-  /// Members admitted so far, the own one with them. Does not shrink when members go.
+  /// Returns the number of members admitted so far, including this one. It does not decrease when members die
+  /// or leave.
   [[nodiscard]] std::size_t admittedCount() const { return admittedCount_; }
 
-  /// Counts the fleet; those declared dead less than `window` ago count as present.
+  /// Counts the fleet. Members that were declared dead less than `window` ago count as present.
   [[nodiscard]] FleetCount count(Duration now, Duration window) const;
 
-  /// Some members that are alive, drawn at random, at most `limit`: those that answer this one; where there
-  /// is none, those that do not, since they may still receive.
+  /// Draws at random at most `limit` members that are alive and answer this one. If no member answers, draws
+  /// from those that do not, since they may still receive messages.
   [[nodiscard]] std::vector<MemberName> sampleAlive(std::size_t limit, const MemberName& except,
                                                     RandomSource& random) const;
 
-  /// Adds a member that is alive.
+  /// Adds a member in the state `alive`.
   Member& add(const MemberRecord& record, Duration now);
-  /// Moves a member to another state; its suspicion is to be ended by the caller.
+  /// Changes the state of a member. The caller ends its suspicion.
   void setState(Member& member, MemberState state, Duration now);
-  /// The dead and the left, those that went first in front.
+  /// Returns the dead and left members, the earliest first.
   [[nodiscard]] const Tombstones& tombstones() const { return tombstones_; }
-  /// Removes and returns the next member that is gone for `retention`.
+  /// Removes and returns the next member that has been dead or left for at least `retention`.
   std::optional<MemberName> removeExpired(Duration now, Duration retention);
 
-  /// Members that are alive but do not answer this one.
+  /// Returns the members that are alive but do not answer this one.
   [[nodiscard]] const std::set<MemberName>& unreachable() const { return unreachable_; }
-  /// Takes a member that is alive for one that does not answer this one.
+  /// Marks a member that is alive as not answering this one.
   void markUnreachable(const MemberName& name) { unreachable_.insert(name); }
-  /// Whether it was unreachable.
+  /// Clears the mark; returns whether the member was marked as unreachable.
   bool markReachable(const MemberName& name) { return unreachable_.erase(name) > 0; }
 
  private:
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -41,11 +41,11 @@
 
 bool Membership::isViewUncertain(Duration now) const {
   if (!join_.hasJoined() || isIsolated(now) || detector_.isInGracePeriod(now)) return true;
-  return isLostMajority(now);
+  return hasLostMajority(now);
 }
 
-/// Where more than half of those that were present lately are lost, it may be this member that is cut off.
-bool Membership::isLostMajority(Duration now) const {
+/// If fewer than half of the recently present members are alive, this member itself may be disconnected.
+bool Membership::hasLostMajority(Duration now) const {
   if (suspicions_.isEmpty() && members_.tombstones().empty()) return false;
   const auto count = members_.count(now, settings_.probeInterval * settings_.declarationWindowPeriods);
   return count.alive * 2 < count.present;
@@ -73,8 +73,8 @@
   detector_.updateNextDeadline(now, join_.hasJoined() && !hasLeft_);
 }
 
-/// A process that did not run has received nothing and fired no timer: all that ran out meanwhile runs on,
-/// and nobody is judged before the grace period is over.
+/// A process that did not run received no messages and fired no timers. Therefore the deadlines are extended
+/// by the pause, and this member raises no suspicions before the grace period ends.
 void Membership::handlePause(Duration now, Effects& effects) {
   const auto pause = detector_.detectPause(now);
   if (!pause) return;
@@ -99,7 +99,7 @@
   for (const auto& probe : expired) onProbeFailed(now, probe, effects);
 }
 
-/// Lifeguard's nack: this helper lives, the target did not answer it.
+/// Sends Lifeguard's nacks: this helper is alive, but the target did not answer it.
 void Membership::handleExpiredIndirectProbes(Duration now, Effects& effects) {
   for (const auto& probe : detector_.takeExpiredIndirectProbes(now))
     if (const Member* const requester = members_.find(probe.requester))
@@ -143,9 +143,9 @@
     effects.events.push_back({EventType::viewCertain, self_, MemberState::alive, {}});
     return;
   }
-  const char* reason = "more than half of the fleet is lost";
+  const char* reason = "more than half of the fleet is not alive";
   if (detector_.isInGracePeriod(now)) reason = "this process was paused";
-  if (isIsolated(now)) reason = "nothing is received";
+  if (isIsolated(now)) reason = "no message was received for several probe intervals";
   effects.events.push_back({EventType::viewUncertain, self_, MemberState::alive, reason});
 }
 
@@ -171,12 +171,12 @@
 void Membership::askNextContact(Duration now, Effects& effects) {
   join_.scheduleContact(now + settings_.probeInterval);
   const KnownMember& contact = join_.nextContact();
-  // Whoever is at that address by now may answer.
+  // The message names no recipient, because another member may use that address by now.
   sendState(Channel::connection, contact.name, contact.address, newMessage(Kind::stateRequest, {}), effects);
 }
 
-/// This instance is a member from now on, unless its zone stands in another region for those who are there:
-/// whoever adds up figures by zone or by region would be wrong.
+/// Admits this instance as a member, unless members of its zone are configured with another region: sums by
+/// zone or by region would be wrong.
 void Membership::admitSelf(Duration now, Effects& effects) {
   if (join_.hasJoined() || join_.isNameChallenged()) return;
   for (const auto& [name, member] : members_.all()) {
@@ -184,32 +184,33 @@
     if (member.state != MemberState::alive || record.zone != self_.zone || record.region == self_.region)
       continue;
     join_.setRejected();
-    effects.events.push_back(
-        {EventType::regionMismatch, record, MemberState::alive, "our zone stands in another region"});
+    effects.events.push_back({EventType::regionMismatch, record, MemberState::alive,
+                              "the zone of this instance is configured with another region"});
     return;
   }
   join_.setJoined();
   detector_.onMessageReceived(now);
-  effects.events.push_back(
-      {EventType::joined, self_, MemberState::alive, std::to_string(members_.size()) + " others known"});
+  effects.events.push_back({EventType::joined, self_, MemberState::alive,
+                            std::to_string(members_.size()) + " other members known"});
   dissemination_.announce(GossipUpdate::Kind::alive, self_);
 }
 
 void Membership::rejectSelf(const MemberRecord& holder, Effects& effects) {
   join_.setRejected();
   effects.events.push_back(
-      {EventType::nameRejected, holder, MemberState::alive, "the name is held by a living instance"});
+      {EventType::nameRejected, holder, MemberState::alive, "the name is held by another living instance"});
 }
 
-/// Our name stands at another address: an earlier process of ours that nobody has missed yet, or another
-/// instance that lives. Only its own answer tells.
+/// Another address is known for this member's name. It belongs either to an earlier process of this member,
+/// whose end the others have not detected yet, or to a running instance. Only an answer from there
+/// distinguishes them.
 void Membership::challengeName(Duration now, const MemberRecord& holder, Effects& effects) {
   if (join_.isNameChallenged()) return;
   join_.setNameChallenged(true);
   probe(now, holder, ProbePurpose::nameChallenge, effects);
 }
 
-void Membership::onNameUnanswered(Duration now, const MemberRecord& holder, Effects& effects) {
+void Membership::onNameChallengeTimedOut(Duration now, const MemberRecord& holder, Effects& effects) {
   join_.setNameChallenged(false);
   raiseIncarnation(nextIncarnation(holder.incarnation));
   if (join_.hasJoined())
@@ -218,11 +219,12 @@
     admitSelf(now, effects);
 }
 
-/// An instance that has not joined gives way; of two that have, the one with the greater process id.
-void Membership::onNameAnswered(const Message& message, const MemberRecord& holder, Effects& effects) {
+/// An instance that has not joined stops. Of two that have joined, the one with the greater process ID stops.
+void Membership::onNameChallengeAnswered(const Message& message, const MemberRecord& holder,
+                                         Effects& effects) {
   join_.setNameChallenged(false);
-  const bool givesWay = message.hasSenderJoined && self_.processId > holder.processId;
-  if (!join_.hasJoined() || givesWay) {
+  const bool mustYield = message.hasSenderJoined && self_.processId > holder.processId;
+  if (!join_.hasJoined() || mustYield) {
     rejectSelf(holder, effects);
     return;
   }
@@ -241,7 +243,8 @@
   if (isAlone && join_.hasContacts() && join_.isContactDue(now)) askNextContact(now, effects);
 }
 
-/// So that two halves that have declared each other dead find together after a network partition.
+/// Probes a dead member, so that two halves that declared each other dead merge again after a network
+/// partition.
 void Membership::probeTombstone(Duration now, Effects& effects) {
   std::vector<const MemberRecord*> dead;
   for (const auto& [since, name] : members_.tombstones()) {
@@ -273,25 +276,27 @@
 void Membership::onProbeFailed(Duration now, const Probe& probe, Effects& effects) {
   if (probe.purpose == ProbePurpose::tombstone) return;
   if (probe.purpose == ProbePurpose::nameChallenge) {
-    onNameUnanswered(now, probe.target, effects);
+    onNameChallengeTimedOut(now, probe.target, effects);
     return;
   }
   ++counters_.failedProbes;
   Member* const member = members_.find(probe.target.name);
   if (!member) return;
-  // Helpers that did not even send a nack tell about this member's own links.
+  // Missing nacks from helpers indicate a problem of this member's own links.
   const bool lacksNacks = probe.helpersAsked > probe.nacks + 1;
   detector_.adjustLocalHealth(lacksNacks ? 2 : 1);
   countMissedProbe(*member, "three probes without an answer", effects);
   if (settings_.detectPauses && (isIsolated(now) || detector_.isInGracePeriod(now))) return;
-  // It reached this member or one of its helpers since: it lives, whatever became of the probe.
-  const bool hasReached = member->lastReceived >= probe.started || member->lastCorroborated >= probe.started;
-  if (settings_.requireCorroboration && hasReached) return;
+  // A message from the target reached this member or another one after the probe started, so it is alive.
+  const bool isKnownAlive =
+      member->lastReceived >= probe.started || member->lastCorroborated >= probe.started;
+  if (settings_.requireCorroboration && isKnownAlive) return;
   if (member->isPresent())
     applySuspect(now, *member, member->record.incarnation, {selfAsReporter()}, effects);
 }
 
-/// Too many in a row make the member unreachable from here, whatever it is for others.
+/// After too many consecutive missed probes the member counts as unreachable from this member, even if others
+/// reach it.
 void Membership::countMissedProbe(Member& member, const char* reason, Effects& effects) {
   ++member.missedProbes;
   if (member.missedProbes != Member::unreachableAfterProbes || member.state != MemberState::alive) return;
@@ -309,7 +314,7 @@
     const bool isOwnEcho = message.sender.processId == self_.processId;
     if (isOwnEcho) return;
     onMessageUnderOwnName(now, message, effects);
-    // Another instance that asks for the state finds us in it.
+    // The response to a state request shows the other instance that its name is in use.
     if (message.kind != Kind::stateRequest) return;
   } else {
     onDirectMessage(now, message, effects);
@@ -320,15 +325,15 @@
 }
 
 void Membership::onMessageUnderOwnName(Duration now, const Message& message, Effects& effects) {
-  effects.events.push_back(
-      {EventType::nameConflict, message.sender, MemberState::alive, "sends under our name"});
+  effects.events.push_back({EventType::nameConflict, message.sender, MemberState::alive,
+                            "another process sends messages under the name of this member"});
   if (message.kind == Kind::ack)
     onAck(now, message, effects);
   else if (message.kind == Kind::ping)
     sendDatagram(now, message.sender.address, newMessage(Kind::ack, {}, message.nonce), effects);
 }
 
-/// A message is a proof of life of its sender.
+/// A message is evidence that its sender is alive.
 void Membership::onDirectMessage(Duration now, const Message& message, Effects& effects) {
   if (!message.hasSenderJoined) return;
   applyAlive(now, message.sender, effects);
@@ -339,11 +344,11 @@
   member->cannotReach = message.unreachable;
   if (!member->suspicion || now - member->lastCorroborated <= settings_.probeInterval / 2) return;
   corroborate(*member, selfAsReporter(), now);
-  // Those who are about to judge learn of it at once.
+  // The accusers learn of the message immediately, before they declare the member dead.
   const std::set<Reporter> accusers = member->suspicion->accusers;
   for (const auto& accuser : accusers)
-    if (const Member* const judge = members_.find(accuser.name))
-      sendDatagram(now, judge->record.address, newMessage(Kind::ping, accuser.name), effects);
+    if (const Member* const accuserMember = members_.find(accuser.name))
+      sendDatagram(now, accuserMember->record.address, newMessage(Kind::ping, accuser.name), effects);
 }
 
 void Membership::onStatus(Duration now, const StatusEntry& entry) {
@@ -386,7 +391,7 @@
 void Membership::onPingRequest(Duration now, const Message& message, Effects& effects) {
   const MemberRecord& target = message.subject;
   if (target.name == self_.name || !detector_.hasRoomForIndirectProbe()) return;
-  // What this member received from the target counts, whether the target answers now or not.
+  // A recent message from the target is evidence of life, even if the target does not answer the probe.
   Member* const member = members_.find(target.name);
   if (member && member->isPresent() && isRecent(now, member->lastReceived) && !isIsolated(now))
     corroborate(*member, selfAsReporter(), member->lastReceived);
@@ -407,7 +412,7 @@
   if (probe->purpose == ProbePurpose::nameChallenge) {
     if (answering.processId == self_.processId) return;
     detector_.endProbe(message.nonce);
-    onNameAnswered(message, answering, effects);
+    onNameChallengeAnswered(message, answering, effects);
     return;
   }
   detector_.endProbe(message.nonce);
@@ -430,13 +435,13 @@
   if (!member) return;
   member->lastEvidence = now;
   if (message.sender.name != target.name) {
-    countMissedProbe(*member, "answers others only", effects);
+    countMissedProbe(*member, "it answers other members but not this one", effects);
     applyAlive(now, target, effects);
     return;
   }
   member->missedProbes = 0;
   if (members_.markReachable(target.name))
-    effects.events.push_back({EventType::reachable, member->record, member->state, "it answers"});
+    effects.events.push_back({EventType::reachable, member->record, member->state, "it answered a probe"});
 }
 
 // --- Sending ---
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -1,19 +1,22 @@
 /// @file
-/// Group membership as one member sees it: who is in the fleet, and in which state. Pure: no I/O, clock,
-/// threads or randomness of its own. Messages, the time and a seed go in; messages to send and events come
-/// out.
+/// Group membership in the view of one member: the members of the fleet and their states. The class is pure:
+/// it has no I/O, clock, threads or source of entropy of its own. Its inputs are messages, the time and a
+/// random seed; its outputs are messages to send and events.
 ///
-/// Published parts: SWIM (Das, Gupta and Motivala, DSN 2002): round-robin probes, indirect probes, suspicion,
-/// incarnations, gossip that rides on the probes. Lifeguard (Dadgar, Phillips and Currey, DSN-W 2018,
-/// arXiv:1707.00788): local health multiplier, suspicions that shorten with confirmations, the suspect learns
-/// of it first. What goes beyond them: docs/membership.md.
+/// The protocol follows SWIM (Das, Gupta and Motivala, DSN 2002): round-robin probes, indirect probes,
+/// suspicion, incarnations, and gossip that the probes carry. It adds Lifeguard (Dadgar, Phillips and Currey,
+/// DSN-W 2018, arXiv:1707.00788): the local health multiplier, suspicion timeouts that confirmations shorten,
+/// and updates that reach the suspect first. docs/membership.md describes the extensions of this
+/// implementation.
 ///
-/// Invariants: an incarnation never goes back, and only the member itself raises it. `left` is never taken
-/// for `dead`. A declaration of death has two accusers, of two zones where two zones can accuse; none is made
-/// while the own view is in doubt, nor past a bounded rate and share of the fleet.
+/// Invariants: An incarnation never decreases, and only the member itself raises it. A member that has left
+/// is never declared dead. A declaration of death has two accusers, from two zones if two zones have members
+/// that can accuse. A member declares no other dead while its own view is uncertain, nor above a limited rate
+/// and a limited share of the fleet.
 ///
-/// Bounds: members `maxMembers` (the dead and the left go after `tombstoneRetention`), probes and indirect
-/// probes 128 each, queued updates two for each member and one for each zone, accusers `maxReporters`.
+/// Bounds: `maxMembers` members (dead and left members are removed after `tombstoneRetention`), 128 probes,
+/// 128 indirect probes, two queued updates per member and one per zone, `maxReporters` accusers per
+/// suspicion.
 #pragma once
 
 #include <cstddef>
@@ -35,77 +38,78 @@
 
 namespace rainhook::membership {
 
-/// Composes the units of the protocol: each of them holds one state, the flow between them is here.
-/// Not thread-safe. Moments that are passed in never go back.
+/// Composes the components of the protocol: each component holds its own state, and this class controls the
+/// flow between them. Not thread-safe. The time that the caller passes in must never decrease.
 class Membership {
  public:
-  /// What happened since the start of the process.
+  /// Counts of events since the start of the process.
   struct Counters {
-    std::uint64_t probes = 0;                 ///< sent, those of tombstones and for our name too
-    std::uint64_t failedProbes = 0;           ///< of a member, without an answer in time
-    std::uint64_t pauses = 0;                 ///< for which this process did not run
-    std::uint64_t declaredDead = 0;           ///< members, on whosever word
-    std::uint64_t postponedDeclarations = 0;  ///< one for each reason that a suspicion had to wait for
-    std::uint64_t refutations = 0;            ///< of a suspicion or a declaration against this member
-    std::uint64_t rejectedMembers = 0;        ///< beyond maxMembers
-    std::uint64_t postponedRefutations = 0;   ///< for want of a reserved incarnation
+    std::uint64_t probes = 0;        ///< probes sent, including those of tombstones and of this member's name
+    std::uint64_t failedProbes = 0;  ///< probes of members without an answer in time
+    std::uint64_t pauses = 0;        ///< pauses of this process
+    std::uint64_t declaredDead = 0;  ///< members declared dead by this member or by others
+    std::uint64_t postponedDeclarations = 0;  ///< counted once per suspicion and reason for the delay
+    std::uint64_t refutations = 0;            ///< refuted suspicions and declarations against this member
+    std::uint64_t rejectedMembers = 0;        ///< members not added because of maxMembers
+    std::uint64_t postponedRefutations = 0;   ///< updates not refuted yet for lack of a reserved incarnation
   };
 
-  /// @param self its incarnation is set from `identity`
-  /// @param seeds whom to ask for the fleet's state; none: this is the first member
-  /// @param settings copied
-  /// @param randomSeed drawn at the start of the process
-  /// @param identity what earlier processes persisted; by default nothing was
+  /// @param self the identity of this member; its incarnation is set from `identity`
+  /// @param seeds addresses to ask for the fleet's state; if empty, this is the first member
+  /// @param settings the protocol's parameters; the object copies them
+  /// @param randomSeed a number that the host draws at the start of the process
+  /// @param identity the identity that earlier processes persisted; the default is none
   Membership(MemberRecord self, const std::vector<Address>& seeds, const ProtocolSettings& settings,
              std::uint64_t randomSeed, const PersistedIdentity& identity = {});
   ~Membership() = default;
   Membership(const Membership&) = delete;
   Membership& operator=(const Membership&) = delete;
 
-  /// Begins to ask the seeds. Without any, this is the first member of a fleet.
+  /// Starts to ask the contacts. Without contacts, this is the first member of a fleet.
   void open(Duration now, Effects& effects);
-  /// Takes a message whose authenticity was verified.
+  /// Handles a message whose authenticity the host has verified.
   void onMessage(Duration now, const Message& message, Effects& effects);
-  /// Does what is due; to be called at nextDeadline().
+  /// Performs the actions that are due. The host calls this at nextDeadline().
   void onTimer(Duration now, Effects& effects);
-  /// The moment at which onTimer() is to be called next.
+  /// Returns the time at which the host has to call onTimer() next.
   [[nodiscard]] Duration nextDeadline() const { return detector_.nextDeadline(); }
-  /// Sets what this member states about itself from now on.
+  /// Replaces the status that this member publishes.
   void publishStatus(const MemberStatus& status) { dissemination_.publishStatus(status); }
-  /// Announces that this member leaves; the host goes on with timers for leaveDuration().
+  /// Announces that this member leaves; the host continues to call onTimer() for leaveDuration().
   void leave(Duration now, Effects& effects);
-  /// How long the host goes on after leave(): one probe interval.
+  /// Returns how long the host has to keep running after leave(): one probe interval.
   [[nodiscard]] Duration leaveDuration() const { return settings_.probeInterval; }
-  /// Incarnations up to this one are on the disk by now.
+  /// Allows incarnations up to this one, whose reservation is on disk.
   void reserveUpTo(Incarnation incarnation) { reservation_.reserveUpTo(incarnation); }
-  /// The incarnation that this member needs, to be past all that was said about it; it may not be reserved
-  /// yet.
+  /// Returns the incarnation that this member needs in order to exceed all updates about it; it may not be
+  /// reserved yet.
   [[nodiscard]] Incarnation requiredIncarnation() const;
 
-  /// Who this member is, with its present incarnation.
+  /// Returns the identity of this member with its current incarnation.
   [[nodiscard]] const MemberRecord& self() const { return self_; }
-  /// What this member states about itself at present.
+  /// Returns the status that this member publishes.
   [[nodiscard]] const MemberStatus& status() const { return dissemination_.ownStatus(); }
-  /// Whether this member was admitted under its name.
+  /// Returns whether this member was admitted under its name.
   [[nodiscard]] bool hasJoined() const { return join_.hasJoined(); }
-  /// Whether this instance can't be a member and is to stop.
+  /// Returns whether this instance cannot be a member and has to stop.
   [[nodiscard]] bool isRejected() const { return join_.isRejected(); }
-  /// Whether leave() was called.
+  /// Returns whether leave() was called.
   [[nodiscard]] bool hasLeft() const { return hasLeft_; }
-  /// Whether this view may be wrong, so that its users should wait: not joined, isolated, paused a moment
-  /// ago, or more than half of the fleet lost lately.
+  /// Returns whether this view may be wrong, so that its users should wait: this member has not joined, is
+  /// isolated, was paused recently, or more than half of the recent fleet is not alive.
   [[nodiscard]] bool isViewUncertain(Duration now) const;
-  /// The other members.
+  /// Returns the other members by name.
   [[nodiscard]] const std::map<MemberName, Member>& members() const { return members_.all(); }
-  /// Members admitted so far, this one with them; does not shrink.
+  /// Returns the number of members admitted so far, including this one; it does not decrease.
   [[nodiscard]] std::size_t admittedCount() const { return members_.admittedCount(); }
-  /// The zones that are unreachable as a whole.
+  /// Returns the zones that are unreachable as a whole.
   [[nodiscard]] const ZoneHealth& zones() const { return zones_; }
-  /// What happened since the start of the process.
+  /// Returns the counts of events since the start of the process.
   [[nodiscard]] const Counters& counters() const { return counters_; }
-  /// How many updates are yet to be passed on.
+  /// Returns the number of updates that are still to be sent.
   [[nodiscard]] std::size_t queuedUpdates() const { return dissemination_.queuedUpdates(); }
-  /// 0 (well) to 8: by how much slower this member judges.
+  /// Returns Lifeguard's multiplier, 0 (healthy) to 8: the higher it is, the longer probes wait for an
+  /// answer.
   [[nodiscard]] int localHealthMultiplier() const { return detector_.localHealthMultiplier(); }
 
  private:
@@ -125,8 +129,8 @@
   void admitSelf(Duration now, Effects& effects);
   void rejectSelf(const MemberRecord& holder, Effects& effects);
   void challengeName(Duration now, const MemberRecord& holder, Effects& effects);
-  void onNameUnanswered(Duration now, const MemberRecord& holder, Effects& effects);
-  void onNameAnswered(const Message& message, const MemberRecord& holder, Effects& effects);
+  void onNameChallengeTimedOut(Duration now, const MemberRecord& holder, Effects& effects);
+  void onNameChallengeAnswered(const Message& message, const MemberRecord& holder, Effects& effects);
 
   // Probes
   void probeNext(Duration now, Effects& effects);
@@ -156,7 +160,7 @@
   bool addAccusers(Member& member, const std::vector<Reporter>& accusers);
   void scheduleDeclaration(Duration now, Member& member, bool isNew);
   void confirmOrRefute(Duration now, Member& member, Effects& effects);
-  void applyGone(Duration now, Member& member, const GossipUpdate& update, Effects& effects);
+  void applyDeadOrLeft(Duration now, Member& member, const GossipUpdate& update, Effects& effects);
   void corroborate(Member& member, const Reporter& reporter, Duration observedAt);
   void setState(Duration now, Member& member, MemberState state, std::string reason, Effects& effects);
   void raiseIncarnation(Incarnation wanted);
@@ -179,7 +183,7 @@
   // Sending
   [[nodiscard]] Message newMessage(Message::Kind kind, const MemberName& recipient, Nonce nonce = {}) const;
   void sendDatagram(Duration now, const Address& address, Message message, Effects& effects);
-  /// `recipient` may be a name that the message itself does not insist on.
+  /// @param recipient the expected recipient; the message itself may leave its recipient open
   void sendState(OutgoingMessage::Channel channel, const MemberName& recipient, const Address& address,
                  Message message, Effects& effects);
 
@@ -187,8 +191,8 @@
   [[nodiscard]] bool isIsolated(Duration now) const {
     return detector_.isIsolated(now, members_.admittedCount());
   }
-  [[nodiscard]] bool isLostMajority(Duration now) const;
-  /// Whether this was not long ago, and did happen.
+  [[nodiscard]] bool hasLostMajority(Duration now) const;
+  /// Returns whether `at` is set and lies less than two probe intervals in the past.
   [[nodiscard]] bool isRecent(Duration now, Duration at) const {
     return at >= Duration{} && now - at < 2 * settings_.probeInterval;
   }
--- a/src/membership/membership_settings.h
+++ b/src/membership/membership_settings.h
@@ -1,5 +1,5 @@
 /// @file
-/// The settings of membership: those of an instance, as the operators' options state them, and those of the
+/// The settings of membership: those of an instance, which operators set in the options, and those of the
 /// protocol.
 #pragma once
 
@@ -16,43 +16,45 @@
 /// A key that authenticates messages.
 using MessageKey = std::array<unsigned char, 32>;
 
-/// How one instance takes part.
+/// The membership settings of one instance.
 struct MembershipSettings {
   MemberName name;               ///< unique in the fleet
-  Address listen;                ///< for UDP and TCP
-  Address advertise;             ///< how others reach `listen`
+  Address listen;                ///< the address to bind for UDP and TCP
+  Address advertise;             ///< the address at which others reach `listen`
   ZoneName zone;                 ///< the failure domain of the instance
-  RegionName region;             ///< in which the zone lies
-  std::string regionSource;      ///< where the region was stated: file, line and key
-  std::vector<Address> seeds;    ///< whom to ask for the fleet's state when it joins
-  std::vector<MessageKey> keys;  ///< the first signs, all verify
+  RegionName region;             ///< the region of the zone
+  std::string regionSource;      ///< where the region is configured: file, line and key
+  std::vector<Address> seeds;    ///< addresses that the instance asks for the fleet's state when it joins
+  std::vector<MessageKey> keys;  ///< the first key signs, all keys verify
   std::map<MemberName, Address>
-      addressOverrides;  ///< where this instance reaches a member, if not as advertised
-  Duration probeInterval = std::chrono::seconds(1);  ///< from one probe to the next
-  std::string stateFolder;  ///< of the persisted identity; empty: nothing is persisted
+      addressOverrides;  ///< members that this instance reaches at other addresses than advertised
+  Duration probeInterval = std::chrono::seconds(1);  ///< time between two probes
+  std::string stateFolder;  ///< folder of the persisted identity; if empty, nothing is persisted
 
-  /// Equal where all settings are.
+  /// Compares all settings.
   bool operator==(const MembershipSettings&) const = default;
 };
 
 /// The protocol's parameters. A period is one probe interval.
 struct ProtocolSettings {
-  Duration probeInterval = std::chrono::seconds(1);  ///< from one probe to the next
-  std::size_t indirectProbes = 3;                    ///< helpers asked where a probe gets no answer
-  int stateSyncPeriods = 10;                         ///< between two exchanges of the full state
-  int isolationPeriods = 3;       ///< without any message, after which this member takes itself for isolated
-  double maxDeclaredShare = 0.5;  ///< of the fleet that may be declared dead within the declaration window
-  int declarationWindowPeriods = 60;                       ///< length of the declaration window
-  std::size_t maxDeclarationsPerSecond = 10;               ///< declarations of death, at most
-  Duration tombstoneRetention = std::chrono::minutes(10);  ///< for which the dead and the left are remembered
-  std::size_t maxMembers = 2048;  ///< other members that are remembered, the gone among them
-
-  // The defences beyond SWIM. All on in an instance; measurements switch them off to learn what each is
-  // worth.
+  Duration probeInterval = std::chrono::seconds(1);  ///< time between two probes
+  std::size_t indirectProbes = 3;                    ///< helpers to ask when a probe gets no direct answer
+  int stateSyncPeriods = 10;                         ///< periods between two exchanges of the full state
+  int isolationPeriods = 3;  ///< periods without a message after which this member considers itself isolated
+  double maxDeclaredShare = 0.5;  ///< maximum share of the fleet declared dead within the declaration window
+  int declarationWindowPeriods = 60;          ///< length of the declaration window in periods
+  std::size_t maxDeclarationsPerSecond = 10;  ///< maximum number of declarations of death per second
+  Duration tombstoneRetention =
+      std::chrono::minutes(10);  ///< how long dead and left members stay in the table
+  std::size_t maxMembers =
+      2048;  ///< maximum number of other members in the table, including dead and left ones
+
+  // Extensions of SWIM. Instances enable all of them; measurements disable them one by one to determine the
+  // effect of each.
   bool useLocalHealth = true;          ///< Lifeguard's local health multiplier
-  bool detectPauses = true;            ///< a pause of this process postpones its judgements
-  bool requireCorroboration = true;    ///< a declaration needs several accusers and no proof of life
-  bool shortenByConfirmations = true;  ///< Lifeguard's suspicion timeout
+  bool detectPauses = true;            ///< a pause of this process postpones suspicions and declarations
+  bool requireCorroboration = true;    ///< a declaration needs several accusers and no evidence of life
+  bool shortenByConfirmations = true;  ///< Lifeguard's suspicion timeout, which confirmations shorten
 };
 
 }  // namespace rainhook::membership
--- a/src/membership/membership_updates.cpp
+++ b/src/membership/membership_updates.cpp
@@ -1,4 +1,4 @@
-// The part of Membership that applies gossip updates, and declares members and zones dead.
+// The part of Membership that applies gossip updates and declares members and zones dead.
 #include <algorithm>
 #include <chrono>
 #include <utility>
@@ -26,7 +26,7 @@
   if (update.kind == Kind::alive) return applyAlive(now, subject, effects);
   Member* member = members_.find(subject.name);
   if (!member) {
-    // Of those that are gone nothing is kept.
+    // Updates about unknown members that are dead or have left are ignored.
     if (update.kind != Kind::suspect || members_.size() >= settings_.maxMembers) return;
     applyAlive(now, subject, effects);
     member = members_.find(subject.name);
@@ -39,7 +39,7 @@
       break;
     case Kind::dead:
     case Kind::left:
-      applyGone(now, *member, update, effects);
+      applyDeadOrLeft(now, *member, update, effects);
       break;
     case Kind::receivedFrom:
       if (subject.incarnation == member->record.incarnation && update.reporters.size() == 1)
@@ -54,18 +54,19 @@
   self_.incarnation = reservation_.raise(self_.incarnation, wanted);
 }
 
-/// Only this member may raise its incarnation, and does so to refute what is not true of it.
+/// Refutes wrong updates about this member by raising its incarnation, which only the member itself may do.
 void Membership::applyAboutSelf(Duration now, const GossipUpdate& update, Effects& effects) {
   const MemberRecord& subject = update.subject;
   if (hasLeft_ || subject.incarnation < self_.incarnation || update.kind == Kind::receivedFrom) return;
   const bool isOtherProcess = subject.processId != self_.processId;
   if (update.kind == Kind::alive && !isOtherProcess) return;
-  // Under our own address it can only be an earlier process of ours: no two can be bound to it.
-  const bool isOver = update.kind == Kind::dead || update.kind == Kind::left;
-  if (isOtherProcess && subject.address != self_.address && !isOver)
+  // An update with this member's address concerns an earlier process of this member, because two processes
+  // cannot be bound to one address.
+  const bool hasEnded = update.kind == Kind::dead || update.kind == Kind::left;
+  if (isOtherProcess && subject.address != self_.address && !hasEnded)
     return challengeName(now, subject, effects);
   raiseIncarnation(nextIncarnation(subject.incarnation));
-  // The incarnation has to be reserved first; the update comes again until it is refuted.
+  // The incarnation has to be reserved first. The other members repeat the update until it is refuted.
   if (self_.incarnation <= subject.incarnation) {
     ++counters_.postponedRefutations;
     return;
@@ -74,7 +75,8 @@
   if (isOtherProcess) return;
   ++counters_.refutations;
   detector_.adjustLocalHealth(1);
-  const std::string reason = update.reporters.empty() ? "" : "said by " + update.reporters.front().name.text;
+  const std::string reason =
+      update.reporters.empty() ? "" : "reported by " + update.reporters.front().name.text;
   effects.events.push_back({EventType::refuted, self_, MemberState::alive, reason});
 }
 
@@ -94,10 +96,10 @@
   member->record = subject;
   dissemination_.announce(Kind::alive, subject);
   if (isReplaced)
-    effects.events.push_back(
-        {EventType::addressChanged, subject, MemberState::alive, "another process or address"});
+    effects.events.push_back({EventType::addressChanged, subject, MemberState::alive,
+                              "the process or the address of the member changed"});
   if (member->state != MemberState::alive)
-    setState(now, *member, MemberState::alive, "said so itself", effects);
+    setState(now, *member, MemberState::alive, "announced by the member itself", effects);
 }
 
 void Membership::addMember(Duration now, const MemberRecord& subject, Effects& effects) {
@@ -108,7 +110,7 @@
   members_.add(subject, now);
   round_.insert(subject.name, random_);
   dissemination_.announce(Kind::alive, subject);
-  effects.events.push_back({EventType::stateChanged, subject, MemberState::alive, "new"});
+  effects.events.push_back({EventType::stateChanged, subject, MemberState::alive, "new member"});
 }
 
 void Membership::applySuspect(Duration now, Member& member, Incarnation incarnation,
@@ -116,8 +118,8 @@
   const bool isNew = !member.suspicion;
   if (isNew) {
     member.record.incarnation = std::max(member.record.incarnation, incarnation);
-    const std::string by = accusers.empty() ? "gossip" : accusers.front().name.text;
-    setState(now, member, MemberState::suspect, "by " + by, effects);
+    const std::string by = accusers.empty() ? "an unnamed member" : accusers.front().name.text;
+    setState(now, member, MemberState::suspect, "suspected by " + by, effects);
     suspicions_.begin(member, now);
   } else if (incarnation > member.record.incarnation) {
     member.record.incarnation = incarnation;
@@ -131,7 +133,7 @@
   if (isNew && !confirmed.contains(selfAsReporter())) confirmOrRefute(now, member, effects);
 }
 
-/// Whether there was a new one among them.
+/// Returns whether the suspicion has a new accuser.
 bool Membership::addAccusers(Member& member, const std::vector<Reporter>& accusers) {
   std::set<Reporter>& known = member.suspicion->accusers;
   const std::size_t before = known.size();
@@ -140,7 +142,7 @@
   return known.size() > before;
 }
 
-/// Each further accuser shortens the suspicion.
+/// Sets the deadline of a suspicion, which each further accuser moves forward.
 void Membership::scheduleDeclaration(Duration now, Member& member, bool isNew) {
   const std::size_t admitted = members_.admittedCount();
   const Suspicion& suspicion = *member.suspicion;
@@ -153,14 +155,14 @@
   suspicions_.setDeadline(member, std::max({now, byEvidence, deadline}));
 }
 
-/// What this member can contribute to a suspicion raised by others.
+/// Contributes evidence or a probe of this member to a suspicion that others raised.
 void Membership::confirmOrRefute(Duration now, Member& member, Effects& effects) {
-  const bool receivesFromIt =
+  const bool hasRecentMessage =
       member.lastReceived >= Duration{} && now - member.lastReceived < settings_.probeInterval;
-  if (receivesFromIt && !isIsolated(now)) return corroborate(member, selfAsReporter(), member.lastReceived);
+  if (hasRecentMessage && !isIsolated(now)) return corroborate(member, selfAsReporter(), member.lastReceived);
   if (!settings_.shortenByConfirmations) return;
-  // Some of those who learn of a suspicion probe its member themselves, so that declarations need not wait
-  // until the round comes to it; more of them in a zone from which no accuser comes yet.
+  // Some of the members that learn of a suspicion probe the suspect immediately, so that a declaration need
+  // not wait for the regular probe rounds. More of them probe in a zone that has no accuser yet.
   std::size_t aliveInZone = 1;
   for (const auto& [name, other] : members_.all())
     if (other.state == MemberState::alive && other.record.zone == self_.zone) ++aliveInZone;
@@ -172,7 +174,8 @@
     probe(now, member.record, ProbePurpose::failureDetection, effects);
 }
 
-/// Somebody received from the member: whoever does not may be cut off from it, so the declaration waits.
+/// Records and announces that a member received a message from this one. Accusers may have lost only their
+/// own connection to it, so a declaration is postponed.
 void Membership::corroborate(Member& member, const Reporter& reporter, Duration observedAt) {
   if (!settings_.requireCorroboration) return;
   const bool isCovered = member.lastCorroborated >= Duration{} &&
@@ -186,24 +189,24 @@
   suspicions_.setDeadline(member, std::max(member.suspicion->deadline, hold));
 }
 
-void Membership::applyGone(Duration now, Member& member, const GossipUpdate& update, Effects& effects) {
+void Membership::applyDeadOrLeft(Duration now, Member& member, const GossipUpdate& update, Effects& effects) {
   const bool isDeath = update.kind == Kind::dead;
   if (member.state == MemberState::left || (member.state == MemberState::dead && isDeath)) return;
-  // A member from which this one receives is not dead, whatever others declare. What this one announces gives
-  // it time to refute the declaration.
-  const bool receivesFromIt = isRecent(now, member.lastReceived);
-  const bool isCorroborated = receivesFromIt || isRecent(now, member.lastCorroborated);
+  // A member that sends messages to this one is not dead, even if others declared it dead. This member
+  // suspects it instead and announces the message, which gives it time to refute the declaration.
+  const bool hasRecentMessage = isRecent(now, member.lastReceived);
+  const bool isCorroborated = hasRecentMessage || isRecent(now, member.lastCorroborated);
   if (isDeath && settings_.requireCorroboration && !isIsolated(now) && isCorroborated) {
     if (!member.suspicion) applySuspect(now, member, update.subject.incarnation, update.reporters, effects);
-    if (receivesFromIt) corroborate(member, selfAsReporter(), member.lastReceived);
+    if (hasRecentMessage) corroborate(member, selfAsReporter(), member.lastReceived);
     return;
   }
   member.record.incarnation = std::max(member.record.incarnation, update.subject.incarnation);
   member.deathReporters = update.reporters;
   if (isDeath)
-    setState(now, member, MemberState::dead, "declared by others", effects);
+    setState(now, member, MemberState::dead, "declared dead by other members", effects);
   else
-    setState(now, member, MemberState::left, "said so itself", effects);
+    setState(now, member, MemberState::left, "announced by the member itself", effects);
   dissemination_.announce(update.kind, member.record, update.reporters);
 }
 
@@ -227,7 +230,7 @@
 
 void Membership::declareDueMembers(Duration now, Effects& effects) {
   declaration_.removeExpired(now);
-  if (settings_.requireCorroboration && (!suspicions_.isEmpty() || !zones_.isEmpty()))
+  if (settings_.requireCorroboration && (!suspicions_.isEmpty() || !zones_.areAllReachable()))
     checkZones(now, effects);
   while (const auto name = suspicions_.nextDue(now)) {
     Member& member = members_.at(*name);
@@ -239,7 +242,8 @@
   }
 }
 
-/// Asks again in the meantime: what others know may not have reached this member, nor the other way round.
+/// Postpones the declaration by one probe interval. Meanwhile this member probes the suspect again and
+/// repeats the suspicion, because updates may not have reached it or the others yet.
 void Membership::postponeDeclaration(Duration now, Member& member, PostponeReason reason, Effects& effects) {
   Suspicion& suspicion = *member.suspicion;
   if (suspicion.postponedBecause != reason) ++counters_.postponedDeclarations;
@@ -259,7 +263,7 @@
   const std::set<Reporter>& accusers = member.suspicion->accusers;
   member.deathReporters.assign(accusers.begin(), accusers.end());
   const MemberRecord& record = member.record;
-  setState(now, member, MemberState::dead, "nobody reaches it", effects);
+  setState(now, member, MemberState::dead, "no member receives an answer from it", effects);
   if (zones_.isUnreachable(record.zone))  // one update for the whole zone
     dissemination_.announce(Kind::zoneDead, zoneAsSubject(record.zone, record.region), member.deathReporters);
   else
@@ -278,7 +282,7 @@
     effects.events.push_back({EventType::zoneReachable, zoneAsSubject(zone, region), MemberState::alive, {}});
 }
 
-/// All members of a zone are suspected at once: one event and one update in place of one for each of them.
+/// Suspects all members of a zone at once, with one event and one update instead of one for each member.
 void Membership::suspectZone(Duration now, const ZoneInRegion& zone, const std::vector<Reporter>& accusers,
                              Effects& effects) {
   if (!zones_.markUnreachable(zone.zone, now)) return;
@@ -290,12 +294,12 @@
     applySuspect(now, member, member.record.incarnation, accusers, effects);
   }
   const MemberRecord subject = zoneAsSubject(zone.zone, zone.region);
-  effects.events.push_back(
-      {EventType::zoneUnreachable, subject, MemberState::suspect, std::to_string(suspected) + " members"});
+  effects.events.push_back({EventType::zoneUnreachable, subject, MemberState::suspect,
+                            std::to_string(suspected) + " members suspected"});
   dissemination_.announce(Kind::zoneUnreachable, subject, accusers);
 }
 
-/// Holds only where this member receives from none of the zone itself.
+/// Applies an update about a zone, unless this member itself receives messages from a member of the zone.
 void Membership::applyAboutZone(Duration now, const GossipUpdate& update, Effects& effects) {
   const ZoneName& zone = update.subject.zone;
   if (zone == self_.zone || update.reporters.empty()) return;
@@ -322,20 +326,21 @@
   dissemination_.announce(update.kind, update.subject, std::move(reporters));
 }
 
-/// Whether one of them was suspected.
+/// Returns whether one of the members was suspected.
 bool Membership::declareZoneDead(Duration now, const std::vector<Member*>& members,
                                  const std::vector<Reporter>& reporters, Effects& effects) {
   bool hasChanged = false;
   for (Member* const member : members) {
     if (member->state != MemberState::suspect) continue;
-    setState(now, *member, MemberState::dead, "declared by others with its zone", effects);
+    setState(now, *member, MemberState::dead, "declared dead by other members together with its zone",
+             effects);
     member->deathReporters = reporters;
     hasChanged = true;
   }
   return hasChanged;
 }
 
-/// Whether one of the accusers is new to one of the members.
+/// Returns whether one of the suspicions has a new accuser.
 bool Membership::addZoneAccusers(Duration now, const std::vector<Member*>& members,
                                  const std::vector<Reporter>& accusers, Effects& effects) {
   bool hasChanged = false;
--- a/src/membership/message_codec.cpp
+++ b/src/membership/message_codec.cpp
@@ -11,8 +11,8 @@
 
 using Packer = msgpack::packer<msgpack::sbuffer>;
 
-constexpr std::size_t maxEntries = 8192;     // of an array of updates or statuses
-constexpr std::size_t maxSmallEntries = 64;  // of an array of reporters or names
+constexpr std::size_t maxEntries = 8192;     // in an array of updates or statuses
+constexpr std::size_t maxSmallEntries = 64;  // in an array of reporters or names
 constexpr std::size_t maxDepth = 8;
 constexpr std::size_t minMessageFields = 9;
 
@@ -64,7 +64,8 @@
     out.pack(static_cast<float>(figure));
 }
 
-/// Reads an array from its front. What it lacks keeps the value it has; what is more is passed over.
+/// Reads the elements of an array in order. Fields without an element keep their values, and additional
+/// elements are ignored.
 class ArrayReader {
  public:
   explicit ArrayReader(const msgpack::object& object) {
@@ -73,7 +74,7 @@
     remaining_ = object.via.array.size;
   }
   [[nodiscard]] std::size_t remaining() const { return remaining_; }
-  /// Null at the end.
+  /// Returns the next element, or null at the end.
   const msgpack::object* next() {
     if (remaining_ == 0) return nullptr;
     --remaining_;
@@ -86,14 +87,14 @@
 };
 
 template <typename Tag>
-void take(ArrayReader& in, Identifier<Tag>& identifier) {
+void readField(ArrayReader& in, Identifier<Tag>& identifier) {
   if (const auto* object = in.next()) identifier.text = object->as<std::string>();
   if (identifier.text.size() > maxIdentifierBytes) throw msgpack::type_error();
 }
 
 /// @param last the highest value that is allowed
 template <typename Enum>
-void take(ArrayReader& in, Enum& value, Enum last) {
+void readField(ArrayReader& in, Enum& value, Enum last) {
   const auto* object = in.next();
   if (!object) return;
   const auto number = object->as<std::uint64_t>();
@@ -103,18 +104,18 @@
 
 template <typename Enum>
 requires std::is_enum_v<Enum>
-void take(ArrayReader& in, Enum& value) { take(in, value, static_cast<Enum>(~std::uint64_t{0})); }
+void readField(ArrayReader& in, Enum& value) { readField(in, value, static_cast<Enum>(~std::uint64_t{0})); }
 
-void take(ArrayReader& in, MemberRecord& record) {
+void readField(ArrayReader& in, MemberRecord& record) {
   const auto* object = in.next();
   if (!object) return;
   ArrayReader fields(*object);
-  take(fields, record.name);
-  take(fields, record.address);
-  take(fields, record.zone);
-  take(fields, record.region);
-  take(fields, record.processId);
-  take(fields, record.incarnation);
+  readField(fields, record.name);
+  readField(fields, record.address);
+  readField(fields, record.zone);
+  readField(fields, record.region);
+  readField(fields, record.processId);
+  readField(fields, record.incarnation);
 }
 
 template <typename Read>
@@ -129,17 +130,17 @@
 Reporter readReporter(const msgpack::object& object) {
   ArrayReader in(object);
   Reporter out;
-  take(in, out.name);
-  take(in, out.zone);
+  readField(in, out.name);
+  readField(in, out.zone);
   return out;
 }
 
-/// Nothing where the update has no use.
+/// Returns nothing if the update has to be ignored.
 std::optional<GossipUpdate> readUpdate(const msgpack::object& object) {
   ArrayReader in(object);
   GossipUpdate out;
-  take(in, out.kind, GossipUpdate::Kind::zoneDead);
-  take(in, out.subject);
+  readField(in, out.kind, GossipUpdate::Kind::zoneDead);
+  readField(in, out.subject);
   forEach(in, maxSmallEntries, [&](const msgpack::object& element) {
     auto reporter = readReporter(element);
     if (out.reporters.size() < maxReporters) out.reporters.push_back(std::move(reporter));
@@ -147,8 +148,8 @@
   constexpr std::uint64_t maxAgeMs = 86'400'000;
   const auto* age = in.next();
   if (age) out.observed = std::chrono::milliseconds(std::min(age->as<std::uint64_t>(), maxAgeMs));
-  // An older release sends no age: taken for new, its proof of life would be passed on for ever and would
-  // postpone declarations.
+  // An older release sends no age. If this counted as a new observation, members would forward it forever,
+  // and it would postpone declarations.
   if (!age && out.kind == GossipUpdate::Kind::receivedFrom) return std::nullopt;
   return out;
 }
@@ -156,11 +157,11 @@
 StatusEntry readStatus(const msgpack::object& object) {
   ArrayReader in(object);
   StatusEntry out;
-  take(in, out.name);
-  take(in, out.incarnation);
+  readField(in, out.name);
+  readField(in, out.incarnation);
   MemberStatus& status = out.status;
   if (const auto* version = in.next()) status.version = version->as<std::uint64_t>();
-  take(in, status.phase, Phase::unhealthy);
+  readField(in, status.phase, Phase::unhealthy);
   for (double* figure :
        {&status.warmUpProgress, &status.concurrencyLimit, &status.running, &status.receivedPerSecond,
         &status.completedPerSecond, &status.queueingRatio, &status.advertisedFleetSize}) {
@@ -170,10 +171,10 @@
   return out;
 }
 
-/// Encodes elements from the front while they fit into `room` bytes behind `used`; returns their number.
+/// Encodes leading elements while `used` and their size do not exceed `room` bytes; returns their number.
 template <typename Elements>
-std::size_t putWhatFits(msgpack::sbuffer& body, std::size_t& used, std::size_t room,
-                        const Elements& elements) {
+std::size_t putLeadingElements(msgpack::sbuffer& body, std::size_t& used, std::size_t room,
+                               const Elements& elements) {
   msgpack::sbuffer buffer;
   Packer out(buffer);
   std::size_t count = 0;
@@ -191,12 +192,12 @@
 
 Message readMessage(ArrayReader& in) {
   Message out;
-  take(in, out.kind, Message::Kind::stateResponse);
-  take(in, out.sender);
+  readField(in, out.kind, Message::Kind::stateResponse);
+  readField(in, out.sender);
   out.hasSenderJoined = in.next()->as<bool>();
-  take(in, out.recipient);
-  take(in, out.nonce);
-  take(in, out.subject);
+  readField(in, out.recipient);
+  readField(in, out.nonce);
+  readField(in, out.subject);
   forEach(in, maxSmallEntries, [&](const msgpack::object& object) {
     MemberName name{object.as<std::string>()};
     if (name.text.size() <= maxIdentifierBytes) out.unreachable.push_back(std::move(name));
@@ -223,20 +224,20 @@
   out.pack_array(static_cast<std::uint32_t>(message.unreachable.size()));
   for (const auto& name : message.unreachable) put(out, name);
 
-  constexpr std::size_t maxArrayHeaders = 2 * 5 + 1;  // of the two arrays that follow, and the last field
+  constexpr std::size_t maxArrayHeaders = 2 * 5 + 1;  // bytes of two array headers and the last field
   const std::size_t head = buffer.size() + maxArrayHeaders;
   const std::size_t room = maxBytes > head ? maxBytes - head : 0;
   std::size_t used = 0;
   msgpack::sbuffer updates;
   msgpack::sbuffer statuses;
   EncodedMessage encoded;
-  encoded.updateCount = putWhatFits(updates, used, room, message.updates);
-  encoded.statusCount = putWhatFits(statuses, used, room, message.statuses);
+  encoded.updateCount = putLeadingElements(updates, used, room, message.updates);
+  encoded.statusCount = putLeadingElements(statuses, used, room, message.statuses);
   out.pack_array(static_cast<std::uint32_t>(encoded.updateCount));
   buffer.write(updates.data(), updates.size());
   out.pack_array(static_cast<std::uint32_t>(encoded.statusCount));
   buffer.write(statuses.data(), statuses.size());
-  out.pack_nil();  // room for the next release
+  out.pack_nil();  // reserved for later releases
   encoded.bytes.assign(buffer.data(), buffer.size());
   return encoded;
 }
@@ -251,7 +252,7 @@
   Message out = readMessage(in);
   if (out.sender.name.text.empty()) return std::nullopt;
   return out;
-} catch (const std::exception&) {  // msgpack's errors: too short, of another type, over the limits
+} catch (const std::exception&) {  // msgpack reports truncated bytes, a wrong type or an exceeded limit
   return std::nullopt;
 }
 
--- a/src/membership/names.cpp
+++ b/src/membership/names.cpp
@@ -1,4 +1,4 @@
-// The outside names of states, phases and events: in logs and, of the first two, in `--json`.
+// The external names of states, phases and events in logs; `--json` uses those of states and phases too.
 #include "membership/effects.h"
 #include "membership/types.h"
 
--- a/src/membership/probe_round.h
+++ b/src/membership/probe_round.h
@@ -10,20 +10,22 @@
 
 namespace rainhook::membership {
 
-/// SWIM's round-robin over a shuffled list (section 4.3): each present member is probed once in a round, so
-/// that the time until a dead one is probed is bounded by the size of the fleet.
+/// SWIM's round-robin over a shuffled list (section 4.3). A round probes each present member once, so that
+/// the fleet size bounds the time until a dead member is probed.
 class ProbeRound {
  public:
-  /// The next member to probe, from a new round where this one is over; null where there is nobody.
+  /// Returns the next member to probe and starts a new round after the last one; null if no member is
+  /// present.
   [[nodiscard]] const Member* next(const MemberTable& members, RandomSource& random);
-  /// Adds a new member at a random place in what is left of the round.
+  /// Inserts a new member at a random position in the remainder of the round.
   void insert(const MemberName& name, RandomSource& random);
-  /// Adds a member at the end, unless it is still to come.
+  /// Appends a member to the round, unless the remainder of the round contains it.
   void append(const MemberName& name);
-  /// Whether the round lists no member at all, neither probed nor still to come.
+  /// Returns whether the round contains no members, including those already probed.
   [[nodiscard]] bool isEmpty() const { return order_.empty(); }
-  /// Any name of the round; it may have been removed from the members since. The round is not empty.
-  [[nodiscard]] const MemberName& any(RandomSource& random) const {
+  /// Returns a random name from the round, which must not be empty. The member may have been removed from the
+  /// table since.
+  [[nodiscard]] const MemberName& randomName(RandomSource& random) const {
     return order_[random.below(order_.size())];
   }
 
--- a/src/membership/random_source.h
+++ b/src/membership/random_source.h
@@ -1,5 +1,5 @@
 /// @file
-/// Seeded pseudo-random numbers (PCG, O'Neill 2014): the same seed gives the same course.
+/// Seeded pseudo-random numbers (PCG, O'Neill 2014): the same seed gives the same sequence.
 #pragma once
 
 #include <cstddef>
@@ -10,15 +10,15 @@
 
 namespace rainhook::membership {
 
-/// The numbers that follow from one seed.
+/// A deterministic sequence of pseudo-random numbers.
 class RandomSource {
  public:
-  /// The same seed gives the same numbers.
+  /// Starts the sequence that belongs to the seed.
   explicit RandomSource(std::uint64_t seed) : generator_(seed) {}
 
-  /// A number below `bound`, which is over 0.
+  /// Returns a number from 0 to `bound` - 1; `bound` must be greater than 0.
   [[nodiscard]] std::size_t below(std::size_t bound) { return generator_(static_cast<std::uint32_t>(bound)); }
-  /// A nonce of 64 random bits.
+  /// Returns a nonce of 64 random bits.
   [[nodiscard]] Nonce nonce() {
     const std::uint64_t high = generator_();
     const std::uint64_t low = generator_();
--- a/src/membership/suspicion.cpp
+++ b/src/membership/suspicion.cpp
@@ -11,19 +11,19 @@
     case PostponeReason::none:
       return "";
     case PostponeReason::isolated:
-      return "this member receives from nobody and may be cut off itself";
+      return "this member receives no messages and may be disconnected itself";
     case PostponeReason::recentPause:
-      return "this process was paused a moment ago";
+      return "this process was paused recently";
     case PostponeReason::noSecondAccuser:
-      return "no other member can confirm it";
+      return "no other member is alive to confirm the suspicion";
     case PostponeReason::awaitsSecondAccuser:
-      return "a second accuser is awaited";
+      return "a second accuser is required";
     case PostponeReason::awaitsSecondZone:
-      return "an accuser from a second zone is awaited";
+      return "an accuser from a second zone is required";
     case PostponeReason::zoneUnreachable:
       return "its whole zone is unreachable";
     case PostponeReason::probesZoneMember:
-      return "another member of its zone is probed first";
+      return "another member of its zone has to be probed first";
     case PostponeReason::shareExceeded:
       return "too large a share of the fleet would be declared dead";
     case PostponeReason::rateExceeded:
@@ -58,7 +58,7 @@
                                    std::size_t fleetSize) const {
   constexpr double minPeriods = 4;
   constexpr double maxToMin = 6;
-  constexpr double fullConfirmations = 3;  // as many as bring it to the minimum
+  constexpr double fullConfirmations = 3;  // this many confirmations shorten the timeout to the minimum
   const double minimum = minPeriods * std::max(1.0, std::log10(static_cast<double>(fleetSize)));
   const double expected = std::min(fullConfirmations, static_cast<double>(candidates) - 1);
   double periods = minimum;
@@ -76,7 +76,7 @@
 
 Duration SuspicionTracker::corroborationHold(const Member& member, std::size_t fleetSize) const {
   const Duration hold = minTimeout(fleetSize);
-  // A member that was killed is not heard once it is suspected, so a later proof of life weighs more.
+  // A dead member sends nothing after the suspicion starts, so later evidence of life is stronger.
   const bool isSinceSuspicion = member.suspicion && member.lastCorroborated > member.suspicion->since;
   return isSinceSuspicion ? 3 * hold : hold;
 }
--- a/src/membership/suspicion.h
+++ b/src/membership/suspicion.h
@@ -1,5 +1,6 @@
 /// @file
-/// How long a suspicion lasts before its member may be declared dead, and which suspicion is due.
+/// The deadlines of suspicions: the time before a member may be declared dead, and the suspicions that are
+/// due.
 #pragma once
 
 #include <cstddef>
@@ -12,32 +13,32 @@
 
 namespace rainhook::membership {
 
-/// Keeps the suspicions by their deadlines. The suspicions themselves belong to the members.
+/// Orders the suspicions by their deadlines. The members own the suspicions themselves.
 class SuspicionTracker {
  public:
   /// Keeps a reference to the settings.
   explicit SuspicionTracker(const ProtocolSettings& settings) : settings_(settings) {}
 
-  /// Starts a suspicion; its deadline is to be set next.
+  /// Starts a suspicion; the caller sets its deadline next.
   void begin(Member& member, Duration now);
-  /// Ends the suspicion against a member, where there is one.
+  /// Ends the suspicion against a member, if there is one.
   void end(Member& member);
-  /// Moves the deadline of a suspicion to this moment.
+  /// Changes the deadline of a suspicion.
   void setDeadline(Member& member, Duration deadline);
-  /// The member whose deadline is over, the earliest one.
+  /// Returns the member with the earliest deadline, if that deadline has passed.
   [[nodiscard]] std::optional<MemberName> nextDue(Duration now) const;
-  /// Whether nobody is suspected.
+  /// Returns whether no member is suspected.
   [[nodiscard]] bool isEmpty() const { return byDeadline_.empty(); }
 
-  /// The time from a suspicion to its deadline: between a minimum and six times that, shorter with each
-  /// confirmation out of those that `candidates` could give (Lifeguard, Dadgar, Phillips and Currey, DSN-W
-  /// 2018, section IV.B). The minimum grows with the logarithm of the fleet, as the time for an update to
-  /// reach everyone does (SWIM, section 4.2).
+  /// Returns the time from the start of a suspicion to its deadline. It lies between a minimum and six times
+  /// the minimum, and each confirmation by one of the `candidates` shortens it (Lifeguard, Dadgar, Phillips
+  /// and Currey, DSN-W 2018, section IV.B). The minimum grows with the logarithm of the fleet size, like the
+  /// time that an update needs to reach all members (SWIM, section 4.2).
   [[nodiscard]] Duration timeout(std::size_t confirmations, std::size_t candidates,
                                  std::size_t fleetSize) const;
-  /// The shortest such time.
+  /// Returns the minimum of that time.
   [[nodiscard]] Duration minTimeout(std::size_t fleetSize) const;
-  /// How long after a proof of life its member is not declared dead.
+  /// Returns how long after the latest evidence of life the member is not declared dead.
   [[nodiscard]] Duration corroborationHold(const Member& member, std::size_t fleetSize) const;
 
  private:
--- a/src/membership/types.h
+++ b/src/membership/types.h
@@ -1,6 +1,6 @@
 /// @file
-/// The value types of membership: identifiers, what a member states about itself, and what members tell each
-/// other. Plain values without behaviour; message_codec.h turns messages into bytes.
+/// The value types of membership: identifiers, the status that a member publishes about itself, and the
+/// messages that members exchange. They are plain values without behaviour; message_codec.h encodes messages.
 #pragma once
 
 #include <chrono>
@@ -10,16 +10,17 @@
 
 namespace rainhook::membership {
 
-/// A duration, and a moment as the duration since the epoch of a steady clock. A negative moment means
-/// "never".
+/// A duration, or a point in time as the duration since the epoch of a steady clock. A negative point in time
+/// means "never".
 using Duration = std::chrono::nanoseconds;
 
-/// A text that identifies something; the tag keeps identifiers of different things apart.
+/// A text that identifies an object; the tag makes identifiers of different kinds distinct types.
 template <typename Tag>
 struct Identifier {
-  std::string text;  ///< as written
-  /// Ordered by the text.
-  // NOLINTNEXTLINE(modernize-use-nullptr): takes the zero inside of a defaulted comparison for a pointer
+  std::string text;  ///< the identifier's text
+  /// Compares the texts.
+  // NOLINTNEXTLINE(modernize-use-nullptr): the check mistakes the zero in a defaulted comparison for a
+  // pointer
   auto operator<=>(const Identifier&) const = default;
 };
 /// The name of a member, unique in the fleet.
@@ -28,116 +29,121 @@
 using ZoneName = Identifier<struct ZoneTag>;
 /// The name of a region.
 using RegionName = Identifier<struct RegionTag>;
-/// `host:port`, the same port for UDP and TCP.
+/// An address `host:port`; UDP and TCP use the same port.
 using Address = Identifier<struct AddressTag>;
 
-/// SWIM's incarnation number: only the member itself raises it, and it never goes back.
+/// SWIM's incarnation number. Only the member itself raises it, and it never decreases.
 enum class Incarnation : std::uint64_t {};
-/// Tells two processes under one name apart; drawn at the start of each process.
+/// Distinguishes two processes with the same member name; each process draws it at random when it starts.
 enum class ProcessId : std::uint64_t {};
-/// Ties an acknowledgement to its probe. Zero: no acknowledgement is wanted.
+/// Matches an acknowledgement to its probe. Zero means that the sender expects no acknowledgement.
 enum class Nonce : std::uint64_t {};
 
-/// The incarnation that follows this one.
-inline Incarnation nextIncarnation(Incarnation of) { return Incarnation{static_cast<std::uint64_t>(of) + 1}; }
+/// Returns the incarnation that follows `current`.
+inline Incarnation nextIncarnation(Incarnation current) {
+  return Incarnation{static_cast<std::uint64_t>(current) + 1};
+}
 
-/// In which state one member sees another.
+/// The state of a member in the view of another one.
 enum class MemberState : std::uint8_t { alive, suspect, dead, left };
-/// The name in logs, in `--json` and in the text of `explain`.
+/// Returns the name that logs, `--json` and the output of `explain` use.
 const char* nameOf(MemberState state);
 
-/// What a member does at present. An observer serves no requests.
+/// The operating phase of a member. An observer serves no requests.
 enum class Phase : std::uint8_t { observer, warmingUp, serving, draining, unhealthy };
-/// The name in `--json`, which keeps the values "cold" and "unfit" of earlier releases.
+/// Returns the name that `--json` uses, which keeps the values "cold" and "unfit" of earlier releases.
 const char* nameOf(Phase phase);
 
-/// What a member states about itself (its application state); the highest version of an incarnation wins.
+/// The status that a member publishes about itself (its application state). Within one incarnation, the
+/// highest version replaces the others.
 struct MemberStatus {
-  std::uint64_t version = 0;       ///< 0: nothing was published yet
-  Phase phase = Phase::observer;   ///< what it does at present
-  double warmUpProgress = 1;       ///< 0 to 1
-  double concurrencyLimit = 0;     ///< requests that may execute at a time
-  double running = 0;              ///< requests that are executing
-  double receivedPerSecond = 0;    ///< requests
-  double completedPerSecond = 0;   ///< requests
-  double queueingRatio = 0;        ///< share of recent samples in which requests were queued, 0 to 1
-  double advertisedFleetSize = 0;  ///< by which it divides the dependency's capacity; see dependency_quota.h
-  /// Ordered by version, then by the other fields.
+  std::uint64_t version = 0;       ///< 0 if the member has not published a status yet
+  Phase phase = Phase::observer;   ///< the operating phase
+  double warmUpProgress = 1;       ///< from 0 to 1
+  double concurrencyLimit = 0;     ///< number of requests that may execute at the same time
+  double running = 0;              ///< number of requests that are executing
+  double receivedPerSecond = 0;    ///< requests received per second
+  double completedPerSecond = 0;   ///< requests completed per second
+  double queueingRatio = 0;        ///< share of recent samples with queued requests, 0 to 1
+  double advertisedFleetSize = 0;  ///< the fleet size on which it bases its quota, see dependency_quota.h
+  /// Compares the versions, then the other fields in order.
   auto operator<=>(const MemberStatus&) const = default;
 };
 
-/// Who a member is.
+/// The identity of a member.
 struct MemberRecord {
   MemberName name;            ///< unique in the fleet
-  Address address;            ///< where others reach it
+  Address address;            ///< the address at which others reach it
   ZoneName zone;              ///< the zone it runs in
   RegionName region;          ///< the region of the zone
-  ProcessId processId{};      ///< tells its processes apart
+  ProcessId processId{};      ///< identifies the process that runs the member
   Incarnation incarnation{};  ///< SWIM's incarnation number of the member
-  /// Equal where all fields are.
+  /// Compares all fields.
   bool operator==(const MemberRecord&) const = default;
 };
 
-/// The member on whose word an update rests: an accuser in a suspicion, a corroborator in a proof of life.
+/// A member that reported the content of an update: an accuser in a suspicion, or a member that received a
+/// message from the subject in a `receivedFrom` update.
 struct Reporter {
-  MemberName name;  ///< who reports
+  MemberName name;  ///< the reporter's name
   ZoneName zone;    ///< the reporter's zone
-  /// Ordered by name, then by zone.
-  // NOLINTNEXTLINE(modernize-use-nullptr): takes the zero inside of a defaulted comparison for a pointer
+  /// Compares the names, then the zones.
+  // NOLINTNEXTLINE(modernize-use-nullptr): the check mistakes the zero in a defaulted comparison for a
+  // pointer
   auto operator<=>(const Reporter&) const = default;
 };
-/// Reporters that an update names, and that a suspicion counts, at most.
+/// The maximum number of reporters that an update names and that a suspicion counts.
 inline constexpr std::size_t maxReporters = 6;
 
-/// One piece of gossip about a member or a zone.
+/// A gossip update about one member or one zone.
 struct GossipUpdate {
-  /// What the update says about its subject.
+  /// What the update states about its subject.
   enum class Kind : std::uint8_t {
     alive,
     suspect,
     dead,
     left,
-    receivedFrom,     ///< the reporter receives messages from a member that others suspect
+    receivedFrom,     ///< the reporter received a message from a member that others suspect
     zoneUnreachable,  ///< all members of `subject.zone` are suspected; `subject` names no member
     zoneDead          ///< all suspected members of `subject.zone` are dead; `subject` names no member
   };
-  Kind kind = Kind::alive;          ///< what it says
-  MemberRecord subject;             ///< the member or zone it is about
-  std::vector<Reporter> reporters;  ///< maxReporters at most
-  /// Only of `receivedFrom`: in a message the age of the observation, in the queue its moment. The age keeps
-  /// an update that is passed on from counting as a new observation.
+  Kind kind = Kind::alive;          ///< what the update states
+  MemberRecord subject;             ///< the member or zone that the update is about
+  std::vector<Reporter> reporters;  ///< at most maxReporters
+  /// Used by `receivedFrom` only: the age of the observation in a message, its time in the queue. Sending the
+  /// age prevents a forwarded update from counting as a new observation.
   Duration observed{};
-  /// Equal where all fields are.
+  /// Compares all fields.
   bool operator==(const GossipUpdate&) const = default;
 };
 
-/// A status as a message carries it.
+/// A member's status in a message.
 struct StatusEntry {
-  MemberName name;            ///< whose status it is
-  Incarnation incarnation{};  ///< of the member when it stated this
-  MemberStatus status;        ///< what it stated
+  MemberName name;            ///< the member that published the status
+  Incarnation incarnation{};  ///< the member's incarnation when it published the status
+  MemberStatus status;        ///< the published status
 };
 
-/// What one instance sends to another.
+/// A message from one instance to another.
 struct Message {
-  /// What the message asks for or answers.
+  /// The type of a request or of its answer.
   enum class Kind : std::uint8_t {
     ping,
     ack,
-    pingRequest,    ///< SWIM's ping-req: probe `subject` for me
-    nack,           ///< Lifeguard's nack: the helper got no answer from the subject
+    pingRequest,    ///< SWIM's ping-req: asks the recipient to probe `subject`
+    nack,           ///< Lifeguard's nack: the helper received no answer from the subject
     stateRequest,   ///< asks for the full state
     stateResponse,  ///< the full state
   };
-  Kind kind = Kind::ping;             ///< what it asks for or answers
-  MemberRecord sender;                ///< who sends it
-  bool hasSenderJoined = false;       ///< the sender was admitted under its name
-  MemberName recipient;               ///< empty where only an address is known
-  Nonce nonce{};                      ///< ties answers to what they answer
-  MemberRecord subject;               ///< of a pingRequest: whom to probe; of a forwarded ack: who answered
-  std::vector<GossipUpdate> updates;  ///< the gossip that rides along
-  std::vector<StatusEntry> statuses;  ///< of the sender and of others
-  /// Some of those that are alive but do not answer the sender.
+  Kind kind = Kind::ping;        ///< the type of the message
+  MemberRecord sender;           ///< the member that sends it
+  bool hasSenderJoined = false;  ///< whether the sender was admitted under its name
+  MemberName recipient;          ///< empty if the sender knows only the address
+  Nonce nonce{};                 ///< matches an answer to its request
+  MemberRecord subject;  ///< pingRequest: the member to probe; forwarded ack: the member that answered
+  std::vector<GossipUpdate> updates;  ///< the gossip that the message carries
+  std::vector<StatusEntry> statuses;  ///< statuses of the sender and of other members
+  /// Some of the members that are alive but do not answer the sender.
   std::vector<MemberName> unreachable;
 };
 
--- a/src/membership/zone_aggregate.cpp
+++ b/src/membership/zone_aggregate.cpp
@@ -33,7 +33,7 @@
   zone.running += status.running;
   zone.receivedPerSecond += status.receivedPerSecond;
   zone.completedPerSecond += status.completedPerSecond;
-  // A member that drains or does not work has no capacity for more.
+  // A member that is draining, unhealthy or an observer has no capacity for further requests.
   if (status.phase != Phase::serving && status.phase != Phase::warmingUp) return;
   zone.concurrencyLimit += status.concurrencyLimit;
   zone.warmUpProgress += status.warmUpProgress;
@@ -48,7 +48,7 @@
   addStatus(zone, member.status, now - member.statusReceived);
 }
 
-void turnSumsIntoMeans(ZoneAggregate& zone) {
+void convertSumsToMeans(ZoneAggregate& zone) {
   const auto working = static_cast<double>(zone.serving + zone.warmingUp);
   if (working <= 0) return;
   zone.warmUpProgress /= working;
@@ -69,7 +69,7 @@
   for (auto& [name, zone] : zones) {
     zone.zone = name;
     zone.isUnreachable = membership.zones().isUnreachable(name);
-    turnSumsIntoMeans(zone);
+    convertSumsToMeans(zone);
     out.push_back(std::move(zone));
   }
   return out;
--- a/src/membership/zone_aggregate.h
+++ b/src/membership/zone_aggregate.h
@@ -1,6 +1,6 @@
 /// @file
-/// What each zone does as a whole, as one member sees it: the statuses of its members added up, with the age
-/// of the oldest, so that whoever decides by a sum can tell what it is worth.
+/// The aggregated statuses of the members of each zone in the view of one member. The age of the oldest
+/// status lets users of the sums assess how current they are.
 #pragma once
 
 #include <cstddef>
@@ -10,30 +10,30 @@
 
 namespace rainhook::membership {
 
-/// The present members of a zone; the dead and the left count nowhere.
+/// The aggregate of the present members of a zone; dead and left members are not included.
 struct ZoneAggregate {
   ZoneName zone;                       ///< the zone's name
-  RegionName region;                   ///< the region it lies in
-  bool isUnreachable = false;          ///< as a whole
-  std::size_t members = 0;             ///< alive or suspect
-  std::size_t suspected = 0;           ///< suspect
-  std::size_t unreachableMembers = 0;  ///< alive, but do not answer this member
-  std::size_t withoutStatus = 0;       ///< nothing was received from them yet: the figures lack them
+  RegionName region;                   ///< the zone's region
+  bool isUnreachable = false;          ///< whether the zone is unreachable as a whole
+  std::size_t members = 0;             ///< members that are alive or suspect
+  std::size_t suspected = 0;           ///< members that are suspect
+  std::size_t unreachableMembers = 0;  ///< members that are alive but do not answer this one
+  std::size_t withoutStatus = 0;       ///< members without a known status, which the sums lack
   std::size_t serving = 0;             ///< members in this phase
   std::size_t warmingUp = 0;           ///< members in this phase
   std::size_t draining = 0;            ///< members in this phase
   std::size_t unhealthy = 0;           ///< members in this phase
   std::size_t observers = 0;           ///< members in this phase
-  double concurrencyLimit = 0;         ///< sum over those that are serving or warming up
-  double running = 0;                  ///< sum
-  double receivedPerSecond = 0;        ///< sum
-  double completedPerSecond = 0;       ///< sum
-  double warmUpProgress = 0;           ///< mean over those that are serving or warming up
-  double queueingRatio = 0;            ///< mean over those that are serving or warming up
-  Duration oldestStatusAge{};          ///< since a status was received, the longest
+  double concurrencyLimit = 0;         ///< sum over members that are serving or warming up
+  double running = 0;                  ///< sum of the executing requests
+  double receivedPerSecond = 0;        ///< sum of the received requests per second
+  double completedPerSecond = 0;       ///< sum of the completed requests per second
+  double warmUpProgress = 0;           ///< mean over members that are serving or warming up
+  double queueingRatio = 0;            ///< mean over members that are serving or warming up
+  Duration oldestStatusAge{};          ///< the longest time since a member's status was received
 };
 
-/// In the order of the zones' names, this member with its own.
+/// Returns the zones in the order of their names; this member is part of its own zone.
 [[nodiscard]] std::vector<ZoneAggregate> aggregateByZone(const Membership& membership, Duration now);
 
 }  // namespace rainhook::membership
--- a/src/membership/zone_health.cpp
+++ b/src/membership/zone_health.cpp
@@ -7,7 +7,7 @@
 
 constexpr std::size_t maxUnreachableZones = 64;
 constexpr std::size_t minSuspectedMembers = 2;
-constexpr int silentPeriods = 3;
+constexpr int maxPeriodsWithoutEvidence = 3;
 constexpr int maxZoneProbes = 4;
 
 }  // namespace
@@ -31,14 +31,14 @@
 }
 
 bool ZoneHealth::isLost(Duration now, const ZoneObservation& zone, int localHealthMultiplier) const {
-  // Where all of its members are suspected the local health does not matter: one of them might be declared
-  // dead before its zone is found to be unreachable.
+  // If all of its members are suspected, the local health is ignored: otherwise one of them might be declared
+  // dead before the zone counts as unreachable.
   const bool areAllSuspected = zone.suspected == zone.present;
   const Duration period =
       areAllSuspected ? settings_.probeInterval : settings_.probeInterval * (1 + localHealthMultiplier);
-  const std::size_t aThird = (zone.present + 2) / 3;
-  return now - zone.lastEvidence > period * silentPeriods &&
-         zone.suspected >= std::max(minSuspectedMembers, aThird);
+  const std::size_t oneThird = (zone.present + 2) / 3;
+  return now - zone.lastEvidence > period * maxPeriodsWithoutEvidence &&
+         zone.suspected >= std::max(minSuspectedMembers, oneThird);
 }
 
 std::vector<ZoneInRegion> ZoneHealth::findUnreachable(Duration now, const ZoneObservations& zones,
--- a/src/membership/zone_health.h
+++ b/src/membership/zone_health.h
@@ -1,5 +1,5 @@
 /// @file
-/// Tells a zone that is unreachable as a whole from members that fail one by one.
+/// Distinguishes a zone that is unreachable as a whole from individual member failures.
 #pragma once
 
 #include <cstddef>
@@ -12,56 +12,56 @@
 
 namespace rainhook::membership {
 
-/// What is known about the present members of a zone.
+/// Observations of the present members of a zone.
 struct ZoneObservation {
   std::size_t present = 0;    ///< members that are alive or suspect
   std::size_t suspected = 0;  ///< members that are suspect
-  Duration lastEvidence{-1};  ///< the latest proof that one of them lives
+  Duration lastEvidence{-1};  ///< the latest evidence that one of them is alive
   RegionName region;          ///< the region of the zone
 };
-/// What is known about each zone, by name.
+/// The observations of each zone, by name.
 using ZoneObservations = std::map<ZoneName, ZoneObservation>;
-/// Sums up the present members by zone, without this member.
+/// Summarizes the present members by zone, except this member.
 [[nodiscard]] ZoneObservations observeZones(const MemberTable& members);
 
 /// A zone with its region.
 struct ZoneInRegion {
   ZoneName zone;      ///< the zone's name
-  RegionName region;  ///< the region it lies in
+  RegionName region;  ///< the zone's region
 };
 
-/// The zones that are unreachable, 64 at most.
+/// The unreachable zones, at most 64.
 class ZoneHealth {
  public:
   /// Keeps a reference to the settings.
   explicit ZoneHealth(const ProtocolSettings& settings) : settings_(settings) {}
 
-  /// Whether every zone is reachable.
-  [[nodiscard]] bool isEmpty() const { return unreachableSince_.empty(); }
-  /// Whether this zone is unreachable as a whole.
+  /// Returns whether every zone is reachable.
+  [[nodiscard]] bool areAllReachable() const { return unreachableSince_.empty(); }
+  /// Returns whether this zone is unreachable as a whole.
   [[nodiscard]] bool isUnreachable(const ZoneName& zone) const { return unreachableSince_.contains(zone); }
-  /// The moment from which on the zone is unreachable; nothing where it is reachable.
+  /// Returns since when the zone is unreachable; nothing if it is reachable.
   [[nodiscard]] std::optional<Duration> unreachableSince(const ZoneName& zone) const;
-  /// False where it was unreachable already.
+  /// Marks a zone as unreachable; returns false if it was unreachable already.
   bool markUnreachable(const ZoneName& zone, Duration now) {
     return unreachableSince_.emplace(zone, now).second;
   }
 
-  /// Zones of which several members are suspected and none gave a proof of life for a while.
-  /// @param now the present moment
-  /// @param zones what is known about each of them
-  /// @param ownZone never found to be unreachable
-  /// @param localHealthMultiplier by how much slower this member judges at present
+  /// Finds the zones with several suspected members and no recent evidence that any member is alive.
+  /// @param now the current time
+  /// @param zones the observations of each zone
+  /// @param ownZone the zone of this member, which is never unreachable
+  /// @param localHealthMultiplier Lifeguard's multiplier, which extends the required time without evidence
   [[nodiscard]] std::vector<ZoneInRegion> findUnreachable(Duration now, const ZoneObservations& zones,
                                                           const ZoneName& ownZone,
                                                           int localHealthMultiplier) const;
-  /// Forgets the zones that are reachable again, and returns them. Those that have lost all their members are
-  /// forgotten in time too, and not returned.
+  /// Removes the zones that are reachable again and returns them. Also removes zones without present members
+  /// after the declaration window, but does not return them.
   std::vector<ZoneInRegion> removeReachable(Duration now, const ZoneObservations& zones);
 
-  /// Before a member is declared dead, another one of its zone has to give a proof of life, or to be probed a
-  /// few times without an answer, which makes the zone unreachable. Returns whom to probe; null where there
-  /// is no need.
+  /// Returns another member of the suspected member's zone that has to be probed; null if none has to be.
+  /// Before a member is declared dead, either another member of its zone gives evidence of life, or a few
+  /// probes of such a member remain without an answer, which makes the zone unreachable.
   [[nodiscard]] const Member* memberToProbe(const Member& suspected, const MemberTable& members) const;
 
  private:
--- a/src/membership_transport/address.h
+++ b/src/membership_transport/address.h
@@ -1,5 +1,5 @@
 /// @file
-/// Addresses of the form `127.0.0.1:7101`.
+/// Parses addresses of the form `127.0.0.1:7101`.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -9,7 +9,7 @@
 
 namespace rainhook::membershipTransport {
 
-/// The address that the text states, without a name look-up; nothing where it states none.
+/// Returns the address without a name lookup; nothing if the text is not a valid address.
 [[nodiscard]] std::optional<Poco::Net::SocketAddress> parseAddress(const std::string& text);
 
 }  // namespace rainhook::membershipTransport
--- a/src/membership_transport/framing.h
+++ b/src/membership_transport/framing.h
@@ -1,6 +1,6 @@
 /// @file
-/// What surrounds a message between instances: a tag in front of its payload, and on a connection the length
-/// of the signed message.
+/// The framing of messages between instances: a tag precedes the payload, and on a connection the length of
+/// the signed message precedes that message.
 #pragma once
 
 #include <cstddef>
@@ -13,27 +13,27 @@
 
 namespace rainhook::membershipTransport {
 
-/// The first byte of what is signed.
+/// The first byte of the signed data.
 enum class MessageTag : char {
   membership = 'M',  ///< a message of the membership protocol
-  query = 'Q',       ///< what this instance sees, asked in JSON
+  query = 'Q',       ///< a query in JSON for the view of the instance
   answer = 'R'       ///< the answer to a query, in JSON
 };
 
-/// The payload behind its tag: what is to be signed.
+/// Returns the tag followed by the payload, which is the data to sign.
 [[nodiscard]] std::string tagPayload(MessageTag tag, std::string_view payload);
-/// The payload where the message has this tag.
+/// Returns the payload if the message has this tag.
 [[nodiscard]] std::optional<std::string_view> payloadOf(MessageTag tag, std::string_view message);
 
-/// Bytes of the length in front of a signed message.
+/// The size of the length that precedes a signed message, in bytes.
 inline constexpr std::size_t frameHeaderBytes = 4;
-/// Of the signed message in a frame.
+/// The maximum size of the signed message in a frame, in bytes.
 inline constexpr std::size_t maxFrameBytes =
     membership::maxStateBytes + MessageAuthenticator::overheadBytes + 16;
 
-/// The signed message behind its length, big-endian.
+/// Returns the big-endian length of the signed message, followed by the message.
 [[nodiscard]] std::string frame(std::string_view signedMessage);
-/// The length that the first frameHeaderBytes state.
+/// Returns the length in the first frameHeaderBytes bytes.
 [[nodiscard]] std::size_t frameLength(std::string_view header);
 
 }  // namespace rainhook::membershipTransport
--- a/src/membership_transport/membership_transport.cpp
+++ b/src/membership_transport/membership_transport.cpp
@@ -67,18 +67,19 @@
   reactor_.addEventHandler(datagrams_, datagramObserver_);
   reactor_.addEventHandler(listener_, acceptObserver_);
   isOpen_ = true;
-  log_.message(LogCategory::membership, "{} is a member at {}, zone {}, region {}, {} seeds",
+  log_.message(LogCategory::membership,
+               "{} is a member at {}, zone {}, region {}; it joins through {} configured seeds",
                settings_.name.text, settings_.listen.text, settings_.zone.text, settings_.region.text,
                settings_.seeds.size());
   Effects effects;
   membership_.open(now(), effects);
-  carryOut(effects, noExchange);
+  applyEffects(effects, noExchange);
 }
 
 void MembershipTransport::leave() {
   Effects effects;
   membership_.leave(now(), effects);
-  carryOut(effects, noExchange);
+  applyEffects(effects, noExchange);
 }
 
 // --- Events of the event loop ---
@@ -86,7 +87,7 @@
 void MembershipTransport::onTimer() {
   Effects effects;
   membership_.onTimer(now(), effects);
-  carryOut(effects, noExchange);
+  applyEffects(effects, noExchange);
   if (now() - lastStatisticsAt_ >= settings_.probeInterval * statisticsPeriods) reportStatistics();
 }
 
@@ -102,7 +103,7 @@
     try {
       Poco::Net::SocketAddress from;
       size = datagrams_.receiveFrom(bytes.data(), static_cast<int>(bytes.size()), from);
-    } catch (const Poco::Exception&) {  // nothing more, or an earlier one of ours was undeliverable
+    } catch (const Poco::Exception&) {  // no more datagrams, or an earlier one was undeliverable
       return;
     }
     if (size < 0) return;
@@ -124,7 +125,9 @@
       beginExchange(id, net::Connection::fromAccepted(reactor_, pool_, socket, callbacksOf(id)));
     }
   } catch (const Poco::Exception& error) {
-    log_.message(LogCategory::membership, "can't accept: {}", error.displayText());
+    log_.message(LogCategory::membership,
+                 "cannot accept a membership connection at {}: {}; the listener stays open",
+                 settings_.listen.text, error.displayText());
   }
 }
 
@@ -135,7 +138,9 @@
   received.append(bytes);
   if (received.size() < frameHeaderBytes) return bytes.size();
   const std::size_t length = frameLength(received);
-  if (length > maxFrameBytes) throw codec::ProtocolError("a message longer than a full state");
+  if (length > maxFrameBytes)
+    throw codec::ProtocolError("membership message of " + std::to_string(length) +
+                               " bytes exceeds the limit of " + std::to_string(maxFrameBytes) + " bytes");
   if (received.size() < frameHeaderBytes + length) return bytes.size();
   const std::string signedMessage = received.substr(frameHeaderBytes, length);
   received.clear();
@@ -153,14 +158,14 @@
   const auto payload = payloadOf(MessageTag::membership, *verified);
   const auto message = payload ? membership::decodeMessage(*payload) : std::nullopt;
   if (!message) return dropInvalid(exchange);
-  // A message for another name that was misdirected or sent on is not ours to answer.
+  // This member does not answer a misdirected or forwarded message for another name.
   const bool isForUs = message->recipient.text.empty() || message->recipient == settings_.name;
   if (!isForUs) return dropInvalid(exchange);
   Effects effects;
   membership_.onMessage(now(), *message, effects);
   const bool isAnswered = message->kind == membership::Message::Kind::stateResponse;
   if (isAnswered) endExchange(exchange);
-  carryOut(effects, exchange);
+  applyEffects(effects, exchange);
 }
 
 void MembershipTransport::dropInvalid(ExchangeId exchange) {
@@ -222,7 +227,7 @@
 
 // --- Effects ---
 
-void MembershipTransport::carryOut(const Effects& effects, ExchangeId exchange) {
+void MembershipTransport::applyEffects(const Effects& effects, ExchangeId exchange) {
   for (const auto& message : effects.messages) send(message, exchange);
   for (const auto& event : effects.events) report(event);
   scheduleTimer();
@@ -257,7 +262,7 @@
     datagrams_.sendTo(signedMessage.data(), static_cast<int>(signedMessage.size()), address);
     ++counters_.datagramsSent;
     counters_.bytesSent += signedMessage.size();
-  } catch (const Poco::Exception&) {  // as if it were lost on the way
+  } catch (const Poco::Exception&) {  // handled like a lost datagram
     ++counters_.datagramsUnsent;
   }
 }
@@ -287,25 +292,26 @@
   if (onEvent_) onEvent_(event);
 }
 
-/// What this member holds and sends, against which its bounds can be checked.
+/// Logs the numbers of stored and sent items, which operators can compare with the bounds.
 void MembershipTransport::reportStatistics() {
   const auto at = now();
   if (lastStatisticsAt_ != membership::Duration{}) {
     const auto interval = std::chrono::duration_cast<std::chrono::milliseconds>(at - lastStatisticsAt_);
-    log_.event(LogCategory::membership, "statistics",
-               {{"interval_ms", static_cast<std::int64_t>(interval.count())},
-                {"members", toSigned(membership_.members().size())},
-                {"queued_updates", toSigned(membership_.queuedUpdates())},
-                {"exchanges", toSigned(exchanges_.size())},
-                {"datagrams_sent", toSigned(counters_.datagramsSent - reported_.datagramsSent)},
-                {"bytes_sent", toSigned(counters_.bytesSent - reported_.bytesSent)},
-                {"state_bytes_sent", toSigned(counters_.stateBytesSent - reported_.stateBytesSent)},
-                {"datagrams_received", toSigned(counters_.datagramsReceived - reported_.datagramsReceived)},
-                {"invalid_messages", toSigned(counters_.invalidMessages - reported_.invalidMessages)},
-                {"local_health", static_cast<std::int64_t>(membership_.localHealthMultiplier())}});
+    log_.event(
+        LogCategory::membership, "statistics",
+        {{"interval_ms", static_cast<std::int64_t>(interval.count())},
+         {"members", toSigned(membership_.members().size())},
+         {"queued_updates", toSigned(membership_.queuedUpdates())},
+         {"exchanges", toSigned(exchanges_.size())},
+         {"datagrams_sent", toSigned(counters_.datagramsSent - lastReported_.datagramsSent)},
+         {"bytes_sent", toSigned(counters_.bytesSent - lastReported_.bytesSent)},
+         {"state_bytes_sent", toSigned(counters_.stateBytesSent - lastReported_.stateBytesSent)},
+         {"datagrams_received", toSigned(counters_.datagramsReceived - lastReported_.datagramsReceived)},
+         {"invalid_messages", toSigned(counters_.invalidMessages - lastReported_.invalidMessages)},
+         {"local_health", static_cast<std::int64_t>(membership_.localHealthMultiplier())}});
   }
   lastStatisticsAt_ = at;
-  reported_ = counters_;
+  lastReported_ = counters_;
 }
 
 }  // namespace rainhook::membershipTransport
--- a/src/membership_transport/membership_transport.h
+++ b/src/membership_transport/membership_transport.h
@@ -1,9 +1,9 @@
 /// @file
-/// The sockets of membership: datagrams for probes and gossip, connections for the full state and for those
-/// who ask what this instance sees, all authenticated. What to send is decided in src/membership.
+/// The sockets of membership: datagrams for probes and gossip, and connections for the full state and for
+/// queries of the view of this instance. All messages are authenticated. src/membership decides what to send.
 ///
-/// Bounds: datagrams of 1,400 bytes, 24 exchanges by connection, each within 5 seconds and maxFrameBytes.
-/// What does not verify is dropped and counted, never answered.
+/// Bounds: datagrams of 1,400 bytes, and 24 exchanges by connection, each limited to 5 seconds and
+/// maxFrameBytes. A message that cannot be verified is dropped and counted, and never answered.
 #pragma once
 
 #include <Poco/Net/DatagramSocket.h>
@@ -28,17 +28,17 @@
 /// Runs one member on the thread of the event loop.
 class MembershipTransport {
  public:
-  /// Receives what the member has found out about itself or another.
+  /// Receives the events about this member or another one.
   using EventCallback = std::function<void(const membership::MembershipEvent&)>;
 
-  /// Binds no address yet.
+  /// Creates the transport without binding an address.
   /// @param reactor the event loop; must outlive this object
-  /// @param pool of the buffers of connections; must outlive this object
-  /// @param log gets each event, and statistics about every 10 probe intervals; must outlive this object
+  /// @param pool the buffers of the connections; must outlive this object
+  /// @param log receives each event, and statistics about every 10 probe intervals; must outlive this object
   /// @param settings the member's name, addresses, zone, seeds and keys
-  /// @param identity what earlier processes of this member have persisted
-  /// @param processId drawn at the start of the process
-  /// @param onEvent called after the event was logged
+  /// @param identity the identity that earlier processes of this member persisted
+  /// @param processId a random number that identifies this process
+  /// @param onEvent called for each event after the event was logged
   MembershipTransport(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log,
                       membership::MembershipSettings settings, const membership::PersistedIdentity& identity,
                       std::uint64_t processId, EventCallback onEvent);
@@ -47,25 +47,26 @@
   MembershipTransport& operator=(const MembershipTransport&) = delete;
 
   /// Binds the address and joins.
-  /// @throws Poco::Exception where the address can't be had
+  /// @throws Poco::Exception if the address cannot be bound
   void open();
-  /// Sets what this member states about itself from now on.
+  /// Replaces the status that this member publishes.
   void publishStatus(const membership::MemberStatus& status) { membership_.publishStatus(status); }
   /// Announces that this member leaves. The sockets stay open until destruction.
   void leave();
-  /// Allows incarnations up to this one, which must be on the disk by now.
+  /// Allows incarnations up to this one, whose reservation must be on disk.
   void reserveUpTo(membership::Incarnation incarnation) { membership_.reserveUpTo(incarnation); }
-  /// The fleet as this member sees it; valid as long as this object.
+  /// Returns the fleet in the view of this member; valid for the lifetime of this object.
   [[nodiscard]] const membership::Membership& membership() const { return membership_; }
 
  private:
   using ExchangeId = std::uint64_t;
   static constexpr ExchangeId noExchange = 0;
 
-  /// A connection for one request and its answer. It ends when it is answered, breaks, or takes too long.
+  /// A connection for one request and its answer. It ends with the answer, when the connection fails, or at
+  /// the timeout.
   struct Exchange {
     std::shared_ptr<net::Connection> connection;
-    std::string received;  ///< of a frame that is not complete yet
+    std::string received;  ///< the received part of an incomplete frame
     net::Reactor::Timer timeout;
   };
   struct Counters {
@@ -98,7 +99,7 @@
   net::ConnectionCallbacks callbacksOf(ExchangeId id);
 
   // Effects
-  void carryOut(const membership::Effects& effects, ExchangeId exchange);
+  void applyEffects(const membership::Effects& effects, ExchangeId exchange);
   void send(const membership::OutgoingMessage& message, ExchangeId exchange);
   void sendReply(const std::string& signedMessage, ExchangeId exchange);
   void sendDatagram(const std::string& signedMessage, const net::Connection::Address& address);
@@ -127,7 +128,7 @@
   net::Reactor::Timer timer_;
   bool isOpen_ = false;
   Counters counters_;
-  Counters reported_;  ///< at the last statistics
+  Counters lastReported_;  ///< the counters at the time of the last statistics
   membership::Duration lastStatisticsAt_{};
 };
 
--- a/src/membership_transport/message_authenticator.cpp
+++ b/src/membership_transport/message_authenticator.cpp
@@ -26,7 +26,7 @@
   for (int shift = 56; shift >= 0; shift -= 8) out.push_back(static_cast<char>(value >> shift & 0xff));
 }
 
-/// Over all that stands in front of the tag and behind it.
+/// Returns the tag of the data before and after the position of the tag.
 Tag tagOf(std::string_view head, std::string_view message, const AuthenticationKey& key) {
   crypto_generichash_state state;
   Tag out{};
@@ -41,7 +41,10 @@
 
 MessageAuthenticator::MessageAuthenticator(std::vector<AuthenticationKey> keys, std::uint64_t senderId)
     : keys_(std::move(keys)), senderId_(senderId) {
-  if (sodium_init() < 0 || keys_.empty()) throw std::runtime_error("no key to sign messages with");
+  if (sodium_init() < 0 || keys_.empty())
+    throw std::runtime_error(
+        "cannot authenticate membership messages: no key is configured, or libsodium "
+        "cannot be initialized");
 }
 
 std::string MessageAuthenticator::sign(std::string_view message) {
@@ -61,7 +64,7 @@
   }
   const auto senderId = readNumber(bytes, magic.size());
   const auto sequenceNumber = readNumber(bytes, magic.size() + numberBytes);
-  if (!acceptOnce(senderId, sequenceNumber)) {
+  if (!markReceived(senderId, sequenceNumber)) {
     ++counters_.replayed;
     return std::nullopt;
   }
@@ -78,7 +81,7 @@
   });
 }
 
-bool MessageAuthenticator::acceptOnce(std::uint64_t senderId, std::uint64_t sequenceNumber) {
+bool MessageAuthenticator::markReceived(std::uint64_t senderId, std::uint64_t sequenceNumber) {
   Sender& sender = senderOf(senderId);
   if (sequenceNumber + replayWindow <= sender.highest) return false;
   if (sequenceNumber > sender.highest) advanceWindow(sender, sequenceNumber);
@@ -87,14 +90,14 @@
   return true;
 }
 
-/// The sender, as the one verified last.
+/// Returns the sender and marks it as the most recently verified one.
 MessageAuthenticator::Sender& MessageAuthenticator::senderOf(std::uint64_t senderId) {
   const auto [it, isNew] = senders_.try_emplace(senderId);
   Sender& sender = it->second;
   if (isNew)
-    sender.place = byLastVerified_.insert(byLastVerified_.end(), senderId);
+    sender.position = byLastVerified_.insert(byLastVerified_.end(), senderId);
   else
-    byLastVerified_.splice(byLastVerified_.end(), byLastVerified_, sender.place);
+    byLastVerified_.splice(byLastVerified_.end(), byLastVerified_, sender.position);
   if (senders_.size() > maxSenders) {
     senders_.erase(byLastVerified_.front());
     byLastVerified_.pop_front();
--- a/src/membership_transport/view_report.h
+++ b/src/membership_transport/view_report.h
@@ -1,6 +1,6 @@
 /// @file
-/// What an instance sees, as JSON: the answers to `rainhook members`. The one place that maps our terms to
-/// the fields of `--json`, which keep the names of earlier releases.
+/// The view of an instance as JSON, which answers `rainhook members`. Only this file maps the terms of the
+/// code to the fields of `--json`, which keep the names of earlier releases.
 #pragma once
 
 #include <nlohmann/json.hpp>
@@ -9,9 +9,9 @@
 
 namespace rainhook::membershipTransport {
 
-/// A row for each member, this one first.
+/// Returns a row for each member, starting with this one.
 [[nodiscard]] nlohmann::json memberRows(const membership::Membership& membership);
-/// A row for each zone.
+/// Returns a row for each zone.
 [[nodiscard]] nlohmann::json zoneRows(const membership::Membership& membership, membership::Duration now);
 
 }  // namespace rainhook::membershipTransport
--- a/src/server/incarnation_store.cpp
+++ b/src/server/incarnation_store.cpp
@@ -17,17 +17,17 @@
 
 namespace {
 
-/// Incarnations that are reserved by one write.
+/// The number of incarnations that one write reserves.
 constexpr std::uint64_t reservationStep = 1024;
-/// Probe intervals between two writes of the known members.
+/// The minimum number of probe intervals between two writes of the known members.
 constexpr int knownMembersInterval = 10;
 constexpr std::chrono::nanoseconds minUpdateInterval = 1s;
 
-/// The store's keys are one of these, a slash and the member's name.
+/// Each key of the store consists of one of these prefixes, a slash and the member's name.
 constexpr const char* incarnationKey = "incarnation";
 constexpr const char* knownMembersKey = "known";
 
-/// The events of the log.
+/// The names of the log events.
 constexpr const char* restoredEvent = "state-restored";
 constexpr const char* unavailableEvent = "state-unavailable";
 constexpr const char* recoveredEvent = "state-recovered";
@@ -44,7 +44,7 @@
   return std::chrono::floor<std::chrono::milliseconds>(std::chrono::system_clock::now());
 }
 
-/// Nothing where this is no number, or too high to reserve beyond it.
+/// Returns nothing if the text is not a number, or if the number is too high to reserve more incarnations.
 std::optional<std::uint64_t> parseIncarnation(const std::string& text) {
   constexpr std::uint64_t maxIncarnation = ~std::uint64_t{0} - 2 * reservationStep;
   std::uint64_t out = 0;
@@ -57,8 +57,8 @@
 }  // namespace
 
 IncarnationStore::IncarnationStore(net::Reactor& reactor, logging::Log& log,
-                                   const membership::MembershipSettings& place)
-    : reactor_(reactor), log_(log), place_(place) {}
+                                   const membership::MembershipSettings& settings)
+    : reactor_(reactor), log_(log), settings_(settings) {}
 
 IncarnationStore::~IncarnationStore() {
   updateTimer_.cancel();
@@ -66,16 +66,16 @@
 }
 
 std::string IncarnationStore::storeKey(const char* prefix) const {
-  return std::string(prefix) + "/" + place_.name.text;
+  return std::string(prefix) + "/" + settings_.name.text;
 }
 
 void IncarnationStore::logEvent(const char* event, const std::string& reason) {
-  log_.event(logging::LogCategory::membership, event, {{"about", place_.name.text}, {"why", reason}});
+  log_.event(logging::LogCategory::membership, event, {{"about", settings_.name.text}, {"why", reason}});
 }
 
 membership::PersistedIdentity IncarnationStore::open() {
   membership::PersistedIdentity out;
-  if (place_.stateFolder.empty() || !openStore()) return out;
+  if (settings_.stateFolder.empty() || !openStore()) return out;
   const std::uint64_t reservedBefore = readReservedIncarnation();
   out.firstIncarnation = Incarnation{reservedBefore + 1};
   out.knownMembers = readKnownMembers();
@@ -83,30 +83,34 @@
   store_->waitUntilIdle();
   if (!hasFailed_) out.reservedIncarnation = Incarnation{reservedIncarnation_};
   logEvent(restoredEvent, "from " + std::to_string(reservedBefore + 1) + ", " +
-                              std::to_string(out.knownMembers.size()) + " known from earlier");
+                              std::to_string(out.knownMembers.size()) + " known members restored");
   return out;
 }
 
-/// False where the folder can't be used. Throws StateLockedError.
+/// Returns false if the folder cannot be used.
+/// @throws StateLockedError if another process has the folder open
 bool IncarnationStore::openStore() {
-  store_ = std::make_unique<store::Store>(
-      std::make_unique<store::PosixDisk>(place_.stateFolder), stateSettings, systemTime,
-      [this](const std::string& line) { log_.message(logging::LogCategory::start, "state: {}", line); });
+  store_ = std::make_unique<store::Store>(std::make_unique<store::PosixDisk>(settings_.stateFolder),
+                                          stateSettings, systemTime, [this](const std::string& line) {
+                                            log_.message(logging::LogCategory::start, "state folder {}: {}",
+                                                         settings_.stateFolder, line);
+                                          });
   const auto status = store_->open(std::random_device{}());
   if (status.code == store::StoreErrorCode::locked)
-    throw StateLockedError(place_.stateFolder + ": " + status.message);
+    throw StateLockedError("cannot open state folder " + settings_.stateFolder + ": " + status.message);
   if (status.isOk()) return true;
   logEvent(unavailableEvent, status.message);
   store_.reset();
   return false;
 }
 
-/// The highest incarnation that earlier processes reserved; 0 where none is known.
+/// Returns the highest incarnation that earlier processes reserved, or 0 if none is known.
 std::uint64_t IncarnationStore::readReservedIncarnation() {
   const auto stored = store_->get(storeKey(incarnationKey));
   const auto reserved = stored.value ? parseIncarnation(*stored.value) : std::optional<std::uint64_t>(0);
   if (!reserved || !stored.status.isOk())
-    logEvent(unavailableEvent, "the reserved incarnation can't be read: " + stored.status.message);
+    logEvent(unavailableEvent, "cannot read the reserved incarnation from state folder " +
+                                   settings_.stateFolder + ": " + stored.status.message);
   return reserved.value_or(0);
 }
 
@@ -118,7 +122,7 @@
   std::string name;
   std::string address;
   while (out.size() < membership::PersistedIdentity::maxKnownMembers && lines >> name >> address)
-    if (membershipTransport::parseAddress(address) && address != place_.advertise.text)
+    if (membershipTransport::parseAddress(address) && address != settings_.advertise.text)
       out.push_back({{name}, {address}});
   return out;
 }
@@ -136,24 +140,24 @@
 void IncarnationStore::onReservationWritten(std::uint64_t incarnation, const store::StoreStatus& status) {
   isReserving_ = false;
   const bool hadFailed = std::exchange(hasFailed_, !status.isOk());
-  // Logged where it changes, not at each attempt.
+  // Only a change between success and failure is logged, not each attempt.
   if (hadFailed != hasFailed_) logEvent(hadFailed ? recoveredEvent : unavailableEvent, status.message);
   if (hasFailed_) return;
   reservedIncarnation_ = incarnation;
-  if (members_) members_->reserveUpTo(Incarnation{incarnation});
+  if (transport_) transport_->reserveUpTo(Incarnation{incarnation});
 }
 
-void IncarnationStore::startPersisting(membershipTransport::MembershipTransport& members) {
-  members_ = &members;
+void IncarnationStore::startPersisting(membershipTransport::MembershipTransport& transport) {
+  transport_ = &transport;
   if (store_) update();
 }
 
 void IncarnationStore::update() {
-  const auto interval = std::max<net::Reactor::Wait>(place_.probeInterval, minUpdateInterval);
+  const auto interval = std::max<net::Reactor::Wait>(settings_.probeInterval, minUpdateInterval);
   updateTimer_ = reactor_.after(interval, [this] { update(); });
   store_->dispatchCompletions();
-  // What others know of this member may be far beyond, where the disk has lost an earlier reservation.
-  const auto required = static_cast<std::uint64_t>(members_->membership().requiredIncarnation());
+  // If the disk lost an earlier reservation, the others may know a much higher incarnation of this member.
+  const auto required = static_cast<std::uint64_t>(transport_->membership().requiredIncarnation());
   const bool isNearlyUsedUp = required + reservationStep / 2 > reservedIncarnation_;
   if (!isReserving_ && isNearlyUsedUp)
     reserveUpTo(std::max(reservedIncarnation_, required) + reservationStep);
@@ -163,11 +167,11 @@
 void IncarnationStore::writeKnownMembers() {
   const auto now = net::Reactor::Clock::now().time_since_epoch();
   const bool hasWritten = knownMembersWrittenAt_ != std::chrono::nanoseconds{};
-  if (hasWritten && now - knownMembersWrittenAt_ < place_.probeInterval * knownMembersInterval) return;
+  if (hasWritten && now - knownMembersWrittenAt_ < settings_.probeInterval * knownMembersInterval) return;
   const std::string text = describeKnownMembers();
-  // A member that is alone keeps those it knew.
+  // A member that is alone keeps the members that it knew before.
   if (text.empty() || text == writtenKnownMembers_) return;
-  // Where this fails on the disk it waits for the next change; nothing depends on it.
+  // A failed write is repeated at the next change at the earliest. No guarantee depends on this record.
   const auto accepted =
       store_->put(storeKey(knownMembersKey), text, store::neverExpires, [](const store::StoreStatus&) {});
   if (!accepted.isOk()) return;
@@ -175,20 +179,20 @@
   knownMembersWrittenAt_ = now;
 }
 
-/// A line "NAME ADDRESS" for some members that are alive, of as many zones as possible.
+/// Returns a line "NAME ADDRESS" for each of some members that are alive, from as many zones as possible.
 std::string IncarnationStore::describeKnownMembers() const {
   std::map<membership::ZoneName, std::vector<const membership::MemberRecord*>> byZone;
-  for (const auto& [name, member] : members_->membership().members())
+  for (const auto& [name, member] : transport_->membership().members())
     if (member.state == membership::MemberState::alive) byZone[member.record.zone].push_back(&member.record);
   std::string out;
   std::size_t count = 0;
   bool hasMore = true;
-  // One of each zone, then a second one of each zone, and so on.
+  // Takes one member of each zone, then a second one of each zone, and so on.
   for (std::size_t rank = 0; hasMore && count < membership::PersistedIdentity::maxKnownMembers; ++rank) {
     hasMore = false;
-    for (const auto& [zone, cards] : byZone) {
-      if (rank >= cards.size() || count >= membership::PersistedIdentity::maxKnownMembers) continue;
-      out += cards[rank]->name.text + " " + cards[rank]->address.text + "\n";
+    for (const auto& [zone, records] : byZone) {
+      if (rank >= records.size() || count >= membership::PersistedIdentity::maxKnownMembers) continue;
+      out += records[rank]->name.text + " " + records[rank]->address.text + "\n";
       ++count;
       hasMore = true;
     }
--- a/src/server/incarnation_store.h
+++ b/src/server/incarnation_store.h
@@ -1,6 +1,6 @@
 /// @file
-/// What a member persists over its restarts, in a store of its own: up to which incarnation it may go, and
-/// which members it knew last.
+/// The state that a member persists across restarts in its own store: the highest reserved incarnation and
+/// the members that it knew last.
 #pragma once
 
 #include <chrono>
@@ -20,30 +20,31 @@
 
 namespace rainhook::server {
 
-/// Another process has the state folder open.
+/// Reports that another process has the state folder open.
 struct StateLockedError : std::runtime_error {
   using std::runtime_error::runtime_error;
 };
 
-/// Reserves incarnations in steps of many, ahead of need and before the first message, so that an incarnation
-/// that is sent is durable already and sending waits for no write. Membership holds to the reservation; this
-/// class decides nothing. Where nothing can be written the member goes on like one without a state folder: it
-/// learns its incarnation from the others, and the log says so.
+/// Reserves many incarnations with one write, before they are needed and before the first message. An
+/// incarnation is therefore durable before it is sent, and sending never waits for a write. Membership
+/// respects the reservation; this class makes no decisions. If writing fails, the member continues like one
+/// without a state folder: it learns its incarnation from the other members, and the log reports the failure.
 ///
-/// Belongs to the reactor's thread.
+/// Runs on the reactor's thread.
 class IncarnationStore {
  public:
-  /// Nothing is persisted where the place names no state folder. Reactor and log must outlive this.
-  IncarnationStore(net::Reactor& reactor, logging::Log& log, const membership::MembershipSettings& place);
+  /// Persists nothing if the settings name no state folder. The reactor and the log must outlive this object.
+  IncarnationStore(net::Reactor& reactor, logging::Log& log, const membership::MembershipSettings& settings);
   ~IncarnationStore();
   IncarnationStore(const IncarnationStore&) = delete;
   IncarnationStore& operator=(const IncarnationStore&) = delete;
 
-  /// Reads what the earlier process left and reserves incarnations for this one. May wait for the disk, so
-  /// call it before the reactor runs. Throws StateLockedError.
+  /// Reads the state of the previous process and reserves incarnations for this one. It may block on the
+  /// disk, so call it before the reactor runs.
+  /// @throws StateLockedError if another process has the state folder open
   membership::PersistedIdentity open();
-  /// Persists the state of this member from now on; it must outlive this.
-  void startPersisting(membershipTransport::MembershipTransport& members);
+  /// Persists the state of this member from now on; the transport must outlive this object.
+  void startPersisting(membershipTransport::MembershipTransport& transport);
 
  private:
   using KnownMembers = std::vector<membership::KnownMember>;
@@ -61,14 +62,14 @@
 
   net::Reactor& reactor_;
   logging::Log& log_;
-  const membership::MembershipSettings place_;
-  std::unique_ptr<store::Store> store_;  // null where nothing is persisted
-  membershipTransport::MembershipTransport* members_ = nullptr;
+  const membership::MembershipSettings settings_;
+  std::unique_ptr<store::Store> store_;  // null if nothing is persisted
+  membershipTransport::MembershipTransport* transport_ = nullptr;
   std::uint64_t reservedIncarnation_ = 0;
   std::string writtenKnownMembers_;
   std::chrono::nanoseconds knownMembersWrittenAt_{};
   bool isReserving_ = false;
-  bool hasFailed_ = false;  // the last reservation could not be written
+  bool hasFailed_ = false;  // whether the last reservation could not be written
   net::Reactor::Timer updateTimer_;
 };
 
--- a/src/server/membership_service.cpp
+++ b/src/server/membership_service.cpp
@@ -34,8 +34,9 @@
 
 std::string describeRegionMismatch(const MembershipSettings& settings,
                                    const membership::MemberRecord& other) {
-  return fmt::format("{}: zone {} stands in region {}, as {} says", settings.regionSource, settings.zone.text,
-                     other.region.text, other.name.text);
+  return fmt::format("{}: zone {} is configured with region {}, but member {} reports region {}",
+                     settings.regionSource, settings.zone.text, settings.region.text, other.name.text,
+                     other.region.text);
 }
 
 MembershipService::MembershipService(net::Reactor& reactor, logging::Log& log,
@@ -53,7 +54,7 @@
       quota_({servers, lease_, settings.probeInterval * stabilizationPeriods}) {}
 
 MembershipService::~MembershipService() {
-  reactor_.releaseRetired();  // its connections hold buffers of our pool
+  reactor_.releaseRetired();  // the retired connections hold buffers of pool_
 }
 
 void MembershipService::open() {
@@ -67,17 +68,17 @@
   transport_.leave();
 }
 
-/// Two instances under one name would each take the quota of one, and a zone in two regions would be added up
-/// wrongly: this server leaves.
+/// Shuts the server down if it cannot be a member. Two instances with one name would each use the quota of
+/// one member, and sums over a zone in two regions would be wrong.
 void MembershipService::onEvent(const MembershipEvent& event) {
   if (event.type == MembershipEvent::Type::regionMismatch) {
-    log_.message(logging::LogCategory::membership, "{}: this one leaves",
+    log_.message(logging::LogCategory::membership, "{}; this instance shuts down",
                  describeRegionMismatch(settings_, event.member));
     server_.shutDownGracefully();
   } else if (event.type == MembershipEvent::Type::nameRejected) {
     log_.message(logging::LogCategory::membership,
-                 "the name {} is held by the living instance at {}: this one leaves", event.member.name.text,
-                 event.member.address.text);
+                 "the name {} is held by the living instance at {}; this instance shuts down",
+                 event.member.name.text, event.member.address.text);
     server_.shutDownGracefully();
   }
 }
--- a/src/server/membership_service.h
+++ b/src/server/membership_service.h
@@ -1,6 +1,7 @@
 /// @file
-/// A server as a member of the fleet: publishes what it does as its status, and takes from the members
-/// present which part of its quota of the dependency it may use. Both are decided in src/membership.
+/// The membership of a server in the fleet. The service publishes the status of the server, and sets the
+/// share of the dependency quota that the server may use according to the present members. src/membership
+/// makes the decisions.
 #pragma once
 
 #include <cstdint>
@@ -14,31 +15,32 @@
 
 namespace rainhook::server {
 
-/// For the operator who stated a zone in a region in which it does not stand: one line with file, line and
-/// key.
+/// Returns a line for the operator who configured a zone with a region that differs from that of another
+/// member. It starts with file, line and key.
 [[nodiscard]] std::string describeRegionMismatch(const membership::MembershipSettings& settings,
                                                  const membership::MemberRecord& other);
 
-/// Runs on the thread of the event loop. Stops the server in good order where it can't be a member.
+/// Runs on the thread of the event loop. Shuts the server down gracefully if it cannot be a member.
 class MembershipService {
  public:
-  /// May wait for the disk.
+  /// Opens the persisted state, which may block on the disk.
   /// @param reactor the event loop; must outlive this object
-  /// @param log gets the events of membership; must outlive this object
-  /// @param settings how this server takes part
-  /// @param server whose status is published and whose quota is set; must outlive this object
-  /// @param servers for so many is the quota of each configured
-  /// @param processId drawn at the start of the process
-  /// @throws StateLockedError where another process holds the state folder
+  /// @param log receives the events of membership; must outlive this object
+  /// @param settings the membership settings of this server
+  /// @param server the server whose status is published and whose quota is set; must outlive this object
+  /// @param servers number of servers for which the quota of each is configured
+  /// @param processId a random number that identifies this process
+  /// @throws StateLockedError if another process has the state folder open
   MembershipService(net::Reactor& reactor, logging::Log& log, const membership::MembershipSettings& settings,
                     RequestServer& server, int servers, std::uint64_t processId);
   ~MembershipService();
   MembershipService(const MembershipService&) = delete;
   MembershipService& operator=(const MembershipService&) = delete;
 
-  /// @throws Poco::Exception where the address can't be had
+  /// Binds the address and joins the fleet.
+  /// @throws Poco::Exception if the address cannot be bound
   void open();
-  /// Announces that this member leaves; to be called before the server stops reading.
+  /// Announces that this member leaves. Call it before the server stops reading requests.
   void leave();
 
  private:
@@ -60,7 +62,7 @@
   std::optional<double> appliedQuota_;
   ServerStatus lastStatus_;
   std::optional<membership::Duration> lastSampleAt_;
-  double queueingRatio_ = 0;  ///< exponentially weighted
+  double queueingRatio_ = 0;  ///< exponentially weighted moving average
   net::Reactor::Timer timer_;
 };
 
--- a/tests/dependency_quota_test.cpp
+++ b/tests/dependency_quota_test.cpp
@@ -1,4 +1,5 @@
-// The share of the dependency: the sum over the fleet stays within what is stated, whatever the views are.
+/// @file
+/// Tests that the quota shares of all members stay within the configured total, even if their views differ.
 #include "membership/dependency_quota.h"
 
 #include <gtest/gtest.h>
@@ -10,137 +11,146 @@
 
 using namespace std::chrono_literals;
 
-constexpr int stated = 4;  // servers for which the parts are stated
+constexpr int configuredServers = 4;  // number of servers for which the quota of each is configured
 
-DependencyQuota share() { return DependencyQuota({stated, 30s, 5s}); }
+DependencyQuota newQuota() { return DependencyQuota({configuredServers, 30s, 5s}); }
 
-// Looks ten times a second for so long, and gives the last.
-double after(DependencyQuota& share, Duration& now, Duration by, const FleetView& seen) {
+/// Updates the quota every 100 ms for the given duration; returns the last share.
+double shareAfter(DependencyQuota& quota, Duration& now, Duration duration, const FleetView& view) {
   double out = 0;
-  for (const Duration end = now + by; now < end; now += 100ms) out = share.update(now, seen);
+  for (const Duration end = now + duration; now < end; now += 100ms) out = quota.update(now, view);
   return out;
 }
 
-TEST(DependencyQuota, IsThePartStatedUpToTheServersStatedAndLessAtOnceBeyond) {
-  auto s = share();
+/// Guards against a fleet that exceeds the configured total after it has grown beyond the configured servers.
+TEST(DependencyQuota, ReducesTheShareAtOnceWhenTheFleetExceedsTheConfiguredServers) {
+  auto quota = newQuota();
   Duration now = 1s;
-  EXPECT_EQ(after(s, now, 10s, {4, 4, 4, false}), 1);
-  EXPECT_EQ(s.update(now, {8, 8, 8, false}), 0.5);
-  EXPECT_EQ(s.update(now, {8, 5, 8, true}), 0.5);
+  EXPECT_EQ(shareAfter(quota, now, 10s, {4, 4, 4, false}), 1);
+  EXPECT_EQ(quota.update(now, {8, 8, 8, false}), 0.5);
+  EXPECT_EQ(quota.update(now, {8, 5, 8, true}), 0.5);
 }
 
-// Of six that start together it has met three so far; nobody may count on that.
-TEST(DependencyQuota, OfANewcomerWaitsUntilAllHaveCountedItOrALeaseIsOver) {
-  auto s = share();
+/// Guards against a total above the limit while members start together: each may know only some of the
+/// others, and all of them would divide the total by too few.
+TEST(DependencyQuota, WaitsForAllMembersOrForALeaseWhenAMemberJoins) {
+  auto quota = newQuota();
   Duration now = 1s;
-  EXPECT_EQ(after(s, now, 4s, {4, 4, 4, false, 4, 4}), 0);
-  EXPECT_EQ(after(s, now, 2s, {4, 4, 4, false, 4, 4}), 1);
-  auto uncounted = share();
-  EXPECT_EQ(after(uncounted, now, 20s, {4, 4, 4, false, 4, 3}), 0);  // one divides by three still
-  EXPECT_EQ(after(uncounted, now, 1s, {4, 4, 4, false, 4, 4}), 1);
-  auto unmet = share();
-  EXPECT_EQ(after(unmet, now, 20s, {4, 4, 4, false, 6, 4}), 0);  // another knows of six
-  EXPECT_EQ(after(unmet, now, 1s, {6, 6, 6, false, 6, 6}), 4.0 / 6);
-  auto silent = share();
-  EXPECT_EQ(after(silent, now, 29s, {4, 4, 4, false, 0, 0}), 0);  // an older release does not say
-  EXPECT_EQ(after(silent, now, 2s, {4, 4, 4, false, 0, 0}), 1);
+  EXPECT_EQ(shareAfter(quota, now, 4s, {4, 4, 4, false, 4, 4}), 0);
+  EXPECT_EQ(shareAfter(quota, now, 2s, {4, 4, 4, false, 4, 4}), 1);
+  auto uncounted = newQuota();
+  EXPECT_EQ(shareAfter(uncounted, now, 20s, {4, 4, 4, false, 4, 3}), 0);  // one member still divides by three
+  EXPECT_EQ(shareAfter(uncounted, now, 1s, {4, 4, 4, false, 4, 4}), 1);
+  auto unknownMembers = newQuota();
+  EXPECT_EQ(shareAfter(unknownMembers, now, 20s, {4, 4, 4, false, 6, 4}), 0);  // another member knows of six
+  EXPECT_EQ(shareAfter(unknownMembers, now, 1s, {6, 6, 6, false, 6, 6}), 4.0 / 6);
+  auto withoutAdvertisement = newQuota();
+  EXPECT_EQ(shareAfter(withoutAdvertisement, now, 29s, {4, 4, 4, false, 0, 0}),
+            0);  // an older release does not advertise a fleet size
+  EXPECT_EQ(shareAfter(withoutAdvertisement, now, 2s, {4, 4, 4, false, 0, 0}), 1);
 }
 
-TEST(DependencyQuota, GrowsOnlyOnceItIsSureForAWhileAndWithMost) {
-  auto s = share();
+/// Guards against a share that grows on the minority side of a partition or on an uncertain view, while the
+/// other members keep theirs.
+TEST(DependencyQuota, IncreasesTheShareOnlyWhenTheViewIsCertainWithAMajority) {
+  auto quota = newQuota();
   Duration now = 1s;
-  after(s, now, 10s, {8, 8, 8, false});
-  EXPECT_EQ(after(s, now, 20s, {5, 5, 8, true}), 0.5);   // in doubt
-  EXPECT_EQ(after(s, now, 20s, {4, 4, 8, false}), 0.5);  // half is not most
-  EXPECT_EQ(after(s, now, 4s, {5, 5, 5, false}), 0.5);
-  EXPECT_EQ(after(s, now, 2s, {5, 5, 5, false}), 0.8);
+  shareAfter(quota, now, 10s, {8, 8, 8, false});
+  EXPECT_EQ(shareAfter(quota, now, 20s, {5, 5, 8, true}), 0.5);   // the view is uncertain
+  EXPECT_EQ(shareAfter(quota, now, 20s, {4, 4, 8, false}), 0.5);  // half of the fleet is not a majority
+  EXPECT_EQ(shareAfter(quota, now, 4s, {5, 5, 5, false}), 0.5);
+  EXPECT_EQ(shareAfter(quota, now, 2s, {5, 5, 5, false}), 0.8);
 }
 
-TEST(DependencyQuota, IsNothingForOneWhoLostMostForALeaseUntilItIsBack) {
-  auto s = share();
+/// Guards against calls by a member whose share the others use after they declared it dead.
+TEST(DependencyQuota, IsZeroWhenLessThanHalfOfTheFleetWasReachedForALease) {
+  auto quota = newQuota();
   Duration now = 1s;
-  after(s, now, 10s, {8, 8, 8, false});
-  EXPECT_EQ(after(s, now, 29s, {8, 3, 8, false}), 0.5);
-  EXPECT_EQ(after(s, now, 3s, {8, 3, 8, false}), 0);
-  EXPECT_EQ(after(s, now, 4s, {8, 6, 8, false}), 0);  // the others are to count it first
-  EXPECT_EQ(after(s, now, 2s, {8, 6, 8, false}), 0.5);
+  shareAfter(quota, now, 10s, {8, 8, 8, false});
+  EXPECT_EQ(shareAfter(quota, now, 29s, {8, 3, 8, false}), 0.5);
+  EXPECT_EQ(shareAfter(quota, now, 3s, {8, 3, 8, false}), 0);
+  EXPECT_EQ(shareAfter(quota, now, 4s, {8, 6, 8, false}), 0);  // the others have to count it first
+  EXPECT_EQ(shareAfter(quota, now, 2s, {8, 6, 8, false}), 0.5);
 }
 
-TEST(DependencyQuota, IsNothingAfterALongStopWhateverItBelieves) {
-  auto s = share();
+/// Guards against calls by a process that resumes from a long pause with an outdated view.
+TEST(DependencyQuota, IsZeroWhenTheProcessWasPausedForLongerThanALease) {
+  auto quota = newQuota();
   Duration now = 1s;
-  after(s, now, 10s, {8, 8, 8, false});
+  shareAfter(quota, now, 10s, {8, 8, 8, false});
   now += 300s;
-  EXPECT_EQ(s.update(now, {8, 8, 8, false}), 0);
-  EXPECT_EQ(s.update(now + 100ms, {8, 8, 8, true}), 0);
+  EXPECT_EQ(quota.update(now, {8, 8, 8, false}), 0);
+  EXPECT_EQ(quota.update(now + 100ms, {8, 8, 8, true}), 0);
   now += 200ms;
-  EXPECT_EQ(after(s, now, 6s, {8, 8, 8, false}), 0.5);
+  EXPECT_EQ(shareAfter(quota, now, 6s, {8, 8, 8, false}), 0.5);
 }
 
-// All members look once a second; the sum of what they may use is never over what is stated for `stated`
-// servers.
-class Sums {
+/// Updates the quotas of all members once per second and records the extremes of the sum of their shares.
+class ShareSums {
  public:
-  explicit Sums(SimulatedFleet& world) : fleet(world), shares(fleet.nodes.size(), share()) {}
-  void run(Duration by) {
-    for (const Duration end = fleet.now + by; fleet.now < end;) {
+  explicit ShareSums(SimulatedFleet& simulated) : fleet(simulated), quotas(fleet.nodes.size(), newQuota()) {}
+  void run(Duration duration) {
+    for (const Duration end = fleet.now + duration; fleet.now < end;) {
       fleet.runFor(1s);
       double sum = 0;
       for (std::size_t i = 0; i < fleet.nodes.size(); ++i)
         if (fleet.isRunning(i) && fleet.now >= fleet.nodes[i].pausedUntil) {
           MemberStatus status;
           status.phase = Phase::serving,
-          status.advertisedFleetSize = static_cast<double>(shares[i].fleetSize());
+          status.advertisedFleetSize = static_cast<double>(quotas[i].fleetSize());
           fleet.nodes[i].member->publishStatus(status);
-          last[i] = shares[i].update(fleet.now, observeFleet(*fleet.nodes[i].member, fleet.now, 30s));
+          lastShares[i] = quotas[i].update(fleet.now, observeFleet(*fleet.nodes[i].member, fleet.now, 30s));
         }
-      for (std::size_t i = 0; i < fleet.nodes.size(); ++i) sum += calls(i) ? last[i] : 0;
-      most = std::max(most, sum);
-      least = std::min(least, sum);
+      for (std::size_t i = 0; i < fleet.nodes.size(); ++i) sum += mayCall(i) ? lastShares[i] : 0;
+      largestSum = std::max(largestSum, sum);
+      smallestSum = std::min(smallestSum, sum);
     }
   }
-  // Whoever is stopped calls nobody.
-  bool calls(std::size_t i) const { return fleet.isRunning(i) && fleet.now >= fleet.nodes[i].pausedUntil; }
-  double now() const {
+  /// A process that is paused or not running makes no calls.
+  bool mayCall(std::size_t i) const { return fleet.isRunning(i) && fleet.now >= fleet.nodes[i].pausedUntil; }
+  double currentSum() const {
     double sum = 0;
-    for (const auto& [i, is] : last) sum += calls(i) ? is : 0;
+    for (const auto& [i, share] : lastShares) sum += mayCall(i) ? share : 0;
     return sum;
   }
   SimulatedFleet& fleet;
-  std::vector<DependencyQuota> shares;
-  std::map<std::size_t, double> last;
-  double most = 0, least = 1e9;
+  std::vector<DependencyQuota> quotas;
+  std::map<std::size_t, double> lastShares;
+  double largestSum = 0, smallestSum = 1e9;
 };
 
-TEST(DependencyQuota, TheSumHoldsThroughSplitsDeathsAndStops) {
+/// Guards against a sum of shares above the configured total during partitions, deaths, pauses and restarts,
+/// in which the members divide by different fleet sizes.
+TEST(DependencyQuota, KeepsTheSumWithinTheTotalWhenPartitionsDeathsAndPausesOccur) {
   for (int seed = 1; seed <= 10; ++seed)
     for (const std::size_t parts : {2u, 3u, 5u}) {
       SimulatedFleet fleet(10, 3, static_cast<std::uint64_t>(seed));
       fleet.startAll();
       ASSERT_TRUE(fleet.runUntil(60s, [&] { return fleet.hasConverged(); }));
-      Sums sums(fleet);
+      ShareSums sums(fleet);
       sums.run(60s);
-      sums.most = 0;
-      // Of five parts the first has most; of two and three none has.
+      sums.largestSum = 0;
+      // With five parts, one side has a majority; with two or three parts, no side has one.
       const auto part = [&](std::size_t i) { return parts == 5 ? (i < 7 ? 0 : 1) : i % parts; };
       fleet.link = [&](auto from, auto to) {
         return SimulatedFleet::Link{part(from) == part(to) ? 0.0 : 1.0, {}};
       };
       sums.run(300s);
-      EXPECT_NEAR(sums.now(), parts == 3 ? 0 : stated, 1e-9)
-          << "a side with most has it all, thirds have nothing";
+      EXPECT_NEAR(sums.currentSum(), parts == 3 ? 0 : configuredServers, 1e-9)
+          << "a majority uses the whole total, thirds of the fleet use nothing";
       fleet.pause(2, 200s);
       fleet.kill(4);
-      fleet.kill(8), fleet.start(8, parts == 5 ? 9 : 2);  // it knows its side alone
-      sums.shares[8] = share();
+      fleet.kill(8), fleet.start(8, parts == 5 ? 9 : 2);  // it knows only the members of its side
+      sums.quotas[8] = newQuota();
       sums.run(300s);
       fleet.healAllLinks();
       fleet.start(4);
-      sums.shares[4] = share();
+      sums.quotas[4] = newQuota();
       sums.run(200s);
-      EXPECT_LE(sums.most, stated + 1e-9) << parts << " parts, seed " << seed;
+      EXPECT_LE(sums.largestSum, configuredServers + 1e-9) << parts << " parts, seed " << seed;
       EXPECT_TRUE(fleet.hasConverged());
-      EXPECT_NEAR(sums.now(), stated, 1e-9) << "after all is well, all of it is used";
+      EXPECT_NEAR(sums.currentSum(), configuredServers, 1e-9)
+          << "the fleet uses the whole total after all faults end";
     }
 }
 
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -62,7 +62,7 @@
   for (const auto& [from, breaches] : {std::pair(5, 0u), std::pair(4, 1u)}) {
     Written w(2);
     w.acquainted().saw(0, 2, "state-changed", 1, "alive", 4);
-    w.saw(1, 3, "state-restored", 1).why = "from " + std::to_string(from) + ", 0 known from earlier";
+    w.saw(1, 3, "state-restored", 1).why = "from " + std::to_string(from) + ", 0 known members restored";
     EXPECT_EQ(w.breaches(), breaches);
     w.course.histories[1].insert(w.course.histories[1].begin(), Seen{})->event = "state-unavailable";
     EXPECT_EQ(w.breaches(), 0u);
@@ -190,7 +190,8 @@
   std::ofstream(file) << text;
   const auto [status, said] = w.command({"witness", "--options", file});
   EXPECT_EQ(status, 2);
-  EXPECT_NE(said.find("astray.yaml:6: membership.region: zone z1 stands in region r, as m1 says"),
+  EXPECT_NE(said.find("astray.yaml:6: membership.region: zone z1 is configured with region s, but member m1 "
+                      "reports region r"),
             std::string::npos)
       << said;
   EXPECT_TRUE(w.agreed());
@@ -219,7 +220,7 @@
   for (const auto i : stops.who) {
     for (const auto& seen : w.history(i).all)
       EXPECT_FALSE(seen.at >= woken && seen.event == "state-changed" && seen.state == "dead" &&
-                   seen.why == "nobody reaches it")
+                   seen.why == "no member receives an answer from it")
           << Fleet::name(i) << " of " << seen.about;
     EXPECT_TRUE(stops.span < 1s || w.said(i, "pause-detected", woken) > 0);
   }
--- a/tests/fleet/persisted_state.h
+++ b/tests/fleet/persisted_state.h
@@ -28,7 +28,7 @@
     if (seen.event == "state-unavailable") ++out.unavailableEvents;
     if (seen.event == "state-recovered") ++out.recoveredEvents;
     if (seen.event != "state-restored") continue;
-    // "from INCARNATION, COUNT known from earlier"
+    // "from INCARNATION, COUNT known members restored"
     out.firstIncarnations.push_back(std::stoull(seen.why.substr(seen.why.find(' ') + 1)));
     out.knownMembers.push_back(seen.why.substr(seen.why.find(',') + 2));
   }
--- a/tests/fleet/persisted_state_test.cpp
+++ b/tests/fleet/persisted_state_test.cpp
@@ -50,7 +50,7 @@
   w.start(3);
   w.expectConvergence();
   ASSERT_EQ(stateLogOf(w, 3).knownMembers.size(), 2u);
-  EXPECT_EQ(stateLogOf(w, 3).knownMembers.back(), "3 known from earlier");
+  EXPECT_EQ(stateLogOf(w, 3).knownMembers.back(), "3 known members restored");
 }
 
 struct StateDamage {
