--- a/tests/membership_recording_test.cpp
+++ b/tests/membership_recording_test.cpp
@@ -1,7 +1,8 @@
 /// @file
-/// Holds membership against recordings: the same seeds give the same messages, events and estimates, bit for
-/// bit. A change of names or of structure must leave them as they are. A deliberate change of behaviour
-/// writes them anew: run these tests with RAINHOOK_UPDATE_RECORDINGS=1 and say so in the commit.
+/// Compares membership with recordings: the same seeds have to produce the same messages, events and
+/// estimates, bit for bit. A change of names or structure must not alter the recordings. After a deliberate
+/// change of behaviour, update them: run these tests with RAINHOOK_UPDATE_RECORDINGS=1 and state this in the
+/// commit.
 #include <gtest/gtest.h>
 
 #include <bit>
@@ -25,7 +26,7 @@
 
 const std::string dataFolder = RAINHOOK_SOURCES "/tests/data/";
 
-/// FNV-1a, 64 bits (http://www.isthe.com/chongo/tech/comp/fnv/): stable over releases and machines.
+/// FNV-1a, 64 bits (http://www.isthe.com/chongo/tech/comp/fnv/): stable across releases and machines.
 class Fingerprint {
  public:
   void add(std::uint64_t value) {
@@ -47,7 +48,8 @@
   std::uint64_t value_ = 0xcbf29ce484222325;
 };
 
-/// Stable numbers of the events: their names in logs may change, what they stand for may not.
+/// Returns a stable number for each event type, because the names in logs may change while the meaning may
+/// not.
 std::uint64_t numberOf(MembershipEvent::Type type) {
   static const std::map<MembershipEvent::Type, std::uint64_t> numbers{
       {MembershipEvent::Type::joined, 1},           {MembershipEvent::Type::nameRejected, 2},
@@ -93,7 +95,7 @@
   }
 }
 
-/// What a member tells its users.
+/// Adds the view of a member as its users see it.
 void addView(Fingerprint& print, const Membership& member, Duration now) {
   const auto& counters = member.counters();
   for (const std::uint64_t count :
@@ -118,20 +120,20 @@
   addZones(print, member, now);
 }
 
-/// Runs a fleet through drawn faults and gives a fingerprint after each of them.
+/// Runs a fleet through random faults and returns a fingerprint after each of them.
 class Scenario {
  public:
   explicit Scenario(std::uint64_t seed)
       : random_(seed),
         count_(3 + random_(seed % 8 == 0 ? 30 : 9)),
-        world_(count_, 1 + random_(4), seed, termsOf(seed)),
+        fleet_(count_, 1 + random_(4), seed, settingsFor(seed)),
         quotas_(count_, DependencyQuota({3, 30s, 5s})) {
-    world_.onEffects = [this](std::size_t node, const Effects& out) {
-      addOutput(print_, world_.now, node, out);
+    fleet_.onEffects = [this](std::size_t node, const Effects& out) {
+      addOutput(print_, fleet_.now, node, out);
     };
   }
   std::string run() {
-    world_.startAll();
+    fleet_.startAll();
     runFor(12s);
     std::string out = print_.hex();
     for (int step = 0; step < 9; ++step) {
@@ -139,13 +141,13 @@
       runFor(std::chrono::milliseconds(1000 + random_(20000)));
       out += " " + print_.hex();
     }
-    world_.healAllLinks();
+    fleet_.healAllLinks();
     runFor(40s);
     return out + " " + print_.hex();
   }
 
  private:
-  static ProtocolSettings termsOf(std::uint64_t seed) {
+  static ProtocolSettings settingsFor(std::uint64_t seed) {
     ProtocolSettings settings;
     if (seed % 6 == 1) settings.useLocalHealth = false;
     if (seed % 6 == 2) settings.detectPauses = false;
@@ -160,52 +162,52 @@
     const std::size_t b = random_(static_cast<std::uint32_t>(count_));
     switch (random_(9)) {
       case 0:
-        if (world_.isRunning(a)) world_.kill(a);
+        if (fleet_.isRunning(a)) fleet_.kill(a);
         break;
       case 1:
-        if (!world_.isRunning(a)) world_.start(a, b);
+        if (!fleet_.isRunning(a)) fleet_.start(a, b);
         break;
       case 2:
-        if (!world_.isRunning(a))
-          world_.start(
+        if (!fleet_.isRunning(a))
+          fleet_.start(
               a, b,
               {Incarnation{3}, Incarnation{4}, {{SimulatedFleet::name(b), SimulatedFleet::address(b)}}});
         break;
       case 3:
-        if (world_.isRunning(a)) world_.pause(a, std::chrono::milliseconds(random_(20000)));
+        if (fleet_.isRunning(a)) fleet_.pause(a, std::chrono::milliseconds(random_(20000)));
         break;
       case 4:
-        world_.link = [a, b](auto from, auto to) {
+        fleet_.link = [a, b](auto from, auto to) {
           return SimulatedFleet::Link{from == a && to == b ? 1.0 : 0.1, {}};
         };
         break;
       case 5:
-        world_.link = [a](auto from, auto to) {
+        fleet_.link = [a](auto from, auto to) {
           return SimulatedFleet::Link{(from < a) == (to < a) ? 0.0 : 1.0, {}};
         };
         break;
       case 6:
-        world_.link = [a](auto from, auto to) {
+        fleet_.link = [a](auto from, auto to) {
           return SimulatedFleet::Link{from == a ? 0.8 : 0.2, to == a ? Duration(700ms) : Duration{}};
         };
         break;
       case 7:  // a whole zone
         for (std::size_t i = 0; i < count_; ++i)
-          if (world_.isRunning(i) && world_.nodes[i].zone == world_.nodes[a].zone) world_.kill(i);
+          if (fleet_.isRunning(i) && fleet_.nodes[i].zone == fleet_.nodes[a].zone) fleet_.kill(i);
         break;
       default:
-        if (world_.isRunning(a)) world_.leave(a);
+        if (fleet_.isRunning(a)) fleet_.leave(a);
     }
   }
   void runFor(Duration span) {
-    for (const Duration end = world_.now + span; world_.now < end;) {
-      world_.runFor(1s);
+    for (const Duration end = fleet_.now + span; fleet_.now < end;) {
+      fleet_.runFor(1s);
       for (std::size_t i = 0; i < count_; ++i)
-        if (world_.isRunning(i) && world_.now >= world_.nodes[i].pausedUntil) lookAt(i);
+        if (fleet_.isRunning(i) && fleet_.now >= fleet_.nodes[i].pausedUntil) publishAndRecord(i);
     }
   }
-  void lookAt(std::size_t node) {
-    Membership& member = *world_.nodes[node].member;
+  void publishAndRecord(std::size_t node) {
+    Membership& member = *fleet_.nodes[node].member;
     MemberStatus status;
     status.phase = node % 3 == 0 ? Phase::warmingUp : Phase::serving;
     status.concurrencyLimit = static_cast<double>(node);
@@ -214,14 +216,14 @@
     status.queueingRatio = 0.25;
     status.advertisedFleetSize = static_cast<double>(quotas_[node].fleetSize());
     member.publishStatus(status);
-    print_.add(quotas_[node].update(world_.now, observeFleet(member, world_.now, 30s)));
+    print_.add(quotas_[node].update(fleet_.now, observeFleet(member, fleet_.now, 30s)));
     print_.add(std::uint64_t{quotas_[node].quotaHolders()});
-    addView(print_, member, world_.now);
+    addView(print_, member, fleet_.now);
   }
 
   pcg32 random_;
   std::size_t count_;
-  SimulatedFleet world_;
+  SimulatedFleet fleet_;
   std::vector<DependencyQuota> quotas_;
   Fingerprint print_;
 };
@@ -232,7 +234,7 @@
   for (std::string line; std::getline(in, line);) out.push_back(line);
   return out;
 }
-void holdAgainst(const std::string& file, const std::vector<std::string>& actual) {
+void expectRecording(const std::string& file, const std::vector<std::string>& actual) {
   if (std::getenv("RAINHOOK_UPDATE_RECORDINGS")) {
     std::ofstream out(dataFolder + file);
     for (const auto& line : actual) out << line << '\n';
@@ -240,89 +242,90 @@
   EXPECT_EQ(linesOf(file), actual) << file;
 }
 
-TEST(MembershipRecording, BehavesAsRecordedWhateverTheFaults) {
+/// Guards against unintended changes of messages, events or estimates under random faults.
+TEST(MembershipRecording, MatchesTheRecordingWhenFaultsAreRandom) {
   std::vector<std::string> actual;
   for (std::uint64_t seed = 1; seed <= 48; ++seed)
     actual.push_back(std::to_string(seed) + " " + Scenario(seed).run());
-  holdAgainst("membership_behaviour.txt", actual);
+  expectRecording("membership_behaviour.txt", actual);
 }
 
-/// One who comes to a fleet of four from outside of it.
+/// An instance that joins a fleet of four.
 struct Newcomer {
   const char* name;
   const char* zone;
   const char* region;
   std::uint64_t processId;
-  bool joinsAlone;  ///< is in before it hears of the fleet
+  bool joinsAlone;  ///< whether it has joined alone before it learns of the fleet
 };
 
-/// Lets a newcomer and the fleet's members answer each other, message by message.
-void exchange(Fingerprint& print, SimulatedFleet& world, Membership& newcomer, Effects effects) {
+/// Exchanges messages between a newcomer and the members of the fleet.
+void exchange(Fingerprint& print, SimulatedFleet& fleet, Membership& newcomer, Effects effects) {
   for (int round = 0; round < 6 && !effects.messages.empty(); ++round) {
-    addOutput(print, world.now, 9, effects);
+    addOutput(print, fleet.now, 9, effects);
     Effects answers;
     for (const auto& sent : effects.messages) {
       const auto to = std::stoul(sent.address.text.substr(1));
-      if (to < world.nodes.size() && world.isRunning(to))
-        world.nodes[to].member->onMessage(world.now, *decodeMessage(sent.bytes), answers);
+      if (to < fleet.nodes.size() && fleet.isRunning(to))
+        fleet.nodes[to].member->onMessage(fleet.now, *decodeMessage(sent.bytes), answers);
     }
-    addOutput(print, world.now, 0, answers);
+    addOutput(print, fleet.now, 0, answers);
     effects = {};
     for (const auto& sent : answers.messages)
-      if (sent.address.text == "n9:1") newcomer.onMessage(world.now, *decodeMessage(sent.bytes), effects);
+      if (sent.address.text == "n9:1") newcomer.onMessage(fleet.now, *decodeMessage(sent.bytes), effects);
   }
-  addOutput(print, world.now, 9, effects);
+  addOutput(print, fleet.now, 9, effects);
 }
 
-/// The state of the fleet as its first member sends it to a stranger.
-std::string stateOf(SimulatedFleet& world) {
-  Message question;
-  question.kind = Message::Kind::stateRequest;
-  question.sender = {{"stranger"}, {"n9:1"}, {"z1"}, {"r"}, ProcessId{1}, Incarnation{1}};
+/// Returns the state of the fleet that its first member sends to an unknown instance.
+std::string stateOf(SimulatedFleet& fleet) {
+  Message request;
+  request.kind = Message::Kind::stateRequest;
+  request.sender = {{"stranger"}, {"n9:1"}, {"z1"}, {"r"}, ProcessId{1}, Incarnation{1}};
   Effects answers;
-  world.nodes[0].member->onMessage(world.now, question, answers);
+  fleet.nodes[0].member->onMessage(fleet.now, request, answers);
   return answers.messages.at(0).bytes;
 }
 
-std::string courseOf(const Newcomer& of) {
+std::string fingerprintOfJoin(const Newcomer& setup) {
   Fingerprint print;
-  SimulatedFleet world(4, 2, 5);
-  world.startAll();
-  world.runFor(20s);
-  world.kill(3);
+  SimulatedFleet fleet(4, 2, 5);
+  fleet.startAll();
+  fleet.runFor(20s);
+  fleet.kill(3);
   std::vector<Address> seeds;
-  if (!of.joinsAlone) seeds.push_back(SimulatedFleet::address(0));
-  Membership newcomer({{of.name}, {"n9:1"}, {of.zone}, {of.region}, ProcessId{of.processId}, {}}, seeds, {},
-                      1, {Incarnation{1}, Incarnation{3}, {}});
+  if (!setup.joinsAlone) seeds.push_back(SimulatedFleet::address(0));
+  Membership newcomer({{setup.name}, {"n9:1"}, {setup.zone}, {setup.region}, ProcessId{setup.processId}, {}},
+                      seeds, {}, 1, {Incarnation{1}, Incarnation{3}, {}});
   Effects effects;
-  newcomer.open(world.now, effects);
-  if (of.joinsAlone) newcomer.onMessage(world.now, *decodeMessage(stateOf(world)), effects);
-  exchange(print, world, newcomer, std::move(effects));
+  newcomer.open(fleet.now, effects);
+  if (setup.joinsAlone) newcomer.onMessage(fleet.now, *decodeMessage(stateOf(fleet)), effects);
+  exchange(print, fleet, newcomer, std::move(effects));
   Effects later;
-  for (Duration ahead = 100ms; ahead < 6s; ahead += 100ms) newcomer.onTimer(world.now + ahead, later);
-  addOutput(print, world.now, 9, later);
-  addView(print, newcomer, world.now + 6s);
-  world.runFor(5s);
-  addView(print, *world.nodes[1].member, world.now);
+  for (Duration ahead = 100ms; ahead < 6s; ahead += 100ms) newcomer.onTimer(fleet.now + ahead, later);
+  addOutput(print, fleet.now, 9, later);
+  addView(print, newcomer, fleet.now + 6s);
+  fleet.runFor(5s);
+  addView(print, *fleet.nodes[1].member, fleet.now);
   return print.hex();
 }
 
-// A name that is held, by one with a lower or a higher processId; one whose holder is gone; a zone that
-// stands in another region; and one that is new.
-TEST(MembershipRecording, NewcomersBehaveAsRecorded) {
+/// Guards against unintended changes of the join. The cases: a name in use by a process with a lower or a
+/// higher process ID, a name whose holder is dead, a zone with another region, and a new name.
+TEST(MembershipRecording, MatchesTheRecordingWhenInstancesJoin) {
   constexpr std::uint64_t highest = ~std::uint64_t{0};
   std::vector<std::string> actual;
   for (const bool joinsAlone : {false, true})
-    for (const Newcomer& of : {Newcomer{"n1", "z1", "r", 7, joinsAlone},
-                               {"n1", "z1", "r", highest, joinsAlone},
-                               {"n3", "z1", "r", 7, joinsAlone},
-                               {"n9", "z1", "elsewhere", 7, joinsAlone},
-                               {"n9", "z1", "r", 7, joinsAlone}})
-      actual.push_back(courseOf(of));
-  holdAgainst("membership_newcomers.txt", actual);
+    for (const Newcomer& setup : {Newcomer{"n1", "z1", "r", 7, joinsAlone},
+                                  {"n1", "z1", "r", highest, joinsAlone},
+                                  {"n3", "z1", "r", 7, joinsAlone},
+                                  {"n9", "z1", "elsewhere", 7, joinsAlone},
+                                  {"n9", "z1", "r", 7, joinsAlone}})
+      actual.push_back(fingerprintOfJoin(setup));
+  expectRecording("membership_newcomers.txt", actual);
 }
 
-/// One message of each kind, with all that a message can hold.
+/// Returns a message of the given kind in which all fields are set.
 Message messageOf(Message::Kind kind) {
   Message out;
   const auto number = static_cast<std::uint64_t>(kind);
@@ -366,7 +369,8 @@
   return out;
 }
 
-TEST(MembershipRecording, MessagesOfEachKindHaveTheBytesRecorded) {
+/// Guards against changes of the wire format, which other releases in the fleet could not decode.
+TEST(MembershipRecording, EncodesTheRecordedBytesWhenEachKindIsSent) {
   using Kind = Message::Kind;
   std::vector<std::string> actual;
   for (const auto kind :
@@ -380,7 +384,7 @@
   const auto cut = encodeMessage(messageOf(Kind::ping), 400);
   actual.push_back(hexOf(cut.bytes));
   actual.push_back(std::to_string(cut.updateCount) + " " + std::to_string(cut.statusCount));
-  holdAgainst("membership_messages.txt", actual);
+  expectRecording("membership_messages.txt", actual);
 }
 
 }  // namespace
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -1,4 +1,5 @@
-// Membership in simulated time: what must hold whatever the links and the stops of others do.
+/// @file
+/// Tests of the membership protocol in simulated time with link faults, pauses and killed processes.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -16,7 +17,7 @@
 
 constexpr int seeds = 10;
 
-// A fleet of so many that has come together.
+/// Starts a fleet and runs it until all members see each other as alive.
 SimulatedFleet convergedFleet(std::size_t count, std::size_t zones, int seed,
                               ProtocolSettings settings = {}) {
   SimulatedFleet fleet(count, zones, static_cast<std::uint64_t>(seed), settings);
@@ -25,7 +26,8 @@
   return fleet;
 }
 
-TEST(Membership, DeclaresAKilledMemberDeadAndNobodyElse) {
+/// Guards against undetected deaths, and against false declarations caused by a death elsewhere in the fleet.
+TEST(Membership, DeclaresOnlyTheKilledMemberDeadWhenOneIsKilled) {
   for (int seed = 1; seed <= seeds; ++seed)
     for (const std::size_t count : {3u, 5u, 9u, 50u}) {
       SimulatedFleet fleet = convergedFleet(count, 3, seed);
@@ -33,19 +35,23 @@
       EXPECT_TRUE(fleet.runUntil(60s, [&] { return fleet.hasConverged(); }))
           << count << " members, seed " << seed;
       EXPECT_EQ(fleet.deathsDeclared(), fleet.deathsDeclaredOf(1));
-      EXPECT_EQ(fleet.findBreach(), "");
+      EXPECT_EQ(fleet.findInvariantViolation(), "");
     }
 }
 
-TEST(Membership, DeclaresNobodyDeadWhenItIsTheLastOfTwo) {
+/// Guards against a declaration without a second accuser: the last member of two cannot distinguish a dead
+/// member from a broken link.
+TEST(Membership, DeclaresNoDeathWhenOneOfTwoMembersIsKilled) {
   SimulatedFleet fleet = convergedFleet(2, 2, 1);
   fleet.kill(1);
   fleet.runFor(300s);
-  EXPECT_EQ(fleet.stateSeen(0, 1), MemberState::suspect);  // it may as well be the link
+  EXPECT_EQ(fleet.stateSeen(0, 1), MemberState::suspect);  // the failure may be a broken link
   EXPECT_TRUE(fleet.nodes[0].member->isViewUncertain(fleet.now));
 }
 
-TEST(Membership, ReportsAKilledZoneAsOneEventAndDeclaresItDead) {
+/// Guards against one event per member when all members of a zone fail together, and against a dead zone
+/// whose members stay suspect.
+TEST(Membership, ReportsOneZoneEventWhenAZoneIsKilled) {
   for (int seed = 1; seed <= seeds; ++seed) {
     SimulatedFleet fleet = convergedFleet(12, 3, seed);
     const Duration killed = fleet.now;
@@ -54,9 +60,9 @@
     for (const auto& node : fleet.nodes) {
       if (!node.member) continue;
       EXPECT_EQ(std::count_if(node.events.begin(), node.events.end(),
-                              [&](const auto& c) {
-                                return c.first >= killed &&
-                                       c.second.type == MembershipEvent::Type::zoneUnreachable;
+                              [&](const auto& entry) {
+                                return entry.first >= killed &&
+                                       entry.second.type == MembershipEvent::Type::zoneUnreachable;
                               }),
                 1)
           << "seed " << seed;
@@ -64,7 +70,9 @@
   }
 }
 
-TEST(Membership, DeclaresNobodyDeadWhenAllOthersAreKilled) {
+/// Guards against declarations by a member that receives nothing, which looks the same as a loss of its own
+/// network.
+TEST(Membership, DeclaresNoDeathWhenAllOtherMembersAreKilled) {
   SimulatedFleet fleet = convergedFleet(8, 3, 1);
   for (std::size_t i = 1; i < 8; ++i) fleet.kill(i);
   fleet.runFor(300s);
@@ -72,20 +80,24 @@
   EXPECT_TRUE(fleet.nodes[0].member->isViewUncertain(fleet.now));
 }
 
-TEST(Membership, DeclaresNobodyDeadAfterItsOwnPause) {
+/// Guards against declarations by a paused process, whose timers expire simultaneously when it resumes
+/// although the others were alive.
+TEST(Membership, DeclaresNoDeathWhenAllButOneMemberWerePaused) {
   for (int seed = 1; seed <= seeds; ++seed)
-    for (const Duration stop : {500ms, 3000ms, 30000ms}) {
+    for (const Duration pause : {500ms, 3000ms, 30000ms}) {
       SimulatedFleet fleet = convergedFleet(9, 3, seed);
       const Duration from = fleet.now;
-      for (std::size_t i = 1; i < 9; ++i) fleet.pause(i, stop);  // all but one
-      fleet.runFor(stop + 20s);
+      for (std::size_t i = 1; i < 9; ++i) fleet.pause(i, pause);  // all but one
+      fleet.runFor(pause + 20s);
       EXPECT_TRUE(fleet.runUntil(30s, [&] { return fleet.hasConverged(); })) << "seed " << seed;
       for (std::size_t i = 0; i < 9; ++i)
         EXPECT_EQ(fleet.deathsDeclaredOf(i, from), 0u) << "seed " << seed << " member " << i;
     }
 }
 
-TEST(Membership, ConvergesAfterAThirdOfTheFleetWasPaused) {
+/// Guards against false declarations of running members by those that resume, and against members that stay
+/// suspect after a pause.
+TEST(Membership, ConvergesWhenAThirdOfTheFleetWasPaused) {
   for (int seed = 1; seed <= seeds; ++seed) {
     SimulatedFleet fleet = convergedFleet(9, 3, seed);
     const Duration from = fleet.now;
@@ -97,7 +109,8 @@
   }
 }
 
-TEST(Membership, DeclaresNobodyDeadWhenThirtyPercentOfDatagramsAreLost) {
+/// Guards against declarations that several lost probes in a row cause.
+TEST(Membership, DeclaresNoDeathWhenThirtyPercentOfDatagramsAreLost) {
   for (int seed = 1; seed <= seeds; ++seed) {
     SimulatedFleet fleet = convergedFleet(9, 3, seed);
     fleet.link = [](auto, auto) { return SimulatedFleet::Link{0.3, {}}; };
@@ -108,8 +121,9 @@
   }
 }
 
-// One link one way; A and B from each other; all into one member; all out of one member.
-TEST(Membership, DeclaresNobodyDeadWhoIsReceivedFromWhenLinksAreCutOneWay) {
+/// Guards against declarations of members from which other members still receive. The cuts are: one link in
+/// one direction, one link in both directions, and all links to one member.
+TEST(Membership, DeclaresNoDeathWhenLinksAreCutInOneDirection) {
   using Cut = std::function<bool(std::size_t, std::size_t)>;
   const Cut cuts[] = {[](auto from, auto to) { return from == 0 && to == 1; },
                       [](auto from, auto to) { return (from == 0 && to == 1) || (from == 1 && to == 0); },
@@ -124,11 +138,12 @@
         fleet.healAllLinks();
         EXPECT_TRUE(fleet.runUntil(20s, [&] { return fleet.hasConverged(); }))
             << count << " members, seed " << seed << " cut " << &cut - cuts;
-        EXPECT_EQ(fleet.findBreach(), "");
+        EXPECT_EQ(fleet.findInvariantViolation(), "");
       }
 }
 
-TEST(Membership, SeesAMemberAsUnreachableWhenOnlyItsOwnLinkIsCut) {
+/// Guards against a broken link that stays unnoticed because other members confirm that the member is alive.
+TEST(Membership, MarksAMemberUnreachableWhenOnlyTheLinkToItIsCut) {
   SimulatedFleet fleet = convergedFleet(5, 3, 1);
   fleet.link = [](auto from, auto to) { return SimulatedFleet::Link{from + to == 1 ? 1.0 : 0.0, {}}; };
   EXPECT_TRUE(fleet.runUntil(
@@ -141,7 +156,9 @@
       30s, [&] { return fleet.nodes[0].member->members().at(SimulatedFleet::name(1)).isReachable(); }));
 }
 
-TEST(Membership, DeclaresAMemberDeadWhenNobodyReceivesFromItUntilItIsBack) {
+/// Guards against a member that stays alive in the views although all of its messages are lost, and against
+/// one that stays dead after its links work again.
+TEST(Membership, DeclaresAMemberDeadWhenNoMemberReceivesFromIt) {
   for (int seed = 1; seed <= seeds; ++seed) {
     SimulatedFleet fleet = convergedFleet(9, 3, seed);
     fleet.link = [](auto from, auto) { return SimulatedFleet::Link{from == 2 ? 1.0 : 0.0, {}}; };
@@ -154,7 +171,8 @@
   }
 }
 
-TEST(Membership, ConvergesWithinTenPeriodsAfterAPartition) {
+/// Guards against sides of a partition that never probe each other again after each declared the other dead.
+TEST(Membership, ConvergesWithinTenPeriodsWhenAPartitionEnds) {
   for (int seed = 1; seed <= seeds; ++seed)
     for (const std::size_t parts : {2u, 3u})
       for (const bool byZone : {true, false}) {
@@ -164,7 +182,7 @@
           return SimulatedFleet::Link{part(from) == part(to) ? 0.0 : 1.0, {}};
         };
         fleet.runFor(90s);
-        fleet.kill(5), fleet.start(5, 2);  // meanwhile one restarts
+        fleet.kill(5), fleet.start(5, 2);  // one member restarts during the partition
         fleet.runFor(20s);
         fleet.healAllLinks();
         EXPECT_TRUE(fleet.runUntil(10s, [&] { return fleet.hasConverged(); }))
@@ -172,6 +190,7 @@
       }
 }
 
+/// Guards against a restarted process whose first incarnation the others ignore as outdated.
 TEST(Membership, RaisesTheIncarnationWhenAMemberRestarts) {
   for (int seed = 1; seed <= seeds; ++seed) {
     SimulatedFleet fleet = convergedFleet(5, 3, seed);
@@ -179,11 +198,12 @@
     EXPECT_TRUE(fleet.runUntil(20s, [&] { return fleet.hasConverged(); })) << "seed " << seed;
     EXPECT_EQ(fleet.deathsDeclared(), 0u);
     EXPECT_GT(fleet.nodes[1].member->self().incarnation, Incarnation{1});
-    EXPECT_EQ(fleet.findBreach(), "");
+    EXPECT_EQ(fleet.findInvariantViolation(), "");
   }
 }
 
-TEST(Membership, NeverDeclaresAMemberDeadThatLeft) {
+/// Guards against a declaration of death of a member that announced that it leaves and then stopped.
+TEST(Membership, DeclaresNoDeathWhenAMemberLeaves) {
   for (int seed = 1; seed <= seeds; ++seed) {
     SimulatedFleet fleet = convergedFleet(9, 3, seed);
     fleet.leave(4);
@@ -196,7 +216,8 @@
   }
 }
 
-TEST(Membership, DeclaresNobodyDeadWhenALinkDelaysByTwoSeconds) {
+/// Guards against declarations caused by acknowledgements that arrive after their probe has expired.
+TEST(Membership, DeclaresNoDeathWhenALinkDelaysByTwoSeconds) {
   for (int seed = 1; seed <= seeds; ++seed) {
     SimulatedFleet fleet = convergedFleet(5, 3, seed);
     fleet.link = [](auto from, auto) {
@@ -207,38 +228,40 @@
   }
 }
 
-TEST(Membership, ConvergesWhenTwoHundredJoinWithinASecond) {
+/// Guards against updates that are lost because many members join at the same time.
+TEST(Membership, ConvergesWhenTwoHundredMembersJoinWithinASecond) {
   SimulatedFleet fleet(200, 3, 1);
   for (std::size_t i = 0; i < 200; ++i) fleet.start(i), fleet.runFor(5ms);
   EXPECT_TRUE(fleet.runUntil(60s, [&] { return fleet.hasConverged(); }));
   EXPECT_EQ(fleet.deathsDeclared(), 0u);
-  EXPECT_EQ(fleet.findBreach(), "");
+  EXPECT_EQ(fleet.findInvariantViolation(), "");
 }
 
-// The defences are worth what they cost: with each of them taken out, its fault buries those who live.
-TEST(Membership, DeclaresLivingMembersDeadWhenADefenceIsSwitchedOff) {
-  std::size_t stopped = 0, deaf = 0;
+/// Guards against extensions of SWIM without effect, which would leave the tests above meaningless: with an
+/// extension disabled, the fault that it handles leads to false declarations.
+TEST(Membership, DeclaresLivingMembersDeadWhenAnExtensionIsDisabled) {
+  std::size_t deathsByPausedMembers = 0, deathsOfDisconnectedMember = 0;
   for (int seed = 1; seed <= seeds; ++seed) {
-    ProtocolSettings noPause;
-    noPause.detectPauses = noPause.requireCorroboration = false;
-    SimulatedFleet fleet = convergedFleet(9, 3, seed, noPause);
+    ProtocolSettings withoutPauseDetection;
+    withoutPauseDetection.detectPauses = withoutPauseDetection.requireCorroboration = false;
+    SimulatedFleet fleet = convergedFleet(9, 3, seed, withoutPauseDetection);
     for (std::size_t i = 1; i < 9; ++i) fleet.pause(i, 30s);
     fleet.runFor(60s);
-    stopped += fleet.deathsDeclared();
-    ProtocolSettings noWitnesses;
-    noWitnesses.requireCorroboration = false;
-    SimulatedFleet v = convergedFleet(9, 3, seed, noWitnesses);
-    v.link = [](auto, auto to) { return SimulatedFleet::Link{to == 2 ? 1.0 : 0.0, {}}; };
-    v.runFor(60s);
-    deaf += v.deathsDeclaredOf(2);
+    deathsByPausedMembers += fleet.deathsDeclared();
+    ProtocolSettings withoutCorroboration;
+    withoutCorroboration.requireCorroboration = false;
+    SimulatedFleet disconnected = convergedFleet(9, 3, seed, withoutCorroboration);
+    disconnected.link = [](auto, auto to) { return SimulatedFleet::Link{to == 2 ? 1.0 : 0.0, {}}; };
+    disconnected.runFor(60s);
+    deathsOfDisconnectedMember += disconnected.deathsDeclaredOf(2);
   }
-  EXPECT_GT(stopped, 0u);
-  EXPECT_GT(deaf, 0u);
+  EXPECT_GT(deathsByPausedMembers, 0u);
+  EXPECT_GT(deathsOfDisconnectedMember, 0u);
 }
 
-// Faults by chance; after the last one all views agree, and nobody who lived and was heard was ever buried
-// for long.
-TEST(Membership, ConvergesAfterRandomFaults) {
+/// Guards against combinations of faults after which the views never agree again, or a living member stays
+/// dead.
+TEST(Membership, ConvergesWhenRandomFaultsEnd) {
   for (std::uint64_t seed = 1; seed <= 60; ++seed) {
     pcg32 chance(seed);
     const std::size_t count = 4 + chance(8);
@@ -273,41 +296,43 @@
       if (!fleet.isRunning(i)) fleet.start(i, i == 0 ? 1 : 0);
     fleet.runFor(20s);
     EXPECT_TRUE(fleet.runUntil(60s, [&] { return fleet.hasConverged(); })) << "seed " << seed;
-    EXPECT_EQ(fleet.findBreach(), "") << "seed " << seed;
+    EXPECT_EQ(fleet.findInvariantViolation(), "") << "seed " << seed;
   }
 }
 
-TEST(Membership, RejectsASecondInstanceUnderAHeldName) {
+/// Guards against two running instances with one name: the second one has to probe the first one and stop.
+TEST(Membership, RejectsASecondInstanceWhenItsNameIsInUse) {
   SimulatedFleet fleet = convergedFleet(5, 3, 1);
   Membership second({SimulatedFleet::name(1), {"n9:1"}, {"z1"}, {"r"}, ProcessId{7}, Incarnation{1}},
                     {SimulatedFleet::address(0)}, {}, 1);
   Effects effects;
   second.open(fleet.now, effects);
-  const auto talk = [&](std::size_t with, const std::string& bytes, bool toSecond) {
-    Effects got;
-    toSecond ? second.onMessage(fleet.now, *decodeMessage(bytes), got)
-             : fleet.nodes[with].member->onMessage(fleet.now, *decodeMessage(bytes), got);
-    return got;
+  const auto exchange = [&](std::size_t with, const std::string& bytes, bool toSecond) {
+    Effects produced;
+    toSecond ? second.onMessage(fleet.now, *decodeMessage(bytes), produced)
+             : fleet.nodes[with].member->onMessage(fleet.now, *decodeMessage(bytes), produced);
+    return produced;
   };
   ASSERT_EQ(effects.messages.size(), 1u);
-  const auto state = talk(0, effects.messages[0].bytes, false);
+  const auto state = exchange(0, effects.messages[0].bytes, false);
   ASSERT_EQ(state.messages.size(), 1u);
-  const auto asks = talk(0, state.messages[0].bytes, true);  // finds its name held, and asks there
-  ASSERT_EQ(asks.messages.size(), 1u);
-  EXPECT_EQ(asks.messages[0].address, SimulatedFleet::address(1));
+  const auto requests =
+      exchange(0, state.messages[0].bytes, true);  // finds its name in use and probes the holder
+  ASSERT_EQ(requests.messages.size(), 1u);
+  EXPECT_EQ(requests.messages[0].address, SimulatedFleet::address(1));
   EXPECT_FALSE(second.hasJoined());
-  const auto lives = talk(1, asks.messages[0].bytes, false);
-  ASSERT_EQ(lives.messages.size(), 1u);
-  EXPECT_EQ(lives.messages[0].address.text, "n9:1");
-  talk(1, lives.messages[0].bytes, true);
+  const auto reply = exchange(1, requests.messages[0].bytes, false);
+  ASSERT_EQ(reply.messages.size(), 1u);
+  EXPECT_EQ(reply.messages[0].address.text, "n9:1");
+  exchange(1, reply.messages[0].bytes, true);
   EXPECT_TRUE(second.isRejected());
   fleet.runFor(30s);
   EXPECT_TRUE(fleet.hasConverged());
 }
 
-// Two alone in a zone, killed together: one of them is missed first, and is not to be told of as a single
-// death.
-TEST(Membership, ReportsAKilledZoneOfTwoBeforeAnyDeathInIt) {
+/// Guards against a report of a single death when both members of a zone are killed together, because the
+/// failure of one of them is detected first.
+TEST(Membership, ReportsTheZoneBeforeDeathsWhenAZoneOfTwoIsKilled) {
   for (int seed = 1; seed <= 12 * seeds; ++seed) {
     SimulatedFleet fleet = convergedFleet(6, 3, seed);
     fleet.link = [](auto, auto) { return SimulatedFleet::Link{0.1, {}}; };
@@ -317,25 +342,25 @@
     EXPECT_TRUE(fleet.runUntil(180s, [&] { return fleet.hasConverged(); })) << "seed " << seed;
     for (const auto& node : fleet.nodes) {
       if (!node.member) continue;
-      Duration silent{-1}, dead{-1};
+      Duration zoneReportedAt{-1}, deathReportedAt{-1};
       for (const auto& [at, event] : node.events) {
         if (at < killed) continue;
-        if (event.type == MembershipEvent::Type::zoneUnreachable && silent < 0s) silent = at;
+        if (event.type == MembershipEvent::Type::zoneUnreachable && zoneReportedAt < 0s) zoneReportedAt = at;
         if (event.type == MembershipEvent::Type::stateChanged && event.state == MemberState::dead &&
-            dead < 0s)
-          dead = at;
+            deathReportedAt < 0s)
+          deathReportedAt = at;
       }
-      EXPECT_TRUE(silent >= 0s && silent <= dead) << "seed " << seed;
+      EXPECT_TRUE(zoneReportedAt >= 0s && zoneReportedAt <= deathReportedAt) << "seed " << seed;
     }
   }
 }
 
-// One that is told by hand: a member in a fleet of two, at the times of the test.
-struct Alone {
+/// A member in a fleet of two. The test provides the messages of the other member and their times.
+struct SingleMember {
   Membership member;
   const MemberRecord other{{"n1"}, {"n1:1"}, {"z1"}, {"r"}, ProcessId{2}, Incarnation{1}};
-  explicit Alone(PersistedIdentity earlier)
-      : member({{"n0"}, {"n0:1"}, {"z0"}, {"r"}, ProcessId{1}, {}}, {}, {}, 1, std::move(earlier)) {
+  explicit SingleMember(PersistedIdentity identity)
+      : member({{"n0"}, {"n0:1"}, {"z0"}, {"r"}, ProcessId{1}, {}}, {}, {}, 1, std::move(identity)) {
     Effects effects;
     member.open(1s, effects);
   }
@@ -348,44 +373,49 @@
   std::uint64_t incarnation() const { return static_cast<std::uint64_t>(member.self().incarnation); }
 };
 
-TEST(Membership, RefutesOnlyWithReservedIncarnations) {
-  Alone fleet({Incarnation{5}, Incarnation{6}, {}});
-  const auto suspected = [&] {
+/// Guards against the use of an incarnation that is not on disk: after a restart, the member would use it
+/// again.
+TEST(Membership, RefutesOnlyWithReservedIncarnationsWhenSuspected) {
+  SingleMember fleet({Incarnation{5}, Incarnation{6}, {}});
+  const auto receiveSuspicion = [&] {
     fleet.receive(2s, {{GossipUpdate::Kind::suspect, fleet.member.self(), {{{"n1"}, {"z1"}}}}});
   };
   EXPECT_EQ(fleet.incarnation(), 5u);
-  suspected();
+  receiveSuspicion();
   EXPECT_EQ(fleet.incarnation(), 6u);
   EXPECT_EQ(fleet.member.counters().refutations, 1u);
-  suspected();  // the disk holds 6
+  receiveSuspicion();  // 6 is the highest reserved incarnation
   EXPECT_EQ(fleet.incarnation(), 6u);
   EXPECT_EQ(fleet.member.counters().refutations, 1u);
   EXPECT_EQ(fleet.member.counters().postponedRefutations, 1u);
   fleet.member.reserveUpTo(Incarnation{100});
-  suspected();
+  receiveSuspicion();
   EXPECT_EQ(fleet.incarnation(), 7u);
-  // An earlier life under another address, that nobody answers for any more.
+  // An earlier process of this member at another address, where no process answers anymore.
   MemberRecord earlier = fleet.member.self();
   earlier.processId = ProcessId{9}, earlier.address = {"n9:1"}, earlier.incarnation = Incarnation{500};
   fleet.receive(3s, {{GossipUpdate::Kind::dead, earlier, {{{"n1"}, {"z1"}}}}});
   EXPECT_EQ(fleet.incarnation(), 100u);
-  EXPECT_EQ(fleet.member.requiredIncarnation(), Incarnation{501});  // so far the disk has to go, in one step
+  EXPECT_EQ(fleet.member.requiredIncarnation(),
+            Incarnation{501});  // the next reservation has to cover it in one step
 }
 
-TEST(Membership, IsRejectedWhenItsZoneStandsInAnotherRegion) {
+/// Guards against wrong sums by zone or region when an operator configures a zone with two regions.
+TEST(Membership, IsRejectedWhenItsZoneHasAnotherRegion) {
   SimulatedFleet fleet = convergedFleet(3, 3, 1);
-  Membership astray({{"n9"}, {"n9:1"}, {"z1"}, {"elsewhere"}, ProcessId{7}, {}}, {SimulatedFleet::address(0)},
-                    {}, 1);
-  Effects asks, answers, heard;
-  astray.open(fleet.now, asks);
-  fleet.nodes[0].member->onMessage(fleet.now, *decodeMessage(asks.messages.at(0).bytes), answers);
-  astray.onMessage(fleet.now, *decodeMessage(answers.messages.at(0).bytes), heard);
-  EXPECT_TRUE(astray.isRejected());
-  EXPECT_FALSE(astray.hasJoined());
-  EXPECT_EQ(heard.events.back().type, MembershipEvent::Type::regionMismatch);
-  EXPECT_EQ(heard.events.back().member.name, SimulatedFleet::name(1));
+  Membership misconfigured({{"n9"}, {"n9:1"}, {"z1"}, {"elsewhere"}, ProcessId{7}, {}},
+                           {SimulatedFleet::address(0)}, {}, 1);
+  Effects requests, answers, results;
+  misconfigured.open(fleet.now, requests);
+  fleet.nodes[0].member->onMessage(fleet.now, *decodeMessage(requests.messages.at(0).bytes), answers);
+  misconfigured.onMessage(fleet.now, *decodeMessage(answers.messages.at(0).bytes), results);
+  EXPECT_TRUE(misconfigured.isRejected());
+  EXPECT_FALSE(misconfigured.hasJoined());
+  EXPECT_EQ(results.events.back().type, MembershipEvent::Type::regionMismatch);
+  EXPECT_EQ(results.events.back().member.name, SimulatedFleet::name(1));
 }
 
+/// Guards against a member that cannot rejoin its fleet after a restart because all seeds are down.
 TEST(Membership, AsksPersistedMembersWhenNoSeedAnswers) {
   Membership member({{"n0"}, {"n0:1"}, {"z0"}, {"r"}, ProcessId{1}, {}}, {{"n7:1"}}, {}, 1,
                     {Incarnation{1}, Incarnation{9}, {{{"n1"}, {"n1:1"}}, {{"n2"}, {"n2:1"}}}});
@@ -395,12 +425,12 @@
   std::vector<std::string> asked;
   for (const auto& sent : effects.messages) asked.push_back(sent.recipient.text + "@" + sent.address.text);
   EXPECT_EQ(asked, (std::vector<std::string>{"@n7:1", "@n7:1", "@n7:1", "n1@n1:1", "n2@n2:1"}));
-  EXPECT_TRUE(member.hasJoined());  // nobody answers: it is the first
+  EXPECT_TRUE(member.hasJoined());  // no contact answers, so it is the first member
 }
 
-TEST(ZoneAggregate, HoldsStatusesAndTheirAge) {
-  SimulatedFleet fleet =
-      convergedFleet(5, 2, 1);  // zone z0 has n0, n2 and n4, each with its number as its limit
+/// Guards against sums that lack statuses, and against outdated statuses that look current.
+TEST(ZoneAggregate, SumsStatusesAndReportsTheOldestAgeWhenMembersPublish) {
+  SimulatedFleet fleet = convergedFleet(5, 2, 1);  // zone z0 has n0, n2 and n4; each limit equals the index
   MemberStatus cold;
   cold.phase = Phase::warmingUp, cold.concurrencyLimit = 10, cold.warmUpProgress = 0.5,
   cold.receivedPerSecond = 7, cold.queueingRatio = 0.5;
@@ -419,7 +449,7 @@
   EXPECT_NEAR(sums[0].queueingRatio, 0.5 / 3, 1e-6);
   EXPECT_EQ(sums[1].members, 2u);
   EXPECT_LT(sums[0].oldestStatusAge, 30s);
-  // Cut off, its figures grow old, and it is told.
+  // While n4 is disconnected its status ages, and the aggregate reports that age.
   fleet.link = [](auto from, auto to) { return SimulatedFleet::Link{from == 4 || to == 4 ? 1.0 : 0.0, {}}; };
   fleet.runFor(6s);
   EXPECT_GE(aggregateByZone(*fleet.nodes[1].member, fleet.now)[0].oldestStatusAge, 4s);
@@ -427,32 +457,34 @@
   EXPECT_EQ(aggregateByZone(*fleet.nodes[1].member, fleet.now)[0].members, 2u);
 }
 
-// Without its age it may be an echo of an hour ago; passed on as new it would put off each verdict.
-TEST(MessageCodec, DropsAProofOfLifeWithoutItsAge) {
+/// Guards against an observation without an age, as older releases send it. It may be an hour old, and
+/// forwarded as new it would postpone every declaration.
+TEST(MessageCodec, DropsAReceivedFromUpdateWhenItHasNoAge) {
   Message message;
   message.sender.name.text = "n1";
   message.updates.push_back({GossipUpdate::Kind::receivedFrom, message.sender, {{{"n2"}, {"z2"}}}, 5s});
   EXPECT_EQ(decodeMessage(encodeMessage(message, maxDatagramBytes).bytes)->updates.size(), 1u);
-  msgpack::sbuffer older;
-  msgpack::packer<msgpack::sbuffer> out(older);
+  msgpack::sbuffer withoutAge;
+  msgpack::packer<msgpack::sbuffer> out(withoutAge);
   const auto object = msgpack::unpack(encodeMessage(message, maxDatagramBytes).bytes.data(),
                                       encodeMessage(message, maxDatagramBytes).bytes.size());
-  const auto& whole = object.get().via.array;
-  out.pack_array(whole.size);
-  for (std::uint32_t i = 0; i < whole.size; ++i) {
+  const auto& fields = object.get().via.array;
+  out.pack_array(fields.size);
+  for (std::uint32_t i = 0; i < fields.size; ++i) {
     if (i != 7) {
-      out.pack(whole.ptr[i]);
+      out.pack(fields.ptr[i]);
       continue;
     }
     out.pack_array(1), out.pack_array(3);
-    for (int part = 0; part < 3; ++part) out.pack(whole.ptr[i].via.array.ptr[0].via.array.ptr[part]);
+    for (int part = 0; part < 3; ++part) out.pack(fields.ptr[i].via.array.ptr[0].via.array.ptr[part]);
   }
-  const auto back = decodeMessage({older.data(), older.size()});
+  const auto back = decodeMessage({withoutAge.data(), withoutAge.size()});
   ASSERT_TRUE(back);
   EXPECT_TRUE(back->updates.empty());
 }
 
-RC_GTEST_PROP(MessageCodec, DecodesWhatItEncodedAndSurvivesSpoiltBytes,
+/// Guards against fields that the encoding loses, and against crashes on truncated or damaged bytes.
+RC_GTEST_PROP(MessageCodec, DecodesEncodedMessagesAndToleratesThemWhenDamaged,
               (std::string name, std::uint64_t number)) {
   Message message;
   message.sender.name.text = name.substr(0, maxIdentifierBytes) + "x";
@@ -472,7 +504,8 @@
   std::ignore = decodeMessage(bytes);
 }
 
-TEST(MessageCodec, EncodesAsManyUpdatesAsFitIntoADatagram) {
+/// Guards against datagrams above the size limit when many updates are queued.
+TEST(MessageCodec, EncodesOnlyTheUpdatesThatFitWhenADatagramIsFull) {
   Message message;
   message.sender.name.text = "x";
   for (int i = 0; i < 500; ++i)
@@ -480,10 +513,10 @@
         {GossipUpdate::Kind::alive,
          {{"member" + std::to_string(i)}, {"127.0.0.1:7000"}, {"zone"}, {"region"}, {}, {}},
          {}});
-  const auto [bytes, taken, statuses] = encodeMessage(message, maxDatagramBytes);
+  const auto [bytes, updateCount, statusCount] = encodeMessage(message, maxDatagramBytes);
   EXPECT_LE(bytes.size(), maxDatagramBytes);
-  EXPECT_GT(taken, 10u);
-  EXPECT_EQ(decodeMessage(bytes)->updates.size(), taken);
+  EXPECT_GT(updateCount, 10u);
+  EXPECT_EQ(decodeMessage(bytes)->updates.size(), updateCount);
 }
 
 }  // namespace
--- a/tests/message_authenticator_test.cpp
+++ b/tests/message_authenticator_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// What the authentication lets through: only what is signed by a key of ours, and once.
+/// Tests that the authenticator accepts only messages signed with an active key, and each of them once.
 #include "membership_transport/message_authenticator.h"
 
 #include <gtest/gtest.h>
@@ -25,7 +25,9 @@
   MessageAuthenticator receiver_{{keyOf(1)}, 8};
 };
 
-TEST_F(MessageAuthenticatorTest, VerifiesEachMessageOnceWithinTheReplayWindow) {
+/// Guards against replayed messages, and against rejected messages that arrive out of order within the
+/// window.
+TEST_F(MessageAuthenticatorTest, VerifiesEachMessageOnceWhenWithinTheReplayWindow) {
   std::vector<std::string> sent;
   for (int i = 0; i < 2000; ++i) sent.push_back(sender_.sign(std::to_string(i)));
   EXPECT_EQ(textOf(receiver_.verify(sent[5])), "5");
@@ -33,13 +35,14 @@
   EXPECT_EQ(textOf(receiver_.verify(sent[3])), "nothing");
   EXPECT_EQ(textOf(receiver_.verify(sent[1500])), "1500");
   EXPECT_EQ(textOf(receiver_.verify(sent[5])), "nothing");    // verified before
-  EXPECT_EQ(textOf(receiver_.verify(sent[100])), "nothing");  // behind the window
+  EXPECT_EQ(textOf(receiver_.verify(sent[100])), "nothing");  // older than the window
   EXPECT_EQ(textOf(receiver_.verify(sent[1400])), "1400");
   EXPECT_EQ(textOf(receiver_.verify(sent[1400])), "nothing");
   EXPECT_EQ(receiver_.counters().replayed, 4u);
 }
 
-TEST_F(MessageAuthenticatorTest, VerifiesEachMessageOnceWhateverTheOrder) {
+/// Guards against a message that is accepted twice because the window advanced over stale entries.
+TEST_F(MessageAuthenticatorTest, VerifiesEachMessageOnceWhenTheOrderIsRandom) {
   pcg32 random(1);
   std::vector<std::string> sent;
   for (int i = 0; i < 5000; ++i) sent.push_back(sender_.sign("x"));
@@ -55,29 +58,32 @@
   EXPECT_GT(verified, 2500);
 }
 
-TEST_F(MessageAuthenticatorTest, SignsWithTheFirstKeyAndVerifiesWithAll) {
-  MessageAuthenticator both({keyOf(1), keyOf(2)}, 8);
-  MessageAuthenticator onlyNew({keyOf(2)}, 9);
-  EXPECT_EQ(textOf(both.verify(sender_.sign("a"))), "a");
-  EXPECT_EQ(textOf(both.verify(onlyNew.sign("b"))), "b");
-  EXPECT_EQ(textOf(sender_.verify(both.sign("c"))), "c");
-  EXPECT_EQ(textOf(onlyNew.verify(both.sign("d"))), "nothing");
+/// Guards against instances that reject each other while an operator replaces the key.
+TEST_F(MessageAuthenticatorTest, SignsWithTheFirstKeyAndVerifiesWithAllWhenTwoAreActive) {
+  MessageAuthenticator twoKeys({keyOf(1), keyOf(2)}, 8);
+  MessageAuthenticator newKeyOnly({keyOf(2)}, 9);
+  EXPECT_EQ(textOf(twoKeys.verify(sender_.sign("a"))), "a");
+  EXPECT_EQ(textOf(twoKeys.verify(newKeyOnly.sign("b"))), "b");
+  EXPECT_EQ(textOf(sender_.verify(twoKeys.sign("c"))), "c");
+  EXPECT_EQ(textOf(newKeyOnly.verify(twoKeys.sign("d"))), "nothing");
 }
 
+/// Guards against accepted messages that were modified or truncated in transit.
 TEST_F(MessageAuthenticatorTest, RejectsAMessageWhenAnyBitIsFlippedOrBytesAreMissing) {
   const auto sent = sender_.sign("message");
   for (std::size_t bit = 0; bit < sent.size() * 8; ++bit) {
-    auto spoilt = sent;
-    spoilt[bit / 8] = static_cast<char>(spoilt[bit / 8] ^ (1 << bit % 8));
-    EXPECT_EQ(textOf(receiver_.verify(spoilt)), "nothing") << bit;
+    auto damaged = sent;
+    damaged[bit / 8] = static_cast<char>(damaged[bit / 8] ^ (1 << bit % 8));
+    EXPECT_EQ(textOf(receiver_.verify(damaged)), "nothing") << bit;
   }
   for (std::size_t size = 0; size < sent.size(); ++size)
     EXPECT_EQ(textOf(receiver_.verify(sent.substr(0, size))), "nothing");
   EXPECT_EQ(textOf(receiver_.verify(sent)), "message");
 }
 
-/// The bytes in front of a message, as recorded from the release before the names changed.
-TEST(MessageAuthenticator, SignsWithTheBytesRecorded) {
+/// Guards against a changed signature format, which instances of earlier releases would reject. An earlier
+/// release produced the expected bytes.
+TEST(MessageAuthenticator, ProducesTheRecordedBytesWhenItSigns) {
   MessageAuthenticator sender({keyOf(1)}, 0x0123456789abcdef);
   const auto sent = sender.sign("message");
   EXPECT_EQ(sent.substr(0, 4), "RHM1");
--- a/tests/simulated_fleet.h
+++ b/tests/simulated_fleet.h
@@ -1,6 +1,6 @@
 /// @file
-/// Members in simulated time: the pure protocol on links that lose, delay and are cut by a test. The same
-/// seed gives the same course. Nothing here stands in for processes; tests/fleet runs those.
+/// Runs the membership protocol of several members in simulated time. A test controls the loss, the delay and
+/// the cuts of each link. The same seed gives the same sequence of events. tests/fleet tests real processes.
 #pragma once
 
 #include <algorithm>
@@ -24,16 +24,16 @@
 class SimulatedFleet {
  public:
   struct Link {
-    double loss = 0;  ///< share of the datagrams; 1 cuts connections too
+    double loss = 0;  ///< share of lost datagrams; 1 cuts connections too
     Duration delay{};
   };
   struct Node {
     std::unique_ptr<Membership> member;  ///< null while the process does not run
     Duration pausedUntil{-1};
     std::vector<std::pair<std::string, std::size_t>>
-        buffered;  ///< what the system keeps for a paused process
+        buffered;  ///< messages in the socket buffer of a paused process
     std::vector<std::pair<Duration, MembershipEvent>> events;
-    std::vector<std::uint64_t> processes;  ///< in which of the node's processes each event was reported
+    std::vector<std::uint64_t> processes;  ///< for each event, the number of the process that reported it
     std::uint64_t datagrams = 0;
     std::uint64_t bytes = 0;
     std::uint64_t stateBytes = 0;
@@ -42,9 +42,9 @@
     ZoneName zone;
   };
 
-  /// What a link does now; a test changes it as time passes.
+  /// Returns the current behaviour of a link; a test may replace it at any time.
   std::function<Link(std::size_t from, std::size_t to)> link = [](auto, auto) { return Link{}; };
-  /// Sees all that a member sends and reports, before the links do.
+  /// Receives all messages and events of a member before the links handle the messages.
   std::function<void(std::size_t node, const Effects&)> onEffects = [](auto, const auto&) {};
   Duration now{};
   std::vector<Node> nodes;
@@ -72,13 +72,13 @@
     node.member->publishStatus(status);
     Effects effects;
     node.member->open(now, effects);
-    carryOut(i, i, effects);
+    applyEffects(i, i, effects);
     scheduleTimer(i);
   }
   void startAll() {
     for (std::size_t i = 0; i < nodes.size(); ++i) start(i);
   }
-  /// Tells each member about all others, for measurements that are not about joining.
+  /// Introduces all members to each other, for measurements that do not concern joining.
   void introduceAll() {
     for (std::size_t i = 0; i < nodes.size(); ++i) {
       Message message;
@@ -104,7 +104,7 @@
   void leave(std::size_t i) {
     Effects effects;
     nodes[i].member->leave(now, effects);
-    carryOut(i, i, effects);
+    applyEffects(i, i, effects);
   }
   void healAllLinks() {
     link = [](auto, auto) { return Link{}; };
@@ -121,7 +121,7 @@
     }
     now = end;
   }
-  /// Runs until the condition holds; false where that takes longer than `limit`.
+  /// Runs until the condition holds; returns false if it does not hold within `limit`.
   bool runUntil(Duration limit, const std::function<bool()>& condition) {
     for (const Duration end = now + limit; now < end; runFor(std::chrono::milliseconds(100)))
       if (condition()) return true;
@@ -131,7 +131,7 @@
   // Observations
   bool isRunning(std::size_t i) const { return nodes[i].member != nullptr; }
   const Membership& member(std::size_t i) const { return *nodes[i].member; }
-  /// The state of one member in the view of another.
+  /// Returns the state of one member in the view of another.
   std::optional<MemberState> stateSeen(std::size_t viewer, std::size_t subject) const {
     if (!isRunning(viewer)) return std::nullopt;
     const auto& members = nodes[viewer].member->members();
@@ -139,11 +139,11 @@
     if (it == members.end()) return std::nullopt;
     return it->second.state;
   }
-  /// Every running member sees every running one as alive, and no other as present.
+  /// Returns whether every running member sees all running members as alive and no stopped member as present.
   bool hasConverged() const {
     for (std::size_t viewer = 0; viewer < nodes.size(); ++viewer)
       for (std::size_t subject = 0; subject < nodes.size(); ++subject)
-        if (viewer != subject && isRunning(viewer) && !isSeenAsItIs(viewer, subject)) return false;
+        if (viewer != subject && isRunning(viewer) && !isSeenCorrectly(viewer, subject)) return false;
     return true;
   }
   std::size_t deathsDeclaredOf(std::size_t subject, Duration since = {}) const {
@@ -159,9 +159,9 @@
     for (std::size_t i = 0; i < nodes.size(); ++i) out += deathsDeclaredOf(i);
     return out;
   }
-  /// A breach of an invariant, or nothing: incarnations in each view only go up within the process of the
-  /// viewer, and the queue of updates is bounded.
-  std::string findBreach() const {
+  /// Returns a description of a violated invariant, or an empty text. The invariants: within one process of a
+  /// viewer, the incarnations in its view never decrease, and its queue of updates is bounded.
+  std::string findInvariantViolation() const {
     for (std::size_t i = 0; i < nodes.size(); ++i) {
       std::map<std::pair<std::uint64_t, MemberName>, Incarnation> last;
       for (std::size_t k = 0; k < nodes[i].events.size(); ++k) {
@@ -169,16 +169,19 @@
         if (event.type != MembershipEvent::Type::stateChanged) continue;
         auto& before = last[{nodes[i].processes[k], event.member.name}];
         if (event.member.incarnation < before)
-          return name(i).text + " saw the incarnation of " + event.member.name.text + " go back";
+          return name(i).text + " saw the incarnation of " + event.member.name.text + " decrease";
         before = event.member.incarnation;
       }
-      if (nodes[i].maxQueuedUpdates > 2 * nodes.size() + 8) return name(i).text + " queued too many updates";
+      const std::size_t updateLimit = 2 * nodes.size() + 8;
+      if (nodes[i].maxQueuedUpdates > updateLimit)
+        return name(i).text + " queued " + std::to_string(nodes[i].maxQueuedUpdates) +
+               " updates, more than the limit of " + std::to_string(updateLimit);
     }
     return {};
   }
 
  private:
-  /// A message that arrives, or a timer that fires.
+  /// The arrival of a message or the expiry of a timer.
   struct Delivery {
     Duration at;
     std::uint64_t number;
@@ -187,12 +190,12 @@
     std::uint64_t process;
     bool isTimer;
     std::string bytes;
-    bool operator<(const Delivery& other) const {  // the earliest is on top of the queue
+    bool operator<(const Delivery& other) const {  // the priority queue returns the earliest delivery first
       return std::pair(at, number) > std::pair(other.at, other.number);
     }
   };
 
-  bool isSeenAsItIs(std::size_t viewer, std::size_t subject) const {
+  bool isSeenCorrectly(std::size_t viewer, std::size_t subject) const {
     const auto state = stateSeen(viewer, subject);
     if (isRunning(subject)) return state == MemberState::alive;
     return state != MemberState::alive && state != MemberState::suspect;
@@ -201,7 +204,7 @@
     Node& node = nodes[delivery.to];
     if (!node.member || node.process != delivery.process) return;
     if (now < node.pausedUntil) {
-      keepForPaused(std::move(delivery));
+      bufferForPaused(std::move(delivery));
       return;
     }
     if (!delivery.isTimer) {
@@ -213,15 +216,15 @@
     if (!node.member) return;
     Effects effects;
     node.member->onTimer(now, effects);
-    carryOut(delivery.to, delivery.to, effects);
+    applyEffects(delivery.to, delivery.to, effects);
     scheduleTimer(delivery.to);
   }
-  void keepForPaused(Delivery delivery) {
-    constexpr std::size_t socketBuffer = 200;  // messages
+  void bufferForPaused(Delivery delivery) {
+    constexpr std::size_t maxBufferedMessages = 200;
     Node& node = nodes[delivery.to];
     if (delivery.isTimer)
       queue_.push({node.pausedUntil, ++number_, delivery.to, 0, delivery.process, true, {}});
-    else if (node.buffered.size() < socketBuffer)
+    else if (node.buffered.size() < maxBufferedMessages)
       node.buffered.emplace_back(std::move(delivery.bytes), delivery.from);
   }
   void deliver(std::size_t to, std::size_t from, const std::string& bytes) {
@@ -230,10 +233,10 @@
     if (!message->recipient.text.empty() && message->recipient != name(to)) return;
     Effects effects;
     nodes[to].member->onMessage(now, *message, effects);
-    carryOut(to, from, effects);
+    applyEffects(to, from, effects);
   }
-  /// @param replyTo the node whose message is answered
-  void carryOut(std::size_t i, std::size_t replyTo, Effects& effects) {
+  /// @param replyTo the node that receives replies
+  void applyEffects(std::size_t i, std::size_t replyTo, Effects& effects) {
     Node& node = nodes[i];
     onEffects(i, effects);
     for (auto& event : effects.events) {
