--- a/src/codec/http.cpp
+++ b/src/codec/http.cpp
@@ -12,7 +12,7 @@
 namespace {
 
 constexpr std::string_view lineEnd = "\r\n";
-/// The longest body, and the longest chunk, that is read.
+/// The maximum size of a body and of a chunk.
 constexpr std::size_t maxBodyBytes = 16 * 1024;
 constexpr int decimal = 10;
 constexpr int hexadecimal = 16;
@@ -21,7 +21,7 @@
 constexpr int statusNoContent = 204;
 constexpr int statusNotModified = 304;
 
-/// A status line up to its status: "HTTP/1.1 200".
+/// Layout of the beginning of a status line: "HTTP/1.1 200".
 constexpr std::string_view versionPrefix = "HTTP/1.";
 constexpr std::size_t minorVersionOffset = 7;
 constexpr std::size_t spaceOffset = 8;
@@ -40,23 +40,24 @@
   return text;
 }
 
-/// @param what is named by the error.
+/// @param what names the number in the error.
 std::size_t parseNumber(std::string_view text, int base, std::string_view what) {
   std::size_t value = 0;
   const auto [end, error] = std::from_chars(text.data(), text.data() + text.size(), value, base);
   if (text.empty() || error != std::errc{} || end != text.data() + text.size())
-    throw ProtocolError(std::string(what) + " is no number");
+    throw ProtocolError(std::string(what) + " is not a number");
   return value;
 }
 
-/// Reads lines and counted bytes from front to back; nothing where there are not enough.
+/// Reads lines and byte sequences of a given length from front to back. Returns nothing while the input is
+/// too short.
 class ByteReader {
  public:
   explicit ByteReader(std::string_view bytes) : bytes_(bytes) {}
 
   [[nodiscard]] std::size_t position() const { return position_; }
 
-  /// @return the line without its end.
+  /// @return the line without its line end.
   std::optional<std::string_view> readLine() {
     const auto end = bytes_.find(lineEnd, position_);
     if (end == std::string_view::npos) return std::nullopt;
@@ -77,7 +78,7 @@
   std::size_t position_ = 0;
 };
 
-/// @return false while the trailers are not whole.
+/// @return false while the trailers are incomplete.
 bool skipTrailers(ByteReader& in) {
   for (;;) {
     const auto line = in.readLine();
@@ -86,27 +87,30 @@
   }
 }
 
-/// @return false while the body is not whole.
+/// @return false while the body is incomplete.
 bool readChunkedBody(ByteReader& in, std::string& body) {
   for (;;) {
     const auto head = in.readLine();
     if (!head) return false;
-    const auto size = parseNumber(trim(head->substr(0, head->find(';'))), hexadecimal, "a chunk's size");
-    if (size > maxBodyBytes) throw ProtocolError("a chunk is too long");
+    const auto size = parseNumber(trim(head->substr(0, head->find(';'))), hexadecimal, "chunk size");
+    if (size > maxBodyBytes)
+      throw ProtocolError(fmt::format("chunk of {} bytes exceeds the limit of {}", size, maxBodyBytes));
     if (size == 0) return skipTrailers(in);
     const auto chunk = in.readBytes(size);
     if (!chunk) return false;
     body.append(*chunk);
     const auto end = in.readLine();
     if (!end) return false;
-    if (!end->empty()) throw ProtocolError("a chunk is longer than its size");
+    if (!end->empty())
+      throw ProtocolError(fmt::format("chunk of {} bytes is not followed by a line end", size));
   }
 }
 
-/// @return false while the body is not whole.
+/// @return false while the body is incomplete.
 bool readCountedBody(ByteReader& in, std::string_view contentLength, std::string& body) {
-  const auto length = parseNumber(contentLength, decimal, "the content's length");
-  if (length > maxBodyBytes) throw ProtocolError("the content is too long");
+  const auto length = parseNumber(contentLength, decimal, "Content-Length");
+  if (length > maxBodyBytes)
+    throw ProtocolError(fmt::format("body of {} bytes exceeds the limit of {}", length, maxBodyBytes));
   const auto bytes = in.readBytes(length);
   if (!bytes) return false;
   body = *bytes;
@@ -116,22 +120,22 @@
 void readStatusLine(std::string_view line, Response& response) {
   if (line.size() < statusOffset + statusLength || !line.starts_with(versionPrefix) ||
       line[spaceOffset] != ' ')
-    throw ProtocolError("no HTTP/1.x response");
+    throw ProtocolError("status line is not that of an HTTP/1.x response");
   response.status =
-      static_cast<int>(parseNumber(line.substr(statusOffset, statusLength), decimal, "the status"));
+      static_cast<int>(parseNumber(line.substr(statusOffset, statusLength), decimal, "status code"));
   response.isKeepAlive = line[minorVersionOffset] != '0';
 }
 
 void readHeader(std::string_view line, Response& response) {
   const auto colon = line.find(':');
-  if (colon == std::string_view::npos) throw ProtocolError("a header without a colon");
+  if (colon == std::string_view::npos) throw ProtocolError("header line has no colon");
   const std::string value(trim(line.substr(colon + 1)));
   const auto [header, isNew] = response.headers.try_emplace(toLower(line.substr(0, colon)), value);
   if (!isNew && header->first == "content-length" && header->second != value)
-    throw ProtocolError("two different content lengths");
+    throw ProtocolError("two Content-Length headers with different values");
 }
 
-/// @return false while the status line and the headers are not whole.
+/// @return false while the status line and the headers are incomplete.
 bool readHead(ByteReader& in, Response& response) {
   const auto statusLine = in.readLine();
   if (!statusLine) return false;
@@ -143,22 +147,23 @@
     readHeader(*line, response);
   }
   if (response.headers.contains("content-length") && response.headers.contains("transfer-encoding"))
-    throw ProtocolError("a content length beside a transfer encoding");
+    throw ProtocolError("both Content-Length and Transfer-Encoding are present");
   if (toLower(response.header("connection")).find("close") != std::string::npos) response.isKeepAlive = false;
   return true;
 }
 
-/// @return false while the body is not whole.
+/// @return false while the body is incomplete.
 bool readBody(ByteReader& in, Response& response) {
   if (response.status == statusNoContent || response.status == statusNotModified) return true;
   if (toLower(response.header("transfer-encoding")).find("chunked") != std::string::npos)
     return readChunkedBody(in, response.body);
   const auto contentLength = response.header("content-length");
-  if (contentLength.empty()) throw ProtocolError("the content's length is not stated");
+  if (contentLength.empty())
+    throw ProtocolError("neither Content-Length nor the chunked transfer encoding is present");
   return readCountedBody(in, contentLength, response.body);
 }
 
-/// RFC 3986, 2.3.
+/// Whether RFC 3986, 2.3 allows the byte in a path without percent-encoding.
 bool isUnreserved(unsigned char byte) {
   constexpr unsigned char firstNonAscii = 128;
   constexpr std::string_view unreservedMarks = "-._~";
--- a/src/codec/http.h
+++ b/src/codec/http.h
@@ -1,5 +1,5 @@
 /// @file
-/// HTTP/1.1 (RFC 9112) as a client speaks it: bytes to responses, requests to bytes. Pure.
+/// The client side of HTTP/1.1 (RFC 9112): parses responses and encodes requests. No I/O and no state.
 #pragma once
 
 #include <cstddef>
@@ -12,38 +12,39 @@
 
 namespace rainhook::codec::http {
 
-/// A whole response.
+/// A complete response.
 struct Response {
-  /// From 200 on.
+  /// Status code; 200 or higher.
   int status = 0;
-  /// By name in lower case.
+  /// Header values by lower-case name.
   std::map<std::string, std::string> headers;
-  /// Without chunk sizes or trailers.
+  /// The decoded body, without chunk sizes and trailers.
   std::string body;
   /// Whether the connection may serve another request.
   bool isKeepAlive = true;
-  /// Bytes of the response in the input, interim responses before it included.
+  /// Size of the response in the input in bytes, including the interim responses before it.
   std::size_t size = 0;
 
-  /// The value of a header, its name in lower case; empty where there is no such header.
+  /// The value of a header by its lower-case name; empty if the header is absent.
   [[nodiscard]] std::string_view header(const std::string& name) const {
     const auto it = headers.find(name);
     return it == headers.end() ? std::string_view{} : it->second;
   }
 };
 
-/// Reads the first response; interim (1xx) responses are skipped. A body must state its length or come in
-/// chunks, since one that ends with its connection can't be told from one that was cut short.
-/// @return nothing while the response is not whole.
-/// @throws ProtocolError where the bytes are no such response, or a body or chunk is longer than 16 KiB.
+/// Parses the first response and skips interim (1xx) responses. A body must have a Content-Length or the
+/// chunked transfer encoding, since a body that ends with the connection cannot be distinguished from a
+/// truncated one.
+/// @return nothing while the response is incomplete.
+/// @throws ProtocolError if the bytes are not such a response, or if a body or chunk exceeds 16 KiB.
 [[nodiscard]] std::optional<Response> readResponse(std::string_view bytes);
 
-/// Names with their values, in the order in which they are written.
+/// Header names and values, in the order in which they are written.
 using Headers = std::vector<std::pair<std::string_view, std::string>>;
 
-/// One segment of a path, percent-encoded (RFC 3986, 2.3).
+/// Percent-encodes one path segment: all bytes except unreserved characters (RFC 3986, 2.3).
 std::string encodePathSegment(std::string_view text);
-/// A request with a `Host` and a `Content-Length` beside the given headers. The path must be encoded already.
+/// Encodes a request with `Host`, the given headers and `Content-Length`. The path must be encoded already.
 std::string encodeRequest(std::string_view method, std::string_view path, std::string_view host,
                           const Headers& headers, std::string_view body);
 
--- a/src/codec/json_lines.cpp
+++ b/src/codec/json_lines.cpp
@@ -15,7 +15,7 @@
   const auto end = bytes.find('\n');
   if (end == std::string_view::npos) return std::nullopt;
   auto object = nlohmann::json::parse(bytes.substr(0, end), nullptr, false);
-  if (!object.is_object()) throw ProtocolError("a line that holds no JSON object");
+  if (!object.is_object()) throw ProtocolError("line is not a JSON object");
   return Line{std::move(object), end + 1};
 }
 
@@ -37,7 +37,8 @@
   Poco::Base64Decoder decoder(in);
   try {
     std::string out{std::istreambuf_iterator<char>(decoder), {}};
-    // The decoder stops silently at what is no base64: then the text is longer than what came out of it.
+    // The decoder stops silently at an invalid character; the text is then longer than its output accounts
+    // for.
     if (out.size() / 3 * 4 + 4 < text.size()) throw ProtocolError("invalid base64");
     return out;
   } catch (const Poco::Exception&) {
--- a/src/codec/json_lines.h
+++ b/src/codec/json_lines.h
@@ -1,5 +1,5 @@
 /// @file
-/// JSON lines: one object a line, with bytes carried in base64. Pure.
+/// JSON lines: one object per line, with binary data in base64. No I/O and no state.
 #pragma once
 
 #include <cstddef>
@@ -10,25 +10,25 @@
 
 namespace rainhook::codec::jsonLines {
 
-/// The first line of some bytes.
+/// A parsed line.
 struct Line {
   /// Always a JSON object.
   nlohmann::json object;
-  /// Bytes of the line, its end included.
+  /// Size of the line in bytes, including its line end.
   std::size_t size = 0;
 };
 
-/// Reads the first line.
-/// @return nothing while the line is not whole.
-/// @throws ProtocolError where it holds no JSON object.
+/// Parses the first line.
+/// @return nothing while the line is incomplete.
+/// @throws ProtocolError if the line is not a JSON object.
 [[nodiscard]] std::optional<Line> readLine(std::string_view bytes);
-/// The object as one line with its end, all ASCII; invalid UTF-8 is replaced.
+/// Encodes the object as one ASCII line with its line end; replaces invalid UTF-8.
 std::string writeLine(const nlohmann::json& object);
 
-/// The bytes in base64, without line breaks.
+/// Encodes the bytes in base64 without line breaks.
 std::string toBase64(std::string_view bytes);
-/// The bytes that base64 stands for.
-/// @throws ProtocolError where the text is no base64.
+/// Decodes base64.
+/// @throws ProtocolError if the text is not valid base64.
 std::string fromBase64(const std::string& text);
 
 }  // namespace rainhook::codec::jsonLines
--- a/src/codec/thrift.cpp
+++ b/src/codec/thrift.cpp
@@ -1,5 +1,7 @@
 #include "codec/thrift.h"
 
+#include <fmt/format.h>
+
 #include <concepts>
 #include <type_traits>
 
@@ -11,7 +13,7 @@
 constexpr std::uint32_t strictVersion = 0x80010000;
 constexpr std::uint32_t versionMask = 0xffff0000;
 constexpr std::uint32_t kindMask = 0xff;
-/// Deeper values are refused, since skipping them takes stack.
+/// Limits the nesting depth of values, since skip() is recursive and uses stack for each level.
 constexpr int maxDepth = 16;
 constexpr std::size_t lengthBytes = 4;
 constexpr int bitsPerByte = 8;
@@ -19,7 +21,9 @@
 }  // namespace
 
 std::string_view Reader::bytes(std::size_t count) {
-  if (rest_.size() < count) throw ProtocolError("a value runs past its frame");
+  if (rest_.size() < count)
+    throw ProtocolError(
+        fmt::format("value of {} bytes exceeds the remaining {} bytes of its frame", count, rest_.size()));
   const auto taken = rest_.substr(0, count);
   rest_.remove_prefix(count);
   return taken;
@@ -39,7 +43,7 @@
 
 std::string_view Reader::text() {
   const auto length = i32();
-  if (length < 0) throw ProtocolError("a negative length");
+  if (length < 0) throw ProtocolError(fmt::format("string has the negative length {}", length));
   return bytes(static_cast<std::size_t>(length));
 }
 
@@ -47,9 +51,11 @@
   const Type key{byte()};
   const Type value{byte()};
   const auto count = i32();
-  if (count < 0) throw ProtocolError("a negative count");
+  if (count < 0) throw ProtocolError(fmt::format("map has the negative size {}", count));
   if (count > 0 && (key != Type::text || value != Type::text))
-    throw ProtocolError("a map whose keys or values are no strings");
+    throw ProtocolError(fmt::format("map from type {} to type {}, expected strings (type {})",
+                                    static_cast<int>(key), static_cast<int>(value),
+                                    static_cast<int>(Type::text)));
   Fields out;
   for (std::int32_t i = 0; i < count; ++i) {
     const auto name = text();
@@ -59,7 +65,8 @@
 }
 
 void Reader::skip(Type type, int depth) {
-  if (depth > maxDepth) throw ProtocolError("nested too deeply");
+  if (depth > maxDepth)
+    throw ProtocolError(fmt::format("value is nested more than {} levels deep", maxDepth));
   switch (type) {
     case Type::boolean:
     case Type::byte:
@@ -102,7 +109,7 @@
     case Type::stop:
       break;
   }
-  throw ProtocolError("an unknown type");
+  throw ProtocolError(fmt::format("unknown value type {}", static_cast<int>(type)));
 }
 
 void Reader::readStruct(const std::function<bool(std::int16_t, Type, Reader&)>& readField) {
@@ -116,7 +123,7 @@
   if (bytes.size() < lengthBytes) return std::nullopt;
   const auto length = Reader(bytes.substr(0, lengthBytes)).i32();
   if (length < 0 || static_cast<std::size_t>(length) > maxContentBytes)
-    throw ProtocolError("a frame's length is impossible");
+    throw ProtocolError(fmt::format("frame length {} is not from 0 to {}", length, maxContentBytes));
   const auto size = static_cast<std::size_t>(length);
   if (bytes.size() - lengthBytes < size) return std::nullopt;
   return Frame{bytes.substr(lengthBytes, size), size + lengthBytes};
@@ -124,12 +131,14 @@
 
 Message readMessage(std::string_view content) {
   Reader in(content);
-  const auto head = static_cast<std::uint32_t>(in.i32());
-  if ((head & versionMask) != strictVersion) throw ProtocolError("not the strict binary protocol");
+  const auto header = static_cast<std::uint32_t>(in.i32());
+  if ((header & versionMask) != strictVersion)
+    throw ProtocolError(
+        fmt::format("message begins with {:08x}, which is not the strict binary protocol", header));
   Message message;
-  message.kind = Kind{static_cast<std::uint8_t>(head & kindMask)};
+  message.kind = Kind{static_cast<std::uint8_t>(header & kindMask)};
   if (message.kind < Kind::call || message.kind > Kind::oneway)
-    throw ProtocolError("an unknown kind of message");
+    throw ProtocolError(fmt::format("unknown message kind {}", static_cast<int>(message.kind)));
   const auto name = in.text();
   message.name = name;
   message.sequence = in.i32();
@@ -144,7 +153,7 @@
 }
 
 Writer::Writer(Kind kind, std::string_view name, std::int32_t sequence) {
-  number<std::uint32_t>(0);  // the length, written by finish()
+  number<std::uint32_t>(0);  // placeholder for the length, which finish() writes
   number<std::uint32_t>(strictVersion | static_cast<std::uint8_t>(kind));
   text(name);
   i32(sequence);
--- a/src/codec/thrift.h
+++ b/src/codec/thrift.h
@@ -1,5 +1,6 @@
 /// @file
-/// Framed Thrift in its strict binary protocol: bytes to values and back. Pure; knows no service.
+/// Framed Thrift in the strict binary protocol: decodes and encodes values, independently of any service. No
+/// I/O.
 #pragma once
 
 #include <cstddef>
@@ -12,10 +13,10 @@
 
 namespace rainhook::codec::thrift {
 
-/// The kinds of messages, with their numbers in the protocol.
+/// Message kinds; the values are those of the protocol.
 enum class Kind : std::uint8_t { call = 1, reply = 2, exception = 3, oneway = 4 };
 
-/// The types of values, with their numbers in the protocol; `stop` ends a struct.
+/// Value types; the values are those of the protocol. `stop` ends a struct.
 enum class Type : std::uint8_t {
   stop = 0,
   boolean = 2,
@@ -34,29 +35,29 @@
 /// A map from strings to strings.
 using Fields = std::map<std::string, std::string>;
 
-/// Reads values one after another from bytes that must outlive it. Every function throws ProtocolError where
-/// the bytes end before the value does, or can't be such a value.
+/// Reads values one after another from bytes that must outlive the reader. Every function throws
+/// ProtocolError if the bytes end within the value or do not encode a value of that type.
 class Reader {
  public:
-  /// Reads `bytes` from their beginning.
+  /// Starts at the beginning of `bytes`.
   explicit Reader(std::string_view bytes) : rest_(bytes) {}
 
   /// Reads one byte.
   std::uint8_t byte();
-  /// Reads a signed number of 32 bits.
+  /// Reads a signed 32-bit integer.
   std::int32_t i32();
-  /// Reads a string. Points into the bytes that are read.
+  /// Reads a string. The view points into the bytes that the reader was created with.
   std::string_view text();
-  /// Reads a map from strings to strings; of a key that comes twice, the last value counts.
+  /// Reads a map from strings to strings. The last value of a repeated key wins.
   Fields fields();
-  /// Reads a struct up to its end. `readField` gets the number and the type of each field: it reads the value
-  /// and returns true, or reads nothing and returns false; the value is skipped then.
+  /// Reads a struct up to its end. Calls `readField` with the number and the type of each field. `readField`
+  /// either reads the value and returns true, or reads nothing and returns false; then the value is skipped.
   void readStruct(const std::function<bool(std::int16_t, Type, Reader&)>& readField);
-  /// Skips a value of the given type. `depth` is how deeply it is nested; beyond 16 it is refused.
+  /// Skips a value of the given type. `depth` is its nesting depth; a depth above 16 is an error.
   void skip(Type type, int depth = 0);
-  /// Whether all bytes were read.
+  /// Whether all bytes have been read.
   [[nodiscard]] bool atEnd() const { return rest_.empty(); }
-  /// The bytes that were not read yet.
+  /// The bytes that have not been read yet.
   [[nodiscard]] std::string_view rest() const { return rest_; }
 
  private:
@@ -67,54 +68,55 @@
   std::string_view rest_;
 };
 
-/// A message's head, and where its content lies.
+/// A message header and a view of the message body.
 struct Message {
-  /// What the message is.
+  /// Whether the message is a call, a reply, an exception or a oneway call.
   Kind kind{};
-  /// The method.
+  /// Name of the method.
   std::string name;
-  /// By which a reply names its call.
+  /// Sequence number; a reply carries that of its call.
   std::int32_t sequence = 0;
-  /// The struct that follows the head; points into the bytes that were read.
+  /// The struct that follows the header; points into the decoded bytes.
   std::string_view body;
 };
 
-/// A frame without the length before it.
+/// A frame.
 struct Frame {
-  /// Points into the bytes that were read.
+  /// The frame without its length prefix; points into the decoded bytes.
   std::string_view content;
-  /// Bytes of the content and the length before it.
+  /// Size of the content and the length prefix in bytes.
   std::size_t size = 0;
 };
 
-/// @return the first frame; nothing while it is not whole.
-/// @throws ProtocolError where its length is negative or above `maxContentBytes`.
+/// Decodes the first frame.
+/// @return nothing while the frame is incomplete.
+/// @throws ProtocolError if its length is negative or above `maxContentBytes`.
 [[nodiscard]] std::optional<Frame> readFrame(std::string_view bytes, std::size_t maxContentBytes);
 
-/// Reads the content of a frame.
-/// @throws ProtocolError where the content of a frame does not begin with a message's head.
+/// Decodes the message in the content of a frame.
+/// @throws ProtocolError if the content does not begin with a message header.
 [[nodiscard]] Message readMessage(std::string_view content);
 
-/// Writes one framed message: the fields of its struct one after another, each by field() and its value, then
-/// stop() and finish().
+/// Encodes one framed message. The caller writes each field of the message's struct with field() and its
+/// value, then calls stop() and finish().
 class Writer {
  public:
-  /// Writes the message's head.
+  /// Writes the message header.
   Writer(Kind kind, std::string_view name, std::int32_t sequence);
 
-  /// Begins a field of the struct; its value follows.
+  /// Writes the header of a struct field; the caller writes the value next.
   Writer& field(std::int16_t id, Type type);
   /// Writes a string.
   Writer& text(std::string_view value);
-  /// Writes a truth value.
+  /// Writes a boolean.
   Writer& boolean(bool value);
-  /// Writes a signed number of 32 bits.
+  /// Writes a signed 32-bit integer.
   Writer& i32(std::int32_t value);
   /// Writes a map from strings to strings.
   Writer& fields(const Fields& fields);
   /// Ends a struct.
   Writer& stop();
-  /// Writes the frame's length and gives the bytes away; the writer is not to be used any more.
+  /// Writes the frame's length and returns the frame; the writer must not be used afterwards.
   std::string finish();
 
  private:
--- a/src/logging/log.cpp
+++ b/src/logging/log.cpp
@@ -11,14 +11,14 @@
 namespace rainhook::logging {
 namespace {
 
-/// A category's name in the JSON format, and how many lines it may write in a second.
+/// The name of a category in the JSON format, and its rate limit.
 struct CategoryProperties {
   std::string_view name;
   int maxLinesPerSecond = 5;
 };
 
-/// By LogCategory. Membership may write a whole fleet's changes at once: they are bounded where they are
-/// decided.
+/// By LogCategory. The limit of membership is higher, since it may report the changes of a whole fleet at
+/// once; the code that decides on these changes bounds their number.
 constexpr std::array<CategoryProperties, static_cast<std::size_t>(LogCategory::count)> categories{{
     {"start"},
     {"drain"},
@@ -33,7 +33,7 @@
   return categories[static_cast<std::size_t>(category)];
 }
 
-/// Writes to standard error as long as it takes more without waiting.
+/// Writes to standard error and drops lines that it does not accept without blocking.
 class NonBlockingStderrSink final : public spdlog::sinks::base_sink<spdlog::details::null_mutex> {
  private:
   void sink_it_(const spdlog::details::log_msg& message) override {
@@ -64,7 +64,10 @@
   if (now - window.since >= std::chrono::seconds(1)) {
     if (window.suppressed > 0)
       write(category, "suppressed",
-            fmt::format("{} more messages of this category were suppressed", window.suppressed), {});
+            fmt::format("suppressed {} messages of category {} above its limit of {} per second",
+                        window.suppressed, propertiesOf(category).name,
+                        propertiesOf(category).maxLinesPerSecond),
+            {});
     window = {now, 0, 0};
   }
   if (++window.written <= propertiesOf(category).maxLinesPerSecond) return true;
--- a/src/logging/log.h
+++ b/src/logging/log.h
@@ -20,46 +20,47 @@
 
 namespace rainhook::logging {
 
-/// What a line is about; each category has a rate limit of its own.
+/// The subject of a line. Each category has its own rate limit.
 enum class LogCategory {
   start,       ///< Start, configuration, periodic statistics.
   drain,       ///< Graceful shutdown.
   engine,      ///< The execution engine's connection.
-  downstream,  ///< Calls of the downstream service.
+  downstream,  ///< Calls to the downstream service.
   registry,    ///< Reports to the endpoint registry.
-  listener,    ///< Clients' connections and requests.
+  listener,    ///< Client connections and requests.
   membership,  ///< Failure detection and gossip among the instances.
-  count,       ///< No category: how many there are.
+  count,       ///< Not a category: the number of categories.
 };
 
-/// Writes lines, and never waits for whoever reads them: a line that standard error does not take at once is
-/// lost. Lines beyond a category's limit in one second are suppressed, and counted with the next second's
-/// first. For one thread only.
+/// Writes lines to standard error and never blocks: a line that standard error does not accept immediately is
+/// lost. The log suppresses lines that exceed their category's limit in one second and reports their number
+/// with the category's first line after that second. Not thread-safe.
 class Log {
  public:
-  /// How lines are written: for people, or one JSON object a line.
+  /// The format of lines: plain text, or one JSON object per line.
   enum class Format { text, json };
 
   /// A named value of an event.
   struct Field {
-    /// Its key in the JSON format.
+    /// The key in the JSON format.
     std::string_view name;
-    /// Written as a JSON value of the same type.
+    /// The value; the JSON format keeps its type.
     std::variant<std::string, std::int64_t, double, bool> value;
   };
 
-  /// `instance` stands in every line of the JSON format.
+  /// @param format the format of lines
+  /// @param instance the name of this instance, which every line of the JSON format contains
   explicit Log(Format format = Format::text, std::string instance = {});
   ~Log();
   Log(const Log&) = delete;
   Log& operator=(const Log&) = delete;
 
-  /// A line for people; as JSON its event is `message` and its text stands under `text`.
+  /// Writes a free-text line. In the JSON format its `event` is `message` and its `text` is the text.
   template <typename... Args>
   void message(LogCategory category, fmt::format_string<Args...> text, Args&&... args) {
     if (admit(category)) write(category, messageEvent, fmt::format(text, std::forward<Args>(args)...), {});
   }
-  /// A line for programs, known by its name and fields; as text they follow the name.
+  /// Writes a structured line with a name and fields. In the text format the fields follow the name.
   void event(LogCategory category, std::string_view name, std::initializer_list<Field> fields) {
     if (admit(category)) write(category, name, {}, fields);
   }
@@ -68,7 +69,7 @@
   using Clock = std::chrono::steady_clock;
   static constexpr std::string_view messageEvent = "message";
 
-  /// What a category has written in its current second.
+  /// The lines of a category in its current second.
   struct RateWindow {
     Clock::time_point since{};
     int written = 0;
--- a/src/net/buffer_pool.h
+++ b/src/net/buffer_pool.h
@@ -1,5 +1,5 @@
 /// @file
-/// Buffers of one size that are used again, and output that waits in them.
+/// A pool of reusable buffers of one size, and a queue of output bytes that is kept in such buffers.
 #pragma once
 
 #include <array>
@@ -11,31 +11,31 @@
 
 namespace rainhook::net {
 
-/// Lends buffers. It must outlive its leases. For one thread only.
+/// Hands out reusable buffers. The pool must outlive its leases. Not thread-safe.
 class BufferPool {
  public:
-  /// Bytes in one buffer.
+  /// Size of one buffer in bytes.
   static constexpr std::size_t bufferSize = 16 * 1024;
-  /// What the pool lends.
+  /// A buffer of the pool.
   using Buffer = std::array<char, bufferSize>;
 
   /// Returns a buffer to its pool.
   struct Releaser {
-    /// Where the buffer came from.
+    /// The pool that owns the buffer.
     BufferPool* pool;
-    /// Gives the buffer back.
+    /// Releases the buffer into the pool.
     void operator()(Buffer* buffer) const { pool->release(buffer); }
   };
   /// Owns a buffer until it is destroyed or reset.
   using Lease = std::unique_ptr<Buffer, Releaser>;
 
-  /// The buffer's content is undefined.
+  /// Returns a buffer with undefined content; allocates one if no buffer is free.
   [[nodiscard]] Lease acquire();
-  /// How many buffers are lent now.
+  /// Number of buffers that are currently leased.
   [[nodiscard]] std::size_t acquiredCount() const { return acquiredCount_; }
 
  private:
-  /// Free buffers beyond this many go back to the system.
+  /// The pool keeps at most this many free buffers and deallocates the others.
   static constexpr std::size_t maxFreeBuffers = 256;
   void release(Buffer* buffer);
 
@@ -43,23 +43,24 @@
   std::size_t acquiredCount_ = 0;
 };
 
-/// A queue of bytes that wait to be sent, in buffers of a pool.
+/// A FIFO queue of bytes to send, stored in buffers of a pool.
 class SendBuffer {
  public:
-  /// The pool must outlive it.
+  /// The pool must outlive the queue.
   explicit SendBuffer(BufferPool& pool) : pool_(pool) {}
 
-  /// Copies the bytes to the end.
+  /// Copies the bytes to the end of the queue.
   void append(std::string_view bytes);
-  /// Whether nothing waits.
+  /// Whether the queue is empty.
   [[nodiscard]] bool empty() const { return size_ == 0; }
-  /// Bytes that wait.
+  /// Number of bytes in the queue.
   [[nodiscard]] std::size_t size() const { return size_; }
-  /// The first bytes, as many as lie in one buffer; valid until the next call of a non-const function.
+  /// The first bytes of the queue, as many as one buffer holds contiguously. The view is valid until the next
+  /// call of a non-const function.
   [[nodiscard]] std::string_view front() const;
-  /// Removes bytes from the front, at most the size of front().
+  /// Removes `count` bytes from the front; `count` must not exceed the size of front().
   void consume(std::size_t count);
-  /// Removes all bytes and returns the buffers.
+  /// Removes all bytes and returns the buffers to the pool.
   void clear();
 
  private:
--- a/src/net/connection.cpp
+++ b/src/net/connection.cpp
@@ -4,16 +4,17 @@
 
 #include <cerrno>
 #include <cstring>
+#include <string>
 #include <system_error>
 #include <utility>
 
 namespace rainhook::net {
 namespace {
 
-/// Bounds what one connection takes of an iteration.
+/// Limits the share of an iteration that one connection can use.
 constexpr int maxReadsPerEvent = 4;
 
-/// The error that the system holds for a socket; reading it clears it.
+/// Describes the pending error of a socket (SO_ERROR) and clears it.
 std::string describeSocketError(Poco::Net::StreamSocket& socket) {
   return std::system_category().message(socket.impl()->socketError());
 }
@@ -57,7 +58,8 @@
   state_ = state;
   socket_.setBlocking(false);
   socket_.setNoDelay(true);
-  hasErrorInterest_ = true;  // set first: where the system refuses, POCO has entered the handler all the same
+  // Set before the call: POCO registers the handler even if the operating system then rejects the socket.
+  hasErrorInterest_ = true;
   reactor_.addEventHandler(socket_, errorObserver_);
   if (state == State::open)
     setReadInterest(true);
@@ -79,15 +81,15 @@
   refreshInterest();
 }
 
-// POCO's reactor updates the system's poll set when a handler is added, but not when one of several is
-// removed: without this, an interest that ended would wake the loop in every iteration.
+// POCO's reactor updates the operating system's poll set when a handler is added, but not when one of several
+// handlers is removed. Without this update, a removed interest would wake the loop in every iteration.
 void Connection::refreshInterest() {
   reactor_.removeEventHandler(socket_, errorObserver_);
   reactor_.addEventHandler(socket_, errorObserver_);
 }
 
-// POCO throws where the system never took an interest that POCO itself has entered; it is removed all the
-// same.
+// POCO throws if the operating system never accepted an interest that POCO has registered. It removes the
+// handler nevertheless, so that the exception can be ignored.
 void Connection::dropInterest(bool& isRegistered, const Poco::AbstractObserver& observer) {
   try {
     if (std::exchange(isRegistered, false)) reactor_.removeEventHandler(socket_, observer);
@@ -104,7 +106,7 @@
   if (!std::exchange(isReadingPaused_, false) || state_ != State::open || hasPeerEnded_) return;
   const auto self = shared_from_this();
   setReadInterest(true);
-  runInputStep([this] { deliverInput(); });  // no event comes for what was received before the pause
+  runInputStep([this] { deliverInput(); });  // no event follows for bytes that arrived before the pause
 }
 
 void Connection::readNow() {
@@ -135,7 +137,7 @@
   if (state_ == State::open) runInputStep([this] { receive(); });
 }
 
-// Whatever a peer's bytes lead to ends its connection alone.
+// An exception that a peer's bytes cause closes that peer's connection only.
 void Connection::runInputStep(const std::function<void()>& step) {
   try {
     step();
@@ -147,7 +149,7 @@
   if (input_ && inputBegin_ == inputEnd_) input_.reset();
 }
 
-/// @return how many bytes may be received behind `inputEnd_`.
+/// @return the number of bytes that fit into the input buffer after `inputEnd_`.
 std::size_t Connection::makeReceiveSpace() {
   if (!input_) {
     input_ = pool_.acquire();
@@ -166,7 +168,8 @@
   for (int i = 0; i < maxReadsPerEvent && state_ == State::open && hasReadInterest_; ++i) {
     const std::size_t space = makeReceiveSpace();
     if (space == 0)
-      return closeWith(CloseReason::protocolError, "a message is longer than the receive buffer");
+      return closeWith(CloseReason::protocolError, "message exceeds the receive buffer of " +
+                                                       std::to_string(BufferPool::bufferSize) + " bytes");
     const int received = socket_.receiveBytes(input_->data() + inputEnd_, static_cast<int>(space));
     if (received < 0) return;
     if (received == 0) return onEndOfInput();
@@ -183,7 +186,7 @@
   hasPeerEnded_ = true;
   setReadInterest(false);
   if (callbacks_.onHalfClosed) return callbacks_.onHalfClosed();
-  closeWith(CloseReason::closedByPeer, "closed by the peer");
+  closeWith(CloseReason::closedByPeer, "connection closed by the peer");
 }
 
 void Connection::deliverInput() {
@@ -222,7 +225,7 @@
     }
     setWriteInterest(!output_.empty());
   } catch (const Poco::Exception& error) {
-    // POCO 1.11 throws where a socket takes no more for now; that is no loss of the connection.
+    // POCO 1.11 throws if the socket's send buffer is full; the connection is intact.
     if (error.code() == EAGAIN || error.code() == EWOULDBLOCK) return setWriteInterest(true);
     closeWith(CloseReason::connectionLost, error.displayText());
   }
@@ -243,7 +246,7 @@
 void Connection::onError(const Poco::AutoPtr<Poco::Net::ErrorNotification>&) {
   const auto self = shared_from_this();
   if (state_ == State::closed) return;
-  // What came before the loss is still read.
+  // Reads the bytes that arrived before the connection was lost.
   if (state_ == State::open && hasReadInterest_) return runInputStep([this] { receive(); });
   const auto reason = state_ == State::connecting ? CloseReason::unreachable : CloseReason::connectionLost;
   closeWith(reason, describeSocketError(socket_));
@@ -265,7 +268,7 @@
     socket_.close();
   }
   state_ = State::closed;
-  output_.clear();  // input may still be looked at by the callback that closes
+  output_.clear();  // the input stays, since the data callback that called close() may still read it
   if (const auto self = weak_from_this().lock()) reactor_.retire(self);
 }
 
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -17,69 +17,74 @@
 
 namespace rainhook::net {
 
-/// Why a connection ended without close() having been called.
+/// Why a connection ended without a call of close().
 enum class CloseReason {
-  closedByPeer,    ///< The peer shut down its side in good order.
+  closedByPeer,    ///< The peer shut down its side of the connection in an orderly way.
   connectionLost,  ///< The system reported an error after the connection was established.
   unreachable,     ///< The connection was never established.
   protocolError,   ///< The data callback threw, or a message outgrew the receive buffer.
 };
 
-/// How a connection tells its owner what happens. All are called on the reactor's thread. Each may call any
-/// function of the connection. After close() the owner may drop its pointer at once, from within a callback
-/// too: the reactor keeps the connection, and these functions, until the iteration has ended. Only `onData`
-/// is required.
+/// Functions through which a connection notifies its owner. The connection calls them on the reactor's
+/// thread. Each may call any function of the connection. After close() the owner may drop its pointer
+/// immediately, even within a callback: the reactor keeps the connection and these functions alive until the
+/// end of the iteration. Only `onData` is required.
 struct ConnectionCallbacks {
-  /// Gets all bytes that were received and not consumed yet; returns how many of them it consumes, 0 where a
-  /// message is not whole. It is called again at once while it consumes some. The bytes are valid during the
-  /// call only. An exception of it ends the connection as a protocol error. Called from within readNow() and
-  /// resumeReading(), too.
+  /// Receives all bytes that have arrived and have not been consumed yet. Returns the number of bytes that it
+  /// consumed, or 0 if a message is incomplete. The connection calls it again immediately as long as it
+  /// consumes bytes. The bytes are valid during the call only. If it throws, the connection ends with a
+  /// protocol error. readNow() and resumeReading() may also call it.
   std::function<std::size_t(std::string_view)> onData;
-  /// The connection has ended and is closed already. Called once at most, and never after close(). Comes from
-  /// within readNow(), resumeReading() and shutdownSend(), too, but never from connectTo() or write().
+  /// Reports that the connection has ended; the socket is closed already. Called at most once, and never
+  /// after close(). readNow(), resumeReading() and shutdownSend() may call it; connectTo() and write() never
+  /// do.
   std::function<void(CloseReason, const std::string& detail)> onClosed;
-  /// Output that the system had not taken at once has been sent, and none waits.
+  /// Reports that all pending output has been sent, after the operating system had not accepted all of it
+  /// immediately.
   std::function<void()> onSent;
-  /// The peer sends no more, but may still read; where absent, the connection ends as closed by the peer.
+  /// Reports that the peer has shut down its sending side and may still read. If this function is absent, the
+  /// connection ends with `closedByPeer` instead.
   std::function<void()> onHalfClosed;
 };
 
-/// A TCP connection on a reactor. Its owner holds the shared pointer; close() is the one place where the
-/// socket is given back, and the destructor calls it. Used on the reactor's thread only; the reactor and the
-/// pool must outlive it.
+/// A TCP connection on a reactor. Its owner holds the shared pointer. Only close() closes the socket, and the
+/// destructor calls close(). A connection may be used on the reactor's thread only; the reactor and the pool
+/// must outlive it.
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
-  /// A host's address and a port.
+  /// A host address and a port.
   using Address = Poco::Net::SocketAddress;
 
-  /// @throws Poco::Exception where the system refuses to set the socket up; it is closed then.
+  /// Creates a connection from an accepted socket.
+  /// @throws Poco::Exception if the operating system rejects the socket's setup; the socket is closed then.
   static std::shared_ptr<Connection> fromAccepted(Reactor& reactor, BufferPool& pool,
                                                   const Poco::Net::StreamSocket& socket,
                                                   ConnectionCallbacks callbacks);
-  /// Begins to connect. A failure comes by `onClosed` as `unreachable`, not from within this call.
+  /// Starts to connect. A failure is reported through `onClosed` as `unreachable`, never during this call.
   static std::shared_ptr<Connection> connectTo(const Address& address, Reactor& reactor, BufferPool& pool,
                                                ConnectionCallbacks callbacks);
   ~Connection() { close(); }
   Connection(const Connection&) = delete;
   Connection& operator=(const Connection&) = delete;
 
-  /// Queues bytes; they are sent from the end of this iteration on. Has no effect on a closed connection.
+  /// Queues bytes; sending starts at the end of this iteration. Has no effect on a closed connection.
   void write(std::string_view bytes);
-  /// Bytes that were written and that the system has not taken yet.
+  /// Number of bytes that were written and that the operating system has not accepted yet.
   [[nodiscard]] std::size_t pendingBytes() const { return output_.size(); }
-  /// Whether the system has taken any bytes.
+  /// Whether the operating system has accepted any bytes.
   [[nodiscard]] bool hasSentData() const { return hasSentData_; }
-  /// `onData` is not called until resumeReading().
+  /// Stops calls of `onData` until resumeReading().
   void pauseReading();
-  /// Hands over what was received before the pause, then reads on.
+  /// Passes the bytes that arrived before the pause to `onData`, then continues to read.
   void resumeReading();
-  /// Reads at once what the system holds of the peer's bytes, as far as one event would.
+  /// Immediately reads the bytes that the operating system has received, at most as many as one readable
+  /// event would.
   void readNow();
-  /// From now on all input is read and thrown away; only the peer's end, or a loss, is told.
+  /// Discards all input from now on; only the end of the connection is still reported.
   void discardInput();
-  /// Shuts down our side; input is discarded from then on. No output may be pending.
+  /// Shuts down the sending side and discards input from then on. No output may be pending.
   void shutdownSend();
-  /// Closes the socket and drops pending output. No callback comes afterwards.
+  /// Closes the socket and drops pending output. No callback is called afterwards.
   void close();
 
  private:
@@ -109,7 +114,7 @@
   Poco::Net::StreamSocket socket_;
   const ConnectionCallbacks callbacks_;
   State state_ = State::connecting;
-  /// Held only while a message is not whole; its received bytes lie from `inputBegin_` to `inputEnd_`.
+  /// Leased only while a message is incomplete; its received bytes are in [`inputBegin_`, `inputEnd_`).
   BufferPool::Lease input_;
   std::size_t inputBegin_ = 0;
   std::size_t inputEnd_ = 0;
@@ -122,7 +127,7 @@
   bool hasPeerEnded_ = false;
   bool hasSentData_ = false;
   bool isFlushScheduled_ = false;
-  /// Tells of a failure that connectTo() met.
+  /// Reports a failure of connectTo() after that call has returned.
   Reactor::Timer connectFailureTimer_;
   Poco::NObserver<Connection, Poco::Net::ReadableNotification> readObserver_{*this, &Connection::onReadable};
   Poco::NObserver<Connection, Poco::Net::WritableNotification> writeObserver_{*this, &Connection::onWritable};
--- a/src/net/reactor.cpp
+++ b/src/net/reactor.cpp
@@ -15,7 +15,7 @@
 
 using namespace std::chrono_literals;
 
-/// Makes signals readable like a socket.
+/// Makes signals readable through the reactor, by a signalfd that is wrapped as a socket.
 class Reactor::SignalSocket {
  public:
   SignalSocket(Reactor& reactor, std::initializer_list<int> signals, std::function<void(int)> handler)
@@ -67,8 +67,8 @@
 }
 
 // POCO calls onBusy() at the beginning of an iteration with events, and onTimeout() or onIdle() at the end of
-// one in which nothing was readable. After an iteration with events the next poll does not wait, so that the
-// iteration's end comes before any more is read.
+// an iteration in which nothing was readable. After an iteration with events the next poll does not wait, so
+// that the end-of-iteration work runs before more input is read.
 void Reactor::onBusy() {
   endIteration();
   setTimeout(0);
@@ -78,7 +78,7 @@
   constexpr Wait maxWait = 1s;
   endIteration();
   Wait wait = timers_.empty() ? maxWait : timers_.begin()->first.first - Clock::now();
-  if (!pendingFlushes_.empty()) wait = 0s;  // written while others were flushed
+  if (!pendingFlushes_.empty()) wait = 0s;  // added while other connections were flushed
   const auto millis = std::chrono::ceil<std::chrono::milliseconds>(std::clamp<Wait>(wait, 0s, maxWait));
   constexpr Poco::Timespan::TimeDiff microsPerMilli = 1000;
   setTimeout(Poco::Timespan(static_cast<Poco::Timespan::TimeDiff>(millis.count()) * microsPerMilli));
@@ -91,7 +91,8 @@
   retired_.clear();
 }
 
-// A timer that was set by one of these callbacks waits for the next iteration, even where it is due at once.
+// A timer that one of these callbacks sets fires in the next iteration at the earliest, even if it is due
+// immediately.
 void Reactor::fireDueTimers() {
   const auto now = Clock::now();
   const auto lastNumberBefore = lastTimerNumber_;
--- a/src/net/reactor.h
+++ b/src/net/reactor.h
@@ -1,5 +1,5 @@
 /// @file
-/// The event loop: POCO's socket reactor with timers, signals, and an end to each iteration.
+/// The event loop: POCO's socket reactor with timers, signal handling and work at the end of each iteration.
 #pragma once
 
 #include <Poco/Net/SocketReactor.h>
@@ -15,52 +15,53 @@
 
 namespace rainhook::net {
 
-/// Runs everything on one thread. An iteration handles the sockets that are ready; at its end, due timers
-/// fire, then the iteration-end handler is called, then connections send what was written to them.
+/// Runs all handlers on one thread. An iteration handles the sockets that are ready. At its end, the reactor
+/// fires due timers, then calls the iteration-end handler, and then lets connections send their output.
 class Reactor final : public Poco::Net::SocketReactor {
  public:
-  /// The time of all timers.
+  /// The clock of all timers.
   using Clock = std::chrono::steady_clock;
-  /// How long a timer waits.
+  /// The delay of a timer.
   using Wait = std::chrono::nanoseconds;
 
-  /// A timer that has not fired yet. Destroying or overwriting it cancels it. Must not outlive its reactor.
+  /// Handle of a timer. Destroying or overwriting it cancels the timer. Must not outlive its reactor.
   class Timer {
    public:
-    /// A timer that never fires.
+    /// Creates a handle without a timer.
     Timer() = default;
-    /// Takes the other timer over.
+    /// Takes over the other handle's timer.
     Timer(Timer&& other) noexcept { *this = std::move(other); }
-    /// Cancels this timer and takes the other one over.
+    /// Cancels this timer and takes over the other handle's timer.
     Timer& operator=(Timer&& other) noexcept;
     Timer(const Timer&) = delete;
     Timer& operator=(const Timer&) = delete;
     ~Timer() { cancel(); }
-    /// Has no effect once the timer has fired.
+    /// Cancels the timer; has no effect once it has fired.
     void cancel();
 
    private:
     friend class Reactor;
-    /// The due time, and a number that tells timers of one due time apart.
+    /// The due time, and a number that distinguishes timers with the same due time.
     using Key = std::pair<Clock::time_point, std::uint64_t>;
     Timer(Reactor* reactor, Key key) : reactor_(reactor), key_(key) {}
     Reactor* reactor_ = nullptr;
     Key key_{};
   };
 
-  /// Calls `callback` once, at the end of the first iteration after `wait`, at the earliest in the next
-  /// iteration where it is set from a timer's callback.
+  /// Calls `callback` once, at the end of the first iteration after `wait` has passed. A timer that is set in
+  /// a timer's callback fires in the next iteration at the earliest.
   [[nodiscard]] Timer after(Wait wait, std::function<void()> callback);
-  /// `handler` is called at the end of every iteration; replaces the one before, an empty one removes it.
+  /// Calls `handler` at the end of every iteration. Replaces the previous handler; an empty one removes it.
   void setIterationEndHandler(std::function<void()> handler) { iterationEndHandler_ = std::move(handler); }
-  /// Calls `flush` once at the end of this iteration, after the handler: for connections with output.
+  /// Calls `flush` once at the end of this iteration, after the iteration-end handler. Connections use it to
+  /// send their output.
   void flushAtIterationEnd(std::function<void()> flush) { pendingFlushes_.push_back(std::move(flush)); }
-  /// Keeps an event handler alive until nothing of this iteration can call it any more.
+  /// Keeps an event handler alive until the end of this iteration, while the reactor may still call it.
   void retire(std::shared_ptr<void> eventHandler) { retired_.push_back(std::move(eventHandler)); }
-  /// Destroys what was retired. Only to be called while run() does not execute.
+  /// Drops the references to retired event handlers. Must not be called while run() executes.
   void releaseRetired() { retired_.clear(); }
-  /// Blocks the given signals for the process; from now on `handler` is called on the reactor's thread for
-  /// each.
+  /// Blocks the given signals for the process and, from now on, calls `handler` on the reactor's thread for
+  /// each of them that arrives.
   void onSignals(std::initializer_list<int> signals, std::function<void(int)> handler);
 
  private:
@@ -71,7 +72,7 @@
   void endIteration();
   void fireDueTimers();
 
-  /// A timer leaves when it fires or is cancelled.
+  /// Timers that have neither fired nor been cancelled.
   std::map<Timer::Key, std::function<void()>> timers_;
   std::uint64_t lastTimerNumber_ = 0;
   std::function<void()> iterationEndHandler_;
--- a/tests/buffer_pool_test.cpp
+++ b/tests/buffer_pool_test.cpp
@@ -1,4 +1,5 @@
-// Output that waits in buffers of a pool.
+/// @file
+/// SendBuffer keeps bytes in order and returns every buffer to its pool.
 #include "net/buffer_pool.h"
 
 #include <gtest/gtest.h>
@@ -7,7 +8,7 @@
 namespace rainhook::net {
 namespace {
 
-RC_GTEST_PROP(SendBuffer, GivesWhatWasAppendedInOrderAndReturnsItsBuffers,
+RC_GTEST_PROP(SendBuffer, ReturnsAppendedBytesInOrderAndReleasesItsBuffersWhenConsumed,
               (std::vector<std::string> pieces)) {
   BufferPool pool;
   {
--- a/tests/codec_test.cpp
+++ b/tests/codec_test.cpp
@@ -1,4 +1,5 @@
-// The codecs on generated messages, cut at every place and corrupted.
+/// @file
+/// The codecs on generated messages, truncated at every position and corrupted.
 #include <gtest/gtest.h>
 #include <rapidcheck/gtest.h>
 
@@ -16,7 +17,8 @@
 
 constexpr std::size_t maxContentBytes = 1 << 20;
 
-/// Whatever the bytes are, `parse` returns or throws a ProtocolError.
+/// Replaces one byte by an arbitrary one. `parse` must then return or throw a ProtocolError, and nothing
+/// else.
 template <typename Parse>
 void expectCorruptionIsHandled(std::string bytes, Parse parse) {
   const auto at = *rc::gen::inRange<std::size_t>(0, bytes.size());
@@ -61,7 +63,7 @@
   return out;
 }
 
-RC_GTEST_PROP(Thrift, ReadsWhatItWroteAndWaitsForTheRestOfACutFrame,
+RC_GTEST_PROP(Thrift, DecodesEncodedMessagesAndReturnsNothingWhenTheFrameIsTruncated,
               (const Fields& fields, const std::string& body)) {
   const auto bytes = encodeCall(fields, body);
   const auto call = decodeCall(bytes + "more");
@@ -71,35 +73,36 @@
     RC_ASSERT(!thrift::readFrame(std::string_view(bytes).substr(0, cut), maxContentBytes));
 }
 
-RC_GTEST_PROP(Thrift, HandlesCorruptedBytes, (const Fields& fields, const std::string& body)) {
+RC_GTEST_PROP(Thrift, ThrowsNothingButProtocolErrorsWhenBytesAreCorrupted,
+              (const Fields& fields, const std::string& body)) {
   expectCorruptionIsHandled(encodeCall(fields, body), [](std::string_view bytes) { decodeCall(bytes); });
 }
 
-TEST(Thrift, RejectsAFrameLongerThanTheBound) {
+TEST(Thrift, RejectsAFrameWhenItExceedsTheLimit) {
   EXPECT_THROW((void)thrift::readFrame(encodeCall({{"rid", "x"}}, "b"), 10), ProtocolError);
 }
 
-TEST(Thrift, RejectsAFrameOfNegativeLength) {
+TEST(Thrift, RejectsAFrameWhenItsLengthIsNegative) {
   EXPECT_THROW((void)thrift::readFrame("\xff\xff\xff\xff", 100), ProtocolError);
 }
 
-TEST(Thrift, RejectsAMessageOfTheOldProtocolVersion) {
+TEST(Thrift, RejectsAMessageWhenItIsNotInTheStrictProtocol) {
   const std::string_view old("\0\0\0\4call\1\0\0\0\7\0", 14);
   EXPECT_THROW((void)thrift::readMessage(old), ProtocolError);
 }
 
-TEST(Thrift, RejectsAnUnknownKindOfMessage) {
+TEST(Thrift, RejectsAMessageWhenItsKindIsUnknown) {
   const std::string_view unknown("\x80\x01\0\x09\0\0\0\0\0\0\0\1", 12);
   EXPECT_THROW((void)thrift::readMessage(unknown), ProtocolError);
 }
 
-TEST(Thrift, RejectsAValueThatIsNestedTooDeeply) {
+TEST(Thrift, RejectsAValueWhenItIsNestedTooDeeply) {
   std::string deep;
   for (int i = 0; i < 40; ++i) deep += std::string("\x0c\0\1", 3);
   EXPECT_THROW(thrift::Reader(deep).skip(Type::structure), ProtocolError);
 }
 
-TEST(Thrift, SkipsFieldsOfEveryType) {
+TEST(Thrift, SkipsFieldsOfEveryTypeWhenTheyAreNotRead) {
   const std::string_view bytes(
       "\x02\0\x09\1\x03\0\x09\1\x06\0\x09\0\1\x0a\0\x09\0\0\0\0\0\0\0\1"
       "\x0f\0\x09\x08\0\0\0\1\0\0\0\5\x0c\0\x09\0\x0b\0\1\0\0\0\1z\0",
@@ -115,7 +118,7 @@
   EXPECT_TRUE(in.atEnd());
 }
 
-RC_GTEST_PROP(Http, ReadsAWholeResponseAndWaitsForTheRestOfACutOne, (const std::string& body)) {
+RC_GTEST_PROP(Http, ParsesCompleteResponsesAndReturnsNothingWhenTheyAreTruncated, (const std::string& body)) {
   const bool isChunked = *rc::gen::arbitrary<bool>();
   std::string bytes = "HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 503 Busy\r\nTurned-Away:  1 \r\n";
   if (isChunked) {
@@ -136,17 +139,17 @@
   expectCorruptionIsHandled(bytes, [](std::string_view corrupted) { (void)http::readResponse(corrupted); });
 }
 
-TEST(Http, KeepsAConnectionAliveByDefault) {
+TEST(Http, KeepsAConnectionAliveWhenNoHeaderClosesIt) {
   EXPECT_TRUE(http::readResponse("HTTP/1.1 204 No Content\r\n\r\n")->isKeepAlive);
 }
 
-TEST(Http, EndsAConnectionWhereTheServerClosesIt) {
+TEST(Http, DoesNotKeepAConnectionAliveWhenAHeaderClosesIt) {
   const auto response =
       http::readResponse("HTTP/1.1 200 OK\r\nConnection: Close\r\nContent-Length: 0\r\n\r\n");
   EXPECT_FALSE(response->isKeepAlive);
 }
 
-TEST(Http, EndsAConnectionOfVersion10) {
+TEST(Http, DoesNotKeepAConnectionAliveWhenTheVersionIs10) {
   EXPECT_FALSE(http::readResponse("HTTP/1.0 200 OK\r\nContent-Length: 0\r\n\r\n")->isKeepAlive);
 }
 
@@ -163,11 +166,12 @@
                     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 3\r\n\r\nabc",
                     "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n",
                     "HTTP/1.1 200 OK\r\n\r\n", "HTTP/1.1 200 OK\r\nContent-Length: 99999999\r\n\r\n",
-                    // One more than the longest body and the longest chunk.
+                    // One byte more than the limit of a body and of a chunk.
                     "HTTP/1.1 200 OK\r\nContent-Length: 16385\r\n\r\n",
                     "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n4001\r\n"));
 
-RC_GTEST_PROP(JsonLines, ReadsWhatItWroteAndWaitsForTheRestOfACutLine, (const std::string& body)) {
+RC_GTEST_PROP(JsonLines, DecodesEncodedLinesAndReturnsNothingWhenTheyAreTruncated,
+              (const std::string& body)) {
   const auto line = jsonLines::writeLine({{"msg", "launch"}, {"blob", jsonLines::toBase64(body)}});
   const auto read = jsonLines::readLine(line + "{");
   RC_ASSERT(read.has_value());
@@ -190,7 +194,9 @@
 
 INSTANTIATE_TEST_SUITE_P(JsonLines, JsonLinesInvalidLine, testing::Values("7\n", "[1]\n", "{\"a\":\n", "\n"));
 
-TEST(JsonLines, RejectsInvalidBase64) { EXPECT_THROW(jsonLines::fromBase64("a*b="), ProtocolError); }
+TEST(JsonLines, RejectsBase64WhenItHasAnInvalidCharacter) {
+  EXPECT_THROW(jsonLines::fromBase64("a*b="), ProtocolError);
+}
 
 }  // namespace
 }  // namespace rainhook::codec
--- a/tests/log_test.cpp
+++ b/tests/log_test.cpp
@@ -1,4 +1,5 @@
-// Lines of the log, and their rate limit.
+/// @file
+/// The format of log lines and their rate limit.
 #include "logging/log.h"
 
 #include <gtest/gtest.h>
@@ -10,7 +11,7 @@
 namespace rainhook::logging {
 namespace {
 
-/// Standard error from here to the end of the scope.
+/// Captures standard error from its construction until take().
 class CapturedLines {
  public:
   CapturedLines() { testing::internal::CaptureStderr(); }
@@ -22,7 +23,7 @@
   }
 };
 
-TEST(Log, WritesMessagesAsJsonWithTheirCategoryAndInstance) {
+TEST(Log, WritesCategoryAndInstanceWhenTheFormatIsJson) {
   CapturedLines captured;
   Log(Log::Format::json, "s1").message(LogCategory::downstream, "call {} failed", 7);
   const auto lines = captured.take();
@@ -36,7 +37,7 @@
   EXPECT_TRUE(line.at("steady_ns").is_number());
 }
 
-TEST(Log, WritesFieldsOfAnEventBehindItsNameAsText) {
+TEST(Log, WritesTheFieldsAfterTheEventNameWhenTheFormatIsText) {
   CapturedLines captured;
   Log().event(LogCategory::membership, "share", {{"share", 0.5}, {"why", "reload"}});
   const auto lines = captured.take();
@@ -44,12 +45,13 @@
   EXPECT_NE(lines[0].find(" share share=0.5 why=reload"), std::string::npos) << lines[0];
 }
 
-TEST(Log, SuppressesLinesBeyondTheLimitOfTheirCategoryAlone) {
+TEST(Log, SuppressesLinesOfACategoryWhenItExceedsItsLimit) {
   CapturedLines captured;
   Log log(Log::Format::json);
   for (int i = 0; i < 20; ++i) log.message(LogCategory::listener, "{}", i);
   log.message(LogCategory::engine, "another category");
-  // Where a second ends meanwhile, a line may be let in anew and the suppressed ones be counted.
+  // If a second ends during the loop, a new window admits more lines and one that counts the suppressed
+  // lines.
   const auto lines = captured.take();
   EXPECT_GE(lines.size(), 6u);
   EXPECT_LE(lines.size(), 12u);
