--- a/src/configuration/deployment_settings.cpp
+++ b/src/configuration/deployment_settings.cpp
@@ -13,7 +13,7 @@
   MachineProfile machine;
   machine.cores = std::max(1, reader.count("domain.cores", 1));
   machine.memoryKb = reader.number("domain.memoryKb", 0);
-  // Without a stated amount of memory there is no memory limit.
+  // Memory is unlimited if the settings do not state its size.
   if (machine.memoryKb <= 0) machine.memoryKb = std::numeric_limits<double>::max();
   machine.executionMemoryFactor = reader.number("domain.runFactor", 1);
   machine.cachedEntryKb = reader.number("domain.keyKb", 0);
@@ -32,9 +32,9 @@
 Duration readLatencyObjective(const SettingsReader& reader, const std::string& prefix) {
   const std::string path = prefix + "aimNs";
   const Duration objective = reader.duration(path, reader.duration(prefix + "hardLimitNs"));
-  // A stated objective of 0 is a mistake; without a statement it is 0, as any absent value.
+  // An explicit objective of 0 is an error; an absent one defaults to 0, as other absent values do.
   const std::string_view stated = reader.text(path);
-  if (!stated.empty() && objective <= Duration::zero()) reader.reject(path, stated, "a duration over 0 ns");
+  if (!stated.empty() && objective <= Duration::zero()) reader.reject(path, stated, "a duration above 0 ns");
   return objective;
 }
 
@@ -65,7 +65,7 @@
   return policies;
 }
 
-// The names of the entries of a list, such as `classes` or `orgs`.
+// Reads the names of the entries of a list, such as `classes` or `orgs`.
 std::vector<std::string> readNames(const SettingsReader& reader, const std::string& list) {
   const int entries = reader.count(list + ".count", 0);
   std::vector<std::string> names;
--- a/src/configuration/deployment_settings.h
+++ b/src/configuration/deployment_settings.h
@@ -1,6 +1,6 @@
 /// @file
-/// The operators' settings of a deployment, read into the types of the decision module. A real server and the
-/// simulator's host read the same settings.
+/// Reads the operators' settings of a deployment into the types of the decision module. A real server and the
+/// simulator's host use the same settings.
 #pragma once
 
 #include <span>
@@ -12,38 +12,38 @@
 
 namespace rainhook {
 
-/// A measurement of the machine that a timer event may carry.
+/// A measurement of the machine that a timer event can contain.
 enum class LoadGauge {
   cpuUtilization,     ///< share of the cores that are busy
-  runnableTasks,      ///< tasks that run or wait for a core
+  runnableTasks,      ///< tasks that run or are ready to run
   memoryUtilization,  ///< share of the memory in use
   openConnections,    ///< open sockets
-  other               ///< one that rainhook does not know and ignores
+  other               ///< a gauge that rainhook does not know and ignores
 };
 
-/// What a deployment's operators state about a server, its work and its surroundings.
+/// The operators' settings about a server, its handlers and its environment.
 struct DeploymentSettings {
-  MachineProfile machine;                      ///< the machine, its limits and its slow start
+  MachineProfile machine;                      ///< the machine's limits and warm-up
   std::vector<HandlerPolicy> handlerPolicies;  ///< by HandlerId
   std::vector<std::string> handlerNames;       ///< by HandlerId
   std::vector<std::string> tenantNames;        ///< by TenantId
   DownstreamProfile downstream;                ///< the service that handlers call
-  ProtocolLimits protocolLimits;               ///< times that the protocol demands
-  SignalingProfile signaling;                  ///< which load signals are sent, and to whom
-  ResultSharing resultSharing;                 ///< whether a read's answer may serve other reads
-  FleetProfile fleet;                          ///< how many servers and clients there are
-  bool clientsSendTimeRemaining = false;       ///< whether requests carry the client's remaining time
-  std::vector<LoadGauge> gauges;               ///< the gauges of a timer event, in their order
+  ProtocolLimits protocolLimits;               ///< times that the protocol requires
+  SignalingProfile signaling;                  ///< the kind of load signal, its lifetime and its use
+  ResultSharing resultSharing;                 ///< whether the result of one read may answer other reads
+  FleetProfile fleet;                          ///< the number of servers and clients
+  bool clientsSendTimeRemaining = false;       ///< whether requests contain the client's remaining time
+  std::vector<LoadGauge> gauges;               ///< the gauges of a timer event, in order
 };
 
-/// Reads a deployment's settings. Unknown paths are ignored; absent ones take their documented default.
-/// @throws ConfigurationError (source "settings") on a value that is not what its path holds.
+/// Reads a deployment's settings. Ignores unknown paths and uses the documented default of absent ones.
+/// @throws ConfigurationError (source "settings") if a value is not valid for its path.
 [[nodiscard]] DeploymentSettings readDeploymentSettings(SettingsMap settings);
 
-/// The event of a timer with the gauges measured at its time.
+/// Creates the event of a timer with the measurements taken when it fired.
 /// @param timer the timer that has fired
-/// @param gauges what each of the values measures
-/// @param values in the order of `gauges`; there may be fewer, or none where nothing was measured
+/// @param gauges the gauge of each value
+/// @param values the measurements in the order of `gauges`; there may be fewer of them, or none
 [[nodiscard]] TimerFired timerFired(TimerId timer, std::span<const double> values,
                                     const std::vector<LoadGauge>& gauges);
 
--- a/src/configuration/server_configuration.cpp
+++ b/src/configuration/server_configuration.cpp
@@ -25,7 +25,7 @@
 constexpr int minDescriptors = 32;
 constexpr int defaultMemoryMb = 192;
 constexpr std::size_t maxHandlers = 256;  // HandlerId has eight bits
-// For counts that have no table row each.
+// Upper bound of counts that do not determine the size of a table.
 constexpr int unlimited = std::numeric_limits<int>::max();
 
 struct RestartOnlyKey {
@@ -37,13 +37,13 @@
                                         RestartOnlyKey{"limits", &RestartOnlyValues::limits},
                                         RestartOnlyKey{"settings", &RestartOnlyValues::settings}};
 
-// Hosts are numeric, since servers run where there is no name service.
+// Hosts must be numeric, since servers run in environments without a name service.
 bool isNumericAddress(const std::string& text) {
   const std::size_t colon = text.rfind(':');
   if (colon == std::string::npos) return false;
   Poco::Net::IPAddress host;
   if (!Poco::Net::IPAddress::tryParse(text.substr(0, colon), host)) return false;
-  unsigned port = maxPort + 1;  // stays where no digits follow
+  unsigned port = maxPort + 1;  // unchanged if no digits follow, which makes the address invalid
   std::from_chars(text.data() + colon + 1, text.data() + text.size(), port);
   return port <= maxPort;
 }
@@ -51,12 +51,12 @@
 std::string readOptionalAddress(const SettingsReader& reader, const std::string& path) {
   std::string address(reader.text(path));
   if (!address.empty() && !isNumericAddress(address))
-    reader.reject(path, address, "an address with its port");
+    reader.reject(path, address, "a numeric address of the form 127.0.0.1:7101");
   return address;
 }
 
 std::string readRequiredAddress(const SettingsReader& reader, const std::string& path) {
-  static_cast<void>(reader.requiredText(path));  // throws where it is absent
+  static_cast<void>(reader.requiredText(path));  // throws if the value is absent
   return readOptionalAddress(reader, path);
 }
 
@@ -66,14 +66,16 @@
   std::uint64_t number = 0;
   const char* const last = digits.data() + digits.size();
   const auto [end, error] = std::from_chars(digits.data(), last, number, hexadecimal);
-  if (error != std::errc{} || end != last) reader.reject("seed", digits, "hex digits");
+  if (error != std::errc{} || end != last)
+    reader.reject("seed", digits, "a hexadecimal number of up to 16 digits");
   return Seed{number};
 }
 
 std::size_t readMaxDescriptors(const SettingsReader& reader) {
   const int descriptors = reader.count("limits.sockets", defaultDescriptors, unlimited);
   if (descriptors < minDescriptors)
-    reader.reject("limits.sockets", std::to_string(descriptors), "enough descriptors to serve with (32)");
+    reader.reject("limits.sockets", std::to_string(descriptors),
+                  "an integer of at least " + std::to_string(minDescriptors));
   return static_cast<std::size_t>(descriptors);
 }
 
@@ -107,15 +109,17 @@
   return values;
 }
 
-// Requests name their handler, so that each must have a name of its own.
+// Requests identify their handler by name, so that names must be present and unique.
 void checkHandlerNames(const std::vector<std::string>& names) {
-  if (names.empty()) throw ConfigurationError(settingsSource, "classes", "is missing or holds none");
+  if (names.empty()) throw ConfigurationError(settingsSource, "classes", "is missing or empty");
   if (names.size() > maxHandlers)
-    throw ConfigurationError(settingsSource, "classes", "holds more than " + std::to_string(maxHandlers));
+    throw ConfigurationError(settingsSource, "classes",
+                             "has " + std::to_string(names.size()) + " entries, more than the limit of " +
+                                 std::to_string(maxHandlers));
   for (auto name = names.begin(); name != names.end(); ++name)
     if (name->empty() || std::find(names.begin(), name, *name) != name)
       throw ConfigurationError(settingsSource, "classes." + std::to_string(name - names.begin()) + ".name",
-                               "is empty or given twice");
+                               "is empty or a duplicate");
 }
 
 }  // namespace
@@ -123,7 +127,7 @@
 ServerConfiguration readConfiguration(std::string_view text) {
   constexpr bool throwOnSyntaxErrors = false;
   const auto json = nlohmann::json::parse(text, nullptr, throwOnSyntaxErrors);
-  if (!json.is_object()) throw ConfigurationError(configurationSource, "", "holds no JSON object");
+  if (!json.is_object()) throw ConfigurationError(configurationSource, "", "expected a JSON object");
   ServerConfiguration configuration;
   configuration.endpoints = readEndpoints(SettingsReader(flattenSettingsJson(json), configurationSource));
   configuration.deployment = readSettings(json);
@@ -142,7 +146,7 @@
 
 ServerConfiguration readConfigurationFile(const std::string& file) {
   std::ifstream in(file);
-  if (!in) throw ConfigurationError(configurationSource, "", "can't be read from '" + file + "'");
+  if (!in) throw ConfigurationError(configurationSource, "", "cannot open file '" + file + "'");
   return readConfiguration(std::string{std::istreambuf_iterator<char>(in), {}});
 }
 
--- a/src/configuration/settings_reader.cpp
+++ b/src/configuration/settings_reader.cpp
@@ -14,10 +14,10 @@
 
 constexpr const char* settingsSource = "settings";
 
-// Above this magnitude a double that stands for a whole number may not fit into 64 bits.
-constexpr double maxWholeDouble = 9e18;
+// Whole doubles above this magnitude may not fit into 64 bits.
+constexpr double maxIntegralDouble = 9e18;
 
-// Removes and returns what stands before the first separator, and the separator with it.
+// Removes the text up to and including the first separator from `rest` and returns it without the separator.
 std::string_view takeUntil(std::string_view& rest, char separator) {
   const std::size_t end = rest.find(separator);
   const std::string_view taken = rest.substr(0, end);
@@ -80,19 +80,20 @@
 SettingsReader::SettingsReader(SettingsMap values, std::string source)
     : values_(std::move(values)), source_(std::move(source)) {}
 
-void SettingsReader::reject(const std::string& path, std::string_view value, const char* expected) const {
+void SettingsReader::reject(const std::string& path, std::string_view value,
+                            const std::string& expected) const {
   throw ConfigurationError(source_, path, "is '" + std::string(value) + "', not " + expected);
 }
 
 template <typename Number>
 Number SettingsReader::parseNumber(const std::string& path, std::string_view value) const {
-  // JSON has one kind of number: 6.0 and 6e0 are the whole number 6.
+  // JSON does not distinguish integers from other numbers: 6.0 and 6e0 are the integer 6.
   if constexpr (std::is_integral_v<Number>) {
     if (value.find_first_of(".eE") != std::string_view::npos) {
       const auto real = parseNumber<double>(path, value);
-      if (real != std::floor(real) || std::abs(real) > maxWholeDouble ||
+      if (real != std::floor(real) || std::abs(real) > maxIntegralDouble ||
           std::abs(real) > static_cast<double>(std::numeric_limits<Number>::max()))
-        reject(path, value, "a whole number");
+        reject(path, value, "an integer");
       return static_cast<Number>(real);
     }
   }
@@ -127,7 +128,7 @@
   const std::string_view value = text(path);
   if (value.empty()) return fallback;
   const auto result = parseNumber<double>(path, value);
-  if (result < 0) reject(path, value, "a number of 0 or more");
+  if (result < 0) reject(path, value, "a number of at least 0");
   return result;
 }
 
@@ -137,7 +138,7 @@
   const std::string_view value = text(path);
   if (value.empty()) return fallback;
   const auto nanoseconds = parseNumber<std::int64_t>(path, value);
-  if (nanoseconds < 0) reject(path, value, "a duration of 0 ns or more");
+  if (nanoseconds < 0) reject(path, value, "a duration of at least 0 ns");
   return Duration(nanoseconds);
 }
 
@@ -145,7 +146,7 @@
   const std::string_view value = text(path);
   if (value.empty()) return fallback;
   const int result = parseNumber<int>(path, value);
-  if (result < 0 || result > max) reject(path, value, "a count");
+  if (result < 0 || result > max) reject(path, value, "an integer from 0 to " + std::to_string(max));
   return result;
 }
 
--- a/src/options/failover_options.cpp
+++ b/src/options/failover_options.cpp
@@ -20,7 +20,7 @@
 constexpr std::size_t maxCosts = 4096;
 constexpr double maxCost = 1000;
 constexpr double maxMargin = 0.9;
-constexpr double leastStep = 0.01;
+constexpr double minStep = 0.01;
 constexpr std::uint64_t maxSteps = 10000;
 constexpr std::uint64_t maxMembers = 100000;
 constexpr double maxRate = 1e9;
@@ -28,14 +28,13 @@
 void readZones(YamlSection& section, FailoverSettings& settings) {
   for (const auto& [zone, region] : section.textMap("zones", maxZones)) {
     if (zone.empty() || region.empty())
-      section.reject("zones", fmt::format("zone '{}' is in no region", zone));
+      section.reject("zones", fmt::format("zone '{}' with region '{}': neither may be empty", zone, region));
     settings.zones.emplace(ZoneName{zone}, RegionName{region});
   }
-  if (settings.zones.empty())
-    section.reject("zones", "names no zone; each zone stands there with its region");
+  if (settings.zones.empty()) section.reject("zones", "expected at least one zone with its region");
 }
 
-/// Splits "a b" and checks that both are zones of the settings.
+/// Splits a text such as "a b" and checks that both names are zones of the settings.
 std::pair<ZoneName, ZoneName> readZonePair(const YamlSection& section, const FailoverSettings& settings,
                                            const std::string& text) {
   const std::size_t space = text.find(' ');
@@ -43,8 +42,8 @@
   const ZoneName target{space == std::string::npos ? "" : text.substr(space + 1)};
   for (const ZoneName& zone : {origin, target})
     if (!settings.zones.contains(zone))
-      section.reject("costs", fmt::format("'{}' is no pair of stated zones, such as \"a b\"", text));
-  if (origin == target) section.reject("costs", fmt::format("'{}' is one zone twice", text));
+      section.reject("costs", fmt::format("'{}' is not a pair of configured zones, such as \"a b\"", text));
+  if (origin == target) section.reject("costs", fmt::format("'{}' names the same zone twice", text));
   return {origin, target};
 }
 
@@ -52,7 +51,7 @@
   for (const auto& [pair, cost] : section.textMap("costs", maxCosts)) {
     const auto [origin, target] = readZonePair(section, settings, pair);
     if (settings.costs.contains({target, origin}))
-      section.reject("costs", fmt::format("names '{}' both ways", pair));
+      section.reject("costs", fmt::format("'{}' is already listed in the opposite order", pair));
     settings.costs[{origin, target}] = section.parseNumber("costs", cost, 0, maxCost);
   }
 }
@@ -62,7 +61,7 @@
   for (const std::string& name : section.textList("drained")) {
     const ZoneName zone{name};
     if (!settings.zones.contains(zone))
-      section.reject("drained", fmt::format("'{}' is no stated zone", name));
+      section.reject("drained", fmt::format("'{}' is not a configured zone", name));
     overrides.drainedZones.insert(zone);
   }
   overrides.isFrozen = section.boolean("held", false);
@@ -100,9 +99,10 @@
   settings.sameRegionCost = section.number("in-region", settings.sameRegionCost, 0, maxCost);
   settings.crossRegionCost = section.number("beyond", settings.crossRegionCost, 0, maxCost);
   if (settings.crossRegionCost < settings.sameRegionCost)
-    section.reject("beyond", "costs less than a way within the region");
+    section.reject("beyond", fmt::format("{} is less than the cost within a region, {}",
+                                         settings.crossRegionCost, settings.sameRegionCost));
   settings.capacityMargin = section.number("margin", settings.capacityMargin, 0, maxMargin);
-  settings.maxStep = section.number("step", settings.maxStep, leastStep, 1);
+  settings.maxStep = section.number("step", settings.maxStep, minStep, 1);
   settings.stepInterval = section.duration("look", settings.stepInterval, 200ms, 10min);
   return settings;
 }
--- a/src/options/failover_options.h
+++ b/src/options/failover_options.h
@@ -1,6 +1,6 @@
 /// @file
-/// Reads failover's settings and, for computing a plan without a fleet, a file of observations. The keys of
-/// both are mapped to failover's types here and nowhere else. Errors: OptionsError.
+/// Reads the settings of failover and the scenario file from which a plan can be computed without a fleet.
+/// Only this module maps the keys of both to failover's types. Errors are thrown as OptionsError.
 #pragma once
 
 #include <cstdint>
@@ -11,16 +11,17 @@
 
 namespace rainhook::options {
 
-/// Reads the keys zones, costs, in-region, beyond, margin, look and step of a section that may hold more.
-/// Throws OptionsError.
+/// Reads the keys zones, costs, in-region, beyond, margin, look and step of a section, which may contain
+/// other keys. Throws OptionsError.
 [[nodiscard]] failover::FailoverSettings readFailoverSettings(YamlSection& section);
 
-/// What `rainhook failover plan` computes a plan from.
+/// The input of `rainhook failover plan`.
 struct PlanningScenario {
   failover::FailoverSettings settings;     ///< the zones, the costs between them and the planner's limits
-  failover::FleetObservation observation;  ///< what each zone does; zones that are not named are unknown
-  failover::OperatorOverrides overrides;   ///< what operators have ordered
-  std::uint64_t steps = 1;                 ///< steps with this same observation, a step interval apart
+  failover::FleetObservation observation;  ///< the load of each zone; an unlisted zone is unreachable
+  failover::OperatorOverrides overrides;   ///< drained zones, and whether the plan is frozen
+  /// Number of planning steps. All use the same observation, and one step interval lies between them.
+  std::uint64_t steps = 1;
 };
 
 /// Reads a file such as examples/zones.yaml. Throws OptionsError.
--- a/src/options/membership_options.cpp
+++ b/src/options/membership_options.cpp
@@ -23,7 +23,7 @@
 
 constexpr std::size_t keyBytes = 32;
 constexpr std::size_t maxKeyTextBytes = 64;
-constexpr std::size_t maxKeys = 2;  // the second while keys are changed
+constexpr std::size_t maxKeys = 2;  // two keys are needed during a key rotation
 constexpr std::size_t maxReachEntries = 4096;
 constexpr auto minProbeInterval = 50ms;
 constexpr auto maxProbeInterval = 60s;
@@ -31,8 +31,8 @@
 
 using Key = std::array<unsigned char, keyBytes>;
 
-// A path is relative to the folder of the settings file, whatever the working directory is.
-std::string besideSettings(const std::string& settingsFile, const std::string& path) {
+// Relative paths are resolved against the folder of the settings file, not against the working directory.
+std::string resolvePath(const std::string& settingsFile, const std::string& path) {
   return (std::filesystem::path(settingsFile).parent_path() / path).string();
 }
 
@@ -45,22 +45,25 @@
   std::string text = section.text(key);
   if (text.size() > membership::maxIdentifierBytes ||
       !std::all_of(text.begin(), text.end(), isIdentifierCharacter))
-    section.reject(key, fmt::format("'{}' is no name of letters, digits and . _ - ({} at most)", text,
-                                    membership::maxIdentifierBytes));
+    section.reject(
+        key, fmt::format("'{}' is not a name of letters, digits, '.', '_' and '-' with at most {} characters",
+                         text, membership::maxIdentifierBytes));
   return text;
 }
 
 membership::Address checkedAddress(const YamlSection& section, const std::string& key,
                                    const std::string& text) {
   if (!membershipTransport::parseAddress(text))
-    section.reject(key, fmt::format("'{}' is no address of the form 127.0.0.1:7101", text));
+    section.reject(key, fmt::format("'{}' is not an address of the form 127.0.0.1:7101", text));
   return membership::Address{text};
 }
 
 void checkKeyFileMode(const YamlSection& section, const std::string& file) {
   struct stat status {};
-  if (::stat(file.c_str(), &status) != 0) section.reject("keys", fmt::format("{} can't be read", file));
-  if ((status.st_mode & S_IROTH) != 0) section.reject("keys", fmt::format("{} can be read by all", file));
+  if (::stat(file.c_str(), &status) != 0)
+    section.reject("keys", fmt::format("key file {} cannot be read", file));
+  if ((status.st_mode & S_IROTH) != 0)
+    section.reject("keys", fmt::format("key file {} is readable by all users", file));
 }
 
 std::string readKeyText(const YamlSection& section, const std::string& file) {
@@ -68,13 +71,13 @@
   try {
     text = readFileText(file);
   } catch (const OptionsError&) {
-    section.reject("keys", fmt::format("{} can't be read", file));
+    section.reject("keys", fmt::format("key file {} cannot be read", file));
   }
   while (!text.empty() && (text.back() == '\n' || text.back() == '\r')) text.pop_back();
   return text;
 }
 
-// A key is 32 bytes in base64, in a file of its own that only its owner and group may read.
+// A key file contains 32 bytes in base64. Only its owner and group may have read permission.
 Key readKey(const YamlSection& section, const std::string& file) {
   checkKeyFileMode(section, file);
   const std::string text = readKeyText(section, file);
@@ -84,18 +87,19 @@
                          sodium_base642bin(key.data(), key.size(), text.data(), text.size(), nullptr,
                                            &decodedBytes, nullptr, sodium_base64_VARIANT_ORIGINAL) == 0;
   if (!isDecoded || decodedBytes != key.size())
-    section.reject("keys", fmt::format("{} holds no 32 bytes in base64", file));
+    section.reject("keys", fmt::format("key file {} does not contain 32 bytes in base64", file));
   return key;
 }
 
 std::vector<Key> readKeys(YamlSection& section, const std::string& settingsFile) {
   const std::vector<std::string> files = section.textList("keys");
   if (files.empty() || files.size() > maxKeys)
-    section.reject("keys", "names one or two files, each with a key");
+    section.reject("keys", fmt::format("expected one or two key files, found {}", files.size()));
   std::vector<Key> keys;
   keys.reserve(files.size());
-  for (const std::string& file : files) keys.push_back(readKey(section, besideSettings(settingsFile, file)));
-  if (keys.size() == maxKeys && keys[0] == keys[1]) section.reject("keys", "names one key twice");
+  for (const std::string& file : files) keys.push_back(readKey(section, resolvePath(settingsFile, file)));
+  if (keys.size() == maxKeys && keys[0] == keys[1])
+    section.reject("keys", fmt::format("{} and {} contain the same key", files[0], files[1]));
   return keys;
 }
 
@@ -103,14 +107,14 @@
   settings.listen = checkedAddress(section, "listen", section.text("listen"));
   settings.advertise = checkedAddress(section, "advertise", section.text("advertise", settings.listen.text));
   if (settings.advertise.text.starts_with(anyAddress))
-    section.reject("advertise", "is missing: others can't reach 0.0.0.0");
+    section.reject("advertise", fmt::format("other members cannot connect to {}", settings.advertise.text));
 }
 
 void readSeeds(YamlSection& section, membership::MembershipSettings& settings) {
   for (const std::string& text : section.textList("seeds")) {
     const membership::Address seed = checkedAddress(section, "seeds", text);
     if (seed == settings.listen || seed == settings.advertise)
-      section.reject("seeds", fmt::format("'{}' is this instance itself", text));
+      section.reject("seeds", fmt::format("'{}' is this instance's own address", text));
     settings.seeds.push_back(seed);
   }
 }
@@ -118,7 +122,7 @@
 void readReach(YamlSection& section, membership::MembershipSettings& settings) {
   for (const auto& [name, text] : section.textMap("reach", maxReachEntries)) {
     if (name == settings.name.text)
-      section.reject("reach", fmt::format("names '{}', this instance itself", name));
+      section.reject("reach", fmt::format("'{}' is this instance's own name", name));
     settings.addressOverrides.emplace(membership::MemberName{name}, checkedAddress(section, "reach", text));
   }
 }
@@ -138,8 +142,7 @@
   settings.probeInterval =
       section.duration("probe-every", settings.probeInterval, minProbeInterval, maxProbeInterval);
   settings.stateFolder = section.text("state", "");
-  if (!settings.stateFolder.empty())
-    settings.stateFolder = besideSettings(settingsFile, settings.stateFolder);
+  if (!settings.stateFolder.empty()) settings.stateFolder = resolvePath(settingsFile, settings.stateFolder);
   section.rejectUnknownKeys();
   return settings;
 }
--- a/src/options/membership_options.h
+++ b/src/options/membership_options.h
@@ -1,5 +1,5 @@
 /// @file
-/// The section `membership` of rainhook's own settings.
+/// Reads the section `membership` of rainhook's options.
 #pragma once
 
 #include <string>
@@ -9,10 +9,13 @@
 
 namespace rainhook::options {
 
-/// Reads the section, loads the keys that it names and refuses unknown keys.
+/// Reads the section, loads the cryptographic keys from the files that it names and rejects unknown options.
 /// @param section the section `membership`
-/// @param settingsFile the file of the section; relative paths of keys and state start at its folder
-/// @throws OptionsError, also where a key file cannot be read, may be read by everyone or holds no key.
+/// @param settingsFile the file that contains the section; relative paths of key files and of the state
+/// folder
+///     are resolved against the folder of this file
+/// @throws OptionsError if an option is invalid, or if a key file is unreadable, is readable by all users or
+///     does not contain a key.
 [[nodiscard]] membership::MembershipSettings readMembershipOptions(YamlSection section,
                                                                    const std::string& settingsFile);
 
--- a/src/options/options.cpp
+++ b/src/options/options.cpp
@@ -22,17 +22,17 @@
 
 std::string describe(const StoreOptions& store) {
   return fmt::format(
-      "store: in {}, at most {} kB on disk and {} kB of index (for rainhook store; serve does not open it "
-      "yet)",
+      "store: folder {}, at most {} kB on disk and {} kB of index (only the command store opens it, not "
+      "serve)",
       store.folder, store.bounds.maxDiskBytes / bytesPerKb, store.bounds.maxIndexBytes / bytesPerKb);
 }
 
 std::string describe(const membership::MembershipSettings& membership) {
   const std::string state =
-      membership.stateFolder.empty() ? "no state kept" : "state in " + membership.stateFolder;
-  return fmt::format("membership: as {} at {}, zone {} of {}, {} seeds, {}", membership.name.text,
-                     membership.listen.text, membership.zone.text, membership.region.text,
-                     membership.seeds.size(), state);
+      membership.stateFolder.empty() ? "no persistent state" : "state in " + membership.stateFolder;
+  return fmt::format("membership: name {}, address {}, zone {}, region {}, {} seeds, {}",
+                     membership.name.text, membership.listen.text, membership.zone.text,
+                     membership.region.text, membership.seeds.size(), state);
 }
 
 }  // namespace
@@ -56,7 +56,7 @@
 std::vector<std::string> describeEnabledFeatures(const Options& options) {
   std::vector<std::string> lines;
   if (options.store) lines.push_back(describe(*options.store));
-  if (options.logFormat() == LogFormat::json) lines.emplace_back("log: as JSON lines");
+  if (options.logFormat() == LogFormat::json) lines.emplace_back("log: JSON lines");
   if (options.membership) lines.push_back(describe(*options.membership));
   return lines;
 }
--- a/src/options/options.h
+++ b/src/options/options.h
@@ -1,6 +1,7 @@
 /// @file
-/// rainhook's own settings: the file deploy/rainhook.yaml, or another that --options or RAINHOOK_OPTIONS
-/// names. What is absent is off. The file is checked as a whole before anything in it is used.
+/// rainhook's options: the file deploy/rainhook.yaml, or another file that --options or RAINHOOK_OPTIONS
+/// names. A feature whose section is absent is off. The whole file is validated before any option takes
+/// effect.
 #pragma once
 
 #include <optional>
@@ -24,30 +25,30 @@
   bool operator==(const LogOptions&) const = default;
 };
 
-/// All sections; one that is absent is off.
+/// All sections of the options file; an absent section switches its feature off.
 struct Options {
-  std::optional<StoreOptions> store;                         ///< the durable store
-  std::optional<LogOptions> log;                             ///< the log
-  std::optional<membership::MembershipSettings> membership;  ///< membership among the instances
+  std::optional<StoreOptions> store;                         ///< settings of the durable store
+  std::optional<LogOptions> log;                             ///< settings of the log
+  std::optional<membership::MembershipSettings> membership;  ///< settings of membership among the instances
 
   /// Whether all sections are equal.
   bool operator==(const Options&) const = default;
 
-  /// The form of log lines; text where nothing is said.
+  /// The form of log lines; text if the section is absent.
   [[nodiscard]] LogFormat logFormat() const { return log ? log->format : LogFormat::text; }
 };
 
 /// Reads options from YAML text.
 /// @param text the YAML
-/// @param file how errors name the text, and the base of relative paths in it
-/// @throws OptionsError
+/// @param file the name of the text in errors; relative paths in the text are resolved against its folder
+/// @throws OptionsError if the options are invalid.
 [[nodiscard]] Options readOptions(const std::string& text, const std::string& file);
 
-/// Reads an options file. An empty name means that there is none: everything is off.
-/// @throws OptionsError, also where the file cannot be read.
+/// Reads an options file. An empty name means that there is no file and that all features are off.
+/// @throws OptionsError if the file cannot be read or the options are invalid.
 [[nodiscard]] Options readOptionsFile(const std::string& file);
 
-/// A line for each feature that the options switch on, such as for the log at start; empty where none is.
+/// Describes each enabled feature in one line, for example for the log at startup; empty if all are off.
 [[nodiscard]] std::vector<std::string> describeEnabledFeatures(const Options& options);
 
 }  // namespace rainhook::options
--- a/src/options/options_error.h
+++ b/src/options/options_error.h
@@ -1,5 +1,5 @@
 /// @file
-/// The error of rainhook's own settings, a YAML file.
+/// The error for rainhook's options file and other YAML files.
 #pragma once
 
 #include <stdexcept>
@@ -7,23 +7,23 @@
 
 namespace rainhook::options {
 
-/// A settings file cannot be used. `what()` is one line of the form `FILE:LINE: KEY: PROBLEM`, for instance
-/// `rainhook.yaml:3: store.open_files: '-1' is no whole number from 2 to 4096`.
+/// A YAML file is invalid. `what()` is one line of the form `FILE:LINE: KEY: PROBLEM`, for instance
+/// `rainhook.yaml:3: store.open_files: '-1' is not an integer from 2 to 4096`.
 class OptionsError : public std::runtime_error {
  public:
   /// @param file    the file's name as the user gave it
-  /// @param line    counted from 1; 0 where the file could not be read at all
-  /// @param key     the key at fault with those above it, joined with dots; empty for the file as a whole
-  /// @param problem what is wrong with it
+  /// @param line    the line number, starting at 1; 0 if the file could not be read
+  /// @param key     the path of the invalid key, joined with dots; empty if the whole file is invalid
+  /// @param problem what is wrong
   OptionsError(std::string file, int line, std::string key, std::string problem);
 
   /// The file's name as the user gave it.
   [[nodiscard]] const std::string& file() const { return file_; }
-  /// The line at fault, counted from 1; 0 where the file could not be read at all.
+  /// The number of the invalid line, starting at 1; 0 if the file could not be read.
   [[nodiscard]] int line() const { return line_; }
-  /// The key at fault; empty for the file as a whole.
+  /// The path of the invalid key; empty if the whole file is invalid.
   [[nodiscard]] const std::string& key() const { return key_; }
-  /// What is wrong, without the place.
+  /// The problem, without file, line and key.
   [[nodiscard]] const std::string& problem() const { return problem_; }
 
  private:
--- a/src/options/store_options.cpp
+++ b/src/options/store_options.cpp
@@ -1,5 +1,7 @@
 #include "options/store_options.h"
 
+#include <fmt/format.h>
+
 #include <cstdint>
 
 namespace rainhook::options {
@@ -9,24 +11,31 @@
 constexpr std::uint64_t mib = std::uint64_t{1} << 20;
 constexpr std::uint64_t gib = std::uint64_t{1} << 30;
 
-constexpr std::uint64_t maxKeyBytes = 64 * kib - 1;  // a key's length has 16 bits
+constexpr std::uint64_t maxKeyBytes = 64 * kib - 1;  // key lengths are stored in 16 bits
 constexpr std::uint64_t minOpenFiles = 2;
 constexpr std::uint64_t maxOpenFiles = 4096;
 constexpr std::uint64_t maxCommitWrites = 65536;
 
-// How much smaller than the whole its parts must be.
+// The least number of parts that must fit into their container.
 constexpr std::uint64_t minSegmentsOnDisk = 8;
 constexpr std::uint64_t minEntriesInSegment = 4;
 constexpr std::uint64_t minEntriesInQueue = 2;
 
 void checkProportions(const YamlSection& section, const store::StoreSettings& bounds) {
   if (bounds.maxSegmentBytes > bounds.maxDiskBytes / minSegmentsOnDisk)
-    section.reject("segment_bytes", "is over an eighth of disk_bytes");
+    section.reject("segment_bytes", fmt::format("{} bytes are more than an eighth of disk_bytes ({} bytes)",
+                                                bounds.maxSegmentBytes, bounds.maxDiskBytes));
   const std::uint64_t entryBytes = bounds.maxKeyBytes + bounds.maxValueBytes;
   if (entryBytes > bounds.maxSegmentBytes / minEntriesInSegment)
-    section.reject("longest_value", "is, with longest_key, over a quarter of segment_bytes");
+    section.reject("longest_value", fmt::format("longest_key and longest_value ({} bytes together) are more "
+                                                "than a quarter of segment_bytes ({} bytes)",
+                                                entryBytes, bounds.maxSegmentBytes));
   if (entryBytes > bounds.maxQueueBytes / minEntriesInQueue)
-    section.reject("longest_value", "is, with longest_key, over half of queue_bytes");
+    section.reject(
+        "longest_value",
+        fmt::format(
+            "longest_key and longest_value ({} bytes together) are more than half of queue_bytes ({} bytes)",
+            entryBytes, bounds.maxQueueBytes));
 }
 
 }  // namespace
--- a/src/options/store_options.h
+++ b/src/options/store_options.h
@@ -1,5 +1,5 @@
 /// @file
-/// The section `store` of rainhook's own settings.
+/// Reads the section `store` of rainhook's options.
 #pragma once
 
 #include <string>
@@ -9,17 +9,17 @@
 
 namespace rainhook::options {
 
-/// Where a store is and how much it may use.
+/// The folder and the limits of a store.
 struct StoreOptions {
-  std::string folder;           ///< as written; relative to the working directory
+  std::string folder;           ///< unchanged from the file; relative to the working directory
   store::StoreSettings bounds;  ///< limits and tuning
 
   /// Whether all options are equal.
   bool operator==(const StoreOptions&) const = default;
 };
 
-/// Reads the section, checks its values against each other and refuses unknown keys.
-/// @throws OptionsError
+/// Reads the section, checks that its values are consistent and rejects unknown keys.
+/// @throws OptionsError if a value is invalid.
 [[nodiscard]] StoreOptions readStoreOptions(YamlSection section);
 
 }  // namespace rainhook::options
--- a/src/options/yaml_section.cpp
+++ b/src/options/yaml_section.cpp
@@ -29,12 +29,12 @@
   std::string_view name;
   milliseconds length;
 };
-// The first whose name ends a text counts: "ms" ends in "s" as well.
+// The first unit that a text ends with applies; "ms" precedes "s", since it ends in "s" as well.
 constexpr std::array durationUnits = {DurationUnit{"ms", milliseconds(1)},
                                       DurationUnit{"s", std::chrono::seconds(1)},
                                       DurationUnit{"m", std::chrono::minutes(1)}};
-// Keeps the product with a unit within 64 bits.
-constexpr std::uint64_t maxDurationDigits = 1'000'000'000;
+// Limits the number before the unit, so that the duration in nanoseconds fits into 64 bits.
+constexpr std::uint64_t maxDurationCount = 1'000'000'000;
 
 std::optional<std::uint64_t> parseDigits(std::string_view text) {
   std::uint64_t number = 0;
@@ -63,11 +63,11 @@
   if (unit == durationUnits.end()) return std::nullopt;
   text.remove_suffix(unit->name.size());
   const auto number = parseDigits(text);
-  if (!number || *number > maxDurationDigits) return std::nullopt;
+  if (!number || *number > maxDurationCount) return std::nullopt;
   return unit->length * *number;
 }
 
-// With the largest unit that divides it.
+// Uses the largest unit that divides the size without a remainder.
 std::string formatBytes(std::uint64_t bytes) {
   const SizeUnit* largest = nullptr;
   for (const SizeUnit& unit : sizeUnits) {
@@ -94,7 +94,7 @@
 
 std::string readFileText(const std::string& file) {
   std::ifstream in(file);
-  if (!in) throw OptionsError(file, 0, "", "can't be read");
+  if (!in) throw OptionsError(file, 0, "", "cannot be opened");
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
@@ -103,12 +103,12 @@
 YamlSection::YamlSection(const YAML::Node& node, std::string file, std::string path)
     : node_(node), file_(std::move(file)), path_(std::move(path)) {
   if (node_.IsNull()) node_ = YAML::Node(YAML::NodeType::Map);
-  if (!node_.IsMap()) throw OptionsError(file_, node_.Mark().line + 1, path_, "holds no keys");
+  if (!node_.IsMap()) throw OptionsError(file_, node_.Mark().line + 1, path_, "expected a mapping");
   std::set<std::string> keys;
   for (const auto& entry : node_) {
     if (!entry.first.IsScalar())
-      throw OptionsError(file_, entry.first.Mark().line + 1, path_, "a key is no plain word");
-    if (!keys.insert(entry.first.Scalar()).second) reject(entry.first.Scalar(), "is given twice");
+      throw OptionsError(file_, entry.first.Mark().line + 1, path_, "has a key that is not a scalar");
+    if (!keys.insert(entry.first.Scalar()).second) reject(entry.first.Scalar(), "is a duplicate key");
   }
 }
 
@@ -134,7 +134,7 @@
 YAML::Node YamlSection::find(const std::string& key) const { return node_[key]; }
 
 bool YamlSection::has(const std::string& key) {
-  askedKeys_.insert(key);
+  requestedKeys_.insert(key);
   return find(key).IsDefined();
 }
 
@@ -146,7 +146,7 @@
 YAML::Node YamlSection::scalar(const std::string& key) {
   if (!has(key)) return YAML::Node(YAML::NodeType::Undefined);
   YAML::Node value = find(key);
-  if (!value.IsScalar()) reject(key, "is no plain value");
+  if (!value.IsScalar()) reject(key, "expected a scalar");
   return value;
 }
 
@@ -176,7 +176,7 @@
   if (!value.IsDefined()) return fallback;
   const auto number = parseDigits(value.Scalar());
   if (!number || *number < min || *number > max)
-    reject(key, fmt::format("'{}' is no whole number from {} to {}", value.Scalar(), min, max));
+    reject(key, fmt::format("'{}' is not an integer from {} to {}", value.Scalar(), min, max));
   return *number;
 }
 
@@ -186,8 +186,8 @@
   if (!value.IsDefined()) return fallback;
   const auto size = parseBytes(value.Scalar(), max);
   if (!size || *size < min)
-    reject(key,
-           fmt::format("'{}' is no size from {} to {}", value.Scalar(), formatBytes(min), formatBytes(max)));
+    reject(key, fmt::format("'{}' is not a size from {} to {}", value.Scalar(), formatBytes(min),
+                            formatBytes(max)));
   return *size;
 }
 
@@ -197,7 +197,7 @@
   if (!value.IsDefined()) return fallback;
   const auto duration = parseDuration(value.Scalar());
   if (!duration || *duration < min || *duration > max)
-    reject(key, fmt::format("'{}' is no duration from {} ms to {} ms, such as 250ms or 1s", value.Scalar(),
+    reject(key, fmt::format("'{}' is not a duration from {} ms to {} ms, such as 250ms or 1s", value.Scalar(),
                             millisecondsOf(min), millisecondsOf(max)));
   return *duration;
 }
@@ -212,21 +212,21 @@
   double number = 0;
   const char* const last = text.data() + text.size();
   const auto [end, error] = std::from_chars(text.data(), last, number);
-  const bool isInRange = number >= min && number <= max;  // false for what is no number, too
+  const bool isInRange = number >= min && number <= max;  // false for NaN
   if (error != std::errc{} || end != last || !isInRange)
-    reject(key, fmt::format("'{}' is no number from {} to {}", text, min, max));
+    reject(key, fmt::format("'{}' is not a number from {} to {}", text, min, max));
   return number;
 }
 
 std::vector<std::string> YamlSection::textList(const std::string& key) {
   if (!has(key)) return {};
   const YAML::Node list = find(key);
-  if (!list.IsSequence()) reject(key, "is no list");
+  if (!list.IsSequence()) reject(key, "expected a list");
   std::vector<std::string> texts;
   for (const auto& item : list) {
-    if (!item.IsScalar() || item.Scalar().empty()) reject(key, "holds what is no plain value");
+    if (!item.IsScalar() || item.Scalar().empty()) reject(key, "has an item that is empty or not a scalar");
     if (std::find(texts.begin(), texts.end(), item.Scalar()) != texts.end())
-      reject(key, fmt::format("names '{}' twice", item.Scalar()));
+      reject(key, fmt::format("lists '{}' twice", item.Scalar()));
     texts.push_back(item.Scalar());
   }
   return texts;
@@ -235,20 +235,21 @@
 std::map<std::string, std::string> YamlSection::textMap(const std::string& key, std::size_t maxEntries) {
   if (!has(key)) return {};
   const YAML::Node map = find(key);
-  if (!map.IsMap()) reject(key, "holds no names");
+  if (!map.IsMap()) reject(key, "expected a mapping");
   std::map<std::string, std::string> texts;
   for (const auto& entry : map) {
-    if (!entry.first.IsScalar() || !entry.second.IsScalar()) reject(key, "holds what is no plain value");
+    if (!entry.first.IsScalar() || !entry.second.IsScalar()) reject(key, "has an entry that is not a scalar");
     if (!texts.emplace(entry.first.Scalar(), entry.second.Scalar()).second)
-      reject(key, fmt::format("names '{}' twice", entry.first.Scalar()));
+      reject(key, fmt::format("lists '{}' twice", entry.first.Scalar()));
   }
-  if (texts.size() > maxEntries) reject(key, fmt::format("names more than {}", maxEntries));
+  if (texts.size() > maxEntries)
+    reject(key, fmt::format("has {} entries, more than the limit of {}", texts.size(), maxEntries));
   return texts;
 }
 
 void YamlSection::rejectUnknownKeys() const {
   for (const auto& entry : node_)
-    if (!askedKeys_.contains(entry.first.Scalar())) reject(entry.first.Scalar(), "is no known key");
+    if (!requestedKeys_.contains(entry.first.Scalar())) reject(entry.first.Scalar(), "unknown key");
 }
 
 }  // namespace rainhook::options
--- a/tests/configuration_test.cpp
+++ b/tests/configuration_test.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// The operators' settings and a server's configuration file: what is read, and which error each fault gives.
+/// Reading of the operators' settings and of a server's configuration file, and the error for each kind of
+/// invalid value.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -19,7 +20,7 @@
   return readDeploymentSettings(parseSettingsText(text));
 }
 
-TEST(DeploymentSettings, ReadWordsAndGiveAbsentValuesTheirDefaults) {
+TEST(DeploymentSettings, ReadsStatedValuesAndUsesDefaultsWhenValuesAreAbsent) {
   const DeploymentSettings settings = settingsOf(
       "classes.count=1\nclasses.0.effect=guarded\nclasses.0.aimNs=5\ndomain.halt=pause\nunknown.key=x\n"
       "domain.signal=credit\ndomain.classSkipWorth=0.3,0.4\ndomain.gauges=sockets,new_one,cpu_busy\n");
@@ -34,14 +35,14 @@
               ElementsAre(LoadGauge::openConnections, LoadGauge::other, LoadGauge::cpuUtilization));
 }
 
-struct RefusedSetting {
+struct InvalidSetting {
   std::string_view text;
   std::string_view path;
 };
 
-class RefusedSettings : public testing::TestWithParam<RefusedSetting> {};
+class InvalidSettings : public testing::TestWithParam<InvalidSetting> {};
 
-TEST_P(RefusedSettings, NameTheirPath) {
+TEST_P(InvalidSettings, ThrowAnErrorThatNamesTheirPath) {
   try {
     static_cast<void>(settingsOf(GetParam().text));
     ADD_FAILURE() << "no error for " << GetParam().text;
@@ -52,32 +53,33 @@
   }
 }
 
-INSTANTIATE_TEST_SUITE_P(NoNumberOrNoKnownWord, RefusedSettings,
-                         testing::Values(RefusedSetting{"domain.cores=six", "domain.cores"},
-                                         RefusedSetting{"domain.cores=1.5", "domain.cores"},
-                                         RefusedSetting{"domain.memoryKb=nan", "domain.memoryKb"},
-                                         RefusedSetting{"domain.halt=maybe", "domain.halt"},
-                                         RefusedSetting{"domain.cold=perhaps", "domain.cold"},
-                                         RefusedSetting{"invariants.fallNs=-5", "invariants.fallNs"},
-                                         RefusedSetting{"no sign", "line 1"},
-                                         RefusedSetting{"classes.count=-1", "classes.count"}));
-
-const std::string goodConfiguration =
+INSTANTIATE_TEST_SUITE_P(InvalidNumbersAndWords, InvalidSettings,
+                         testing::Values(InvalidSetting{"domain.cores=six", "domain.cores"},
+                                         InvalidSetting{"domain.cores=1.5", "domain.cores"},
+                                         InvalidSetting{"domain.memoryKb=nan", "domain.memoryKb"},
+                                         InvalidSetting{"domain.halt=maybe", "domain.halt"},
+                                         InvalidSetting{"domain.cold=perhaps", "domain.cold"},
+                                         InvalidSetting{"invariants.fallNs=-5", "invariants.fallNs"},
+                                         InvalidSetting{"no sign", "line 1"},
+                                         InvalidSetting{"classes.count=-1", "classes.count"}));
+
+const std::string validConfiguration =
     R"({"name": "n3", "listen": "127.0.0.1:8443", "agent": "127.0.0.1:6100",
       "seed": "8c1f30d27a5be964", "stop_ms": 3200, "limits": {"sockets": 512}, "settings": {
       "classes": [{"name": "a", "aimNs": 5}, {"name": "b", "effect": "guarded"}],
       "orgs": [{"name": "acme"}], "domain": {"classCalls": [false, true], "cores": 3, "gauges": ["sockets"]}}})";
 
-// The good configuration with the first occurrence of a text replaced.
-std::string goodConfigurationWith(std::string_view original, std::string_view replacement) {
-  std::string text = goodConfiguration;
+// Returns the valid configuration with the first occurrence of a text replaced.
+std::string validConfigurationWith(std::string_view original, std::string_view replacement) {
+  std::string text = validConfiguration;
   const std::size_t at = text.find(original);
-  if (at == std::string::npos) throw std::invalid_argument("not in the good configuration");
+  if (at == std::string::npos)
+    throw std::invalid_argument("the original text is not in the valid configuration");
   return text.replace(at, original.size(), replacement);
 }
 
-TEST(ServerConfiguration, ReadsEndpointsAndNestedSettings) {
-  const ServerConfiguration configuration = readConfiguration(goodConfiguration);
+TEST(ServerConfiguration, ReadsEndpointsAndNestedSettingsWhenItIsValid) {
+  const ServerConfiguration configuration = readConfiguration(validConfiguration);
   const ServerEndpoints& endpoints = configuration.endpoints;
   EXPECT_EQ(endpoints.seed, Seed{0x8c1f30d27a5be964});
   EXPECT_EQ(endpoints.maxDescriptors, 512u);
@@ -91,29 +93,29 @@
   EXPECT_THAT(settings.gauges, ElementsAre(LoadGauge::openConnections));
 }
 
-TEST(ServerConfiguration, ReloadLeavesOnlyTheLimitsWhenEngineAndLimitsChange) {
-  std::string changed = goodConfigurationWith("6100", "6200");
+TEST(ServerConfiguration, ReloadDoesNotApplyTheLimitsWhenEngineAndLimitsChange) {
+  std::string changed = validConfigurationWith("6100", "6200");
   changed.replace(changed.find("512"), 3, "384");
-  EXPECT_THAT(restartRequiredChanges(readConfiguration(goodConfiguration), readConfiguration(changed)),
+  EXPECT_THAT(restartRequiredChanges(readConfiguration(validConfiguration), readConfiguration(changed)),
               ElementsAre("limits"));
 }
 
-TEST(ServerConfiguration, IsRefusedWhenItsFileCannotBeRead) {
+TEST(ServerConfiguration, IsRejectedWhenItsFileCannotBeOpened) {
   EXPECT_THROW(static_cast<void>(readConfigurationFile("/nowhere")), ConfigurationError);
 }
 
 struct ConfigurationFault {
   std::string_view original;
   std::string_view replacement;
-  std::string_view message;  // the beginning of the error
+  std::string_view message;  // the beginning of the error text
 };
 
-class FaultyConfiguration : public testing::TestWithParam<ConfigurationFault> {};
+class InvalidConfiguration : public testing::TestWithParam<ConfigurationFault> {};
 
-TEST_P(FaultyConfiguration, IsRefusedAndTheErrorNamesThePath) {
+TEST_P(InvalidConfiguration, ThrowsAnErrorThatNamesThePath) {
   const auto& [original, replacement, message] = GetParam();
   try {
-    static_cast<void>(readConfiguration(goodConfigurationWith(original, replacement)));
+    static_cast<void>(readConfiguration(validConfigurationWith(original, replacement)));
     ADD_FAILURE() << "no error; expected: " << message;
   } catch (const ConfigurationError& error) {
     EXPECT_THAT(error.what(), StartsWith(std::string(message)));
@@ -122,19 +124,21 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    OneFaultEach, FaultyConfiguration,
+    OneInvalidValueEach, InvalidConfiguration,
     testing::Values(
         ConfigurationFault{"\"name\": \"n3\",", "", "configuration: name is missing"},
         ConfigurationFault{"127.0.0.1:8443", "somewhere", "configuration: listen is 'somewhere', not "},
         ConfigurationFault{"127.0.0.1:6100", "127.0.0.1:70000", "configuration: agent is '127.0.0.1:70000'"},
-        ConfigurationFault{"8c1f", "zz", "configuration: seed is 'zz30d27a5be964', not hex digits"},
+        ConfigurationFault{
+            "8c1f", "zz",
+            "configuration: seed is 'zz30d27a5be964', not a hexadecimal number of up to 16 digits"},
         ConfigurationFault{"3200", "\"long\"", "configuration: stop_ms is 'long', not a number"},
-        ConfigurationFault{"512", "3", "configuration: limits.sockets is '3', not enough"},
+        ConfigurationFault{"512", "3", "configuration: limits.sockets is '3', not an integer of at least 32"},
         ConfigurationFault{"\"cores\": 3", "\"cores\": \"six\"",
                            "settings: domain.cores is 'six', not a number"},
-        ConfigurationFault{"\"b\"", "\"a\"", "settings: classes.1.name is empty or given twice"},
+        ConfigurationFault{"\"b\"", "\"a\"", "settings: classes.1.name is empty or a duplicate"},
         ConfigurationFault{"\"settings\"", "\"other\"", "configuration: settings is missing"},
-        ConfigurationFault{"}}}", "}}", "configuration: holds no JSON object"}));
+        ConfigurationFault{"}}}", "}}", "configuration: expected a JSON object"}));
 
 }  // namespace
 }  // namespace rainhook
--- a/tests/options_test.cpp
+++ b/tests/options_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// rainhook's own settings file: what it may hold, and the one line that each fault gives.
+/// Reading of rainhook's options file, and the one-line error for each kind of invalid content.
 #include "options/options.h"
 
 #include <gmock/gmock.h>
@@ -20,7 +20,7 @@
 using testing::StartsWith;
 using testing::Values;
 
-// The error line of a text, or "none".
+// Returns the error line for a text, or "none" if the text is valid.
 std::string errorOf(const std::string& text) {
   try {
     static_cast<void>(readOptions(text, "f.yaml"));
@@ -30,14 +30,14 @@
   return "none";
 }
 
-TEST(Options, AreAllOffWhenNothingIsSaid) {
+TEST(Options, SwitchAllFeaturesOffWhenTheFileIsEmptyOrAbsent) {
   EXPECT_EQ(readOptions("", "f"), Options{});
   EXPECT_EQ(readOptions("{}", "f"), Options{});
   EXPECT_EQ(readOptionsFile(""), Options{});
   EXPECT_THAT(describeEnabledFeatures({}), IsEmpty());
 }
 
-TEST(Options, StoreTakesItsBoundsAndKeepsTheDefaultsOfOthers) {
+TEST(Options, StoreUsesDefaultsWhenLimitsAreAbsent) {
   const Options options = readOptions("store:\n  folder: here\n  disk_bytes: 64 MB\n  open_files: 7\n", "f");
   ASSERT_TRUE(options.store);
   EXPECT_EQ(options.store->folder, "here");
@@ -47,38 +47,41 @@
   EXPECT_THAT(describeEnabledFeatures(options), SizeIs(1));
 }
 
-TEST(Options, LogIsTextUnlessJsonIsAskedFor) {
+TEST(Options, LogIsJsonOnlyWhenTheFormIsJson) {
   EXPECT_EQ(Options{}.logFormat(), LogFormat::text);
   EXPECT_EQ(readOptions("log:\n  form: text\n", "f").logFormat(), LogFormat::text);
   EXPECT_EQ(readOptions("log:\n  form: json\n", "f").logFormat(), LogFormat::json);
   EXPECT_EQ(errorOf("log:\n  form: xml\n"), "f.yaml:2: log.form: 'xml' is neither text nor json");
 }
 
-struct FaultyText {
+struct InvalidText {
   std::string text;
   std::string error;
 };
 
-class FaultyOptions : public testing::TestWithParam<FaultyText> {};
+class InvalidOptions : public testing::TestWithParam<InvalidText> {};
 
-TEST_P(FaultyOptions, NameFileLineKeyAndProblem) { EXPECT_EQ(errorOf(GetParam().text), GetParam().error); }
+TEST_P(InvalidOptions, ThrowAnErrorWithFileLineKeyAndProblem) {
+  EXPECT_EQ(errorOf(GetParam().text), GetParam().error);
+}
 
 INSTANTIATE_TEST_SUITE_P(
-    OneFaultEach, FaultyOptions,
-    Values(FaultyText{"stroe:\n  folder: x\n", "f.yaml:1: stroe: is no known key"},
-           FaultyText{"store:\n  folder: x\n  disk: 3\n", "f.yaml:3: store.disk: is no known key"},
-           FaultyText{"store:\n  disk_bytes: 64 MB\n", "f.yaml:2: store.folder: is missing"},
-           FaultyText{"store: 3\n", "f.yaml:1: store: holds no keys"},
-           FaultyText{"store:\n  folder: [a]\n", "f.yaml:2: store.folder: is no plain value"},
-           FaultyText{"store:\n  folder: x\n  open_files: -1\n",
-                      "f.yaml:3: store.open_files: '-1' is no whole number from 2 to 4096"},
-           FaultyText{"store:\n  folder: x\n  disk_bytes: 1 TB\n",
-                      "f.yaml:3: store.disk_bytes: '1 TB' is no size from 256 kB to 1024 GB"},
-           FaultyText{"store:\n  folder: x\n  folder: y\n", "f.yaml:3: store.folder: is given twice"},
-           FaultyText{"store:\n  folder: x\n  disk_bytes: 1 MB\n",
-                      "f.yaml:2: store.segment_bytes: is over an eighth of disk_bytes"}));
-
-TEST(OptionsError, HoldsItsPartsForAFaultOfSyntaxAndForAFileThatIsNotThere) {
+    OneInvalidValueEach, InvalidOptions,
+    Values(InvalidText{"stroe:\n  folder: x\n", "f.yaml:1: stroe: unknown key"},
+           InvalidText{"store:\n  folder: x\n  disk: 3\n", "f.yaml:3: store.disk: unknown key"},
+           InvalidText{"store:\n  disk_bytes: 64 MB\n", "f.yaml:2: store.folder: is missing"},
+           InvalidText{"store: 3\n", "f.yaml:1: store: expected a mapping"},
+           InvalidText{"store:\n  folder: [a]\n", "f.yaml:2: store.folder: expected a scalar"},
+           InvalidText{"store:\n  folder: x\n  open_files: -1\n",
+                       "f.yaml:3: store.open_files: '-1' is not an integer from 2 to 4096"},
+           InvalidText{"store:\n  folder: x\n  disk_bytes: 1 TB\n",
+                       "f.yaml:3: store.disk_bytes: '1 TB' is not a size from 256 kB to 1024 GB"},
+           InvalidText{"store:\n  folder: x\n  folder: y\n", "f.yaml:3: store.folder: is a duplicate key"},
+           InvalidText{"store:\n  folder: x\n  disk_bytes: 1 MB\n",
+                       "f.yaml:2: store.segment_bytes: 4194304 bytes are more than an eighth of disk_bytes "
+                       "(1048576 bytes)"}));
+
+TEST(OptionsError, HasFileLineKeyAndProblemWhenTheSyntaxIsInvalidOrTheFileDoesNotExist) {
   EXPECT_THAT(errorOf("a: [b\n"), StartsWith("f.yaml:"));
   try {
     static_cast<void>(readOptionsFile("/nowhere/at/all.yaml"));
@@ -87,12 +90,13 @@
     EXPECT_EQ(error.file(), "/nowhere/at/all.yaml");
     EXPECT_EQ(error.line(), 0);
     EXPECT_EQ(error.key(), "");
-    EXPECT_EQ(error.problem(), "can't be read");
-    EXPECT_STREQ(error.what(), "/nowhere/at/all.yaml:0: the file: can't be read");
+    EXPECT_EQ(error.problem(), "cannot be opened");
+    EXPECT_STREQ(error.what(), "/nowhere/at/all.yaml:0: the file: cannot be opened");
   }
 }
 
-// Settings of membership, in a folder that holds a good key, a short one and one that everyone may read.
+// Reads membership options in a folder that contains a valid key file, one with a short key and one that all
+// users may read.
 class MembershipOptions : public testing::Test {
  protected:
   MembershipOptions() {
@@ -107,7 +111,7 @@
   Options read(const std::string& more) const {
     return readOptions("membership:\n  name: a1\n  zone: z\n  region: r\n" + more, folder_ + "/f.yaml");
   }
-  // The error line without the folder, or "none".
+  // Returns the error line without the folder, or "none" if the options are valid.
   std::string errorOf(const std::string& more) const {
     try {
       static_cast<void>(read(more));
@@ -133,7 +137,7 @@
   }
 };
 
-TEST_F(MembershipOptions, AreTakenAsStated) {
+TEST_F(MembershipOptions, HoldTheStatedValuesWhenTheyAreValid) {
   const Options options =
       read(listenAndKeys_ +
            "  seeds: [\"127.0.0.12:7101\"]\n  reach: {b1: \"127.0.1.2:9001\"}\n  probe-every: 250ms\n");
@@ -148,64 +152,66 @@
   EXPECT_EQ(options.membership->stateFolder, "");
 }
 
-TEST_F(MembershipOptions, StateFolderIsBesideTheFileUnlessItsPathIsAbsolute) {
+TEST_F(MembershipOptions, StateFolderIsRelativeToTheFileWhenItsPathIsRelative) {
   EXPECT_EQ(read(listenAndKeys_ + "  state: kept\n").membership->stateFolder, folder_ + "/kept");
   EXPECT_EQ(read(listenAndKeys_ + "  state: /var/kept\n").membership->stateFolder, "/var/kept");
 }
 
-class FaultyMembershipOptions : public MembershipOptions, public testing::WithParamInterface<FaultyText> {};
+class InvalidMembershipOptions : public MembershipOptions, public testing::WithParamInterface<InvalidText> {};
 
-TEST_P(FaultyMembershipOptions, NameFileLineKeyAndProblem) {
+TEST_P(InvalidMembershipOptions, ThrowAnErrorWithFileLineKeyAndProblem) {
   EXPECT_EQ(errorOf(GetParam().text), GetParam().error);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    AddressesAndKeys, FaultyMembershipOptions,
-    Values(FaultyText{"  listen: here:7101\n  keys: [key]\n",
-                      "f.yaml:5: membership.listen: 'here:7101' is no address of the form 127.0.0.1:7101"},
-           FaultyText{
-               "  listen: 127.0.0.1:70000\n  keys: [key]\n",
-               "f.yaml:5: membership.listen: '127.0.0.1:70000' is no address of the form 127.0.0.1:7101"},
-           FaultyText{"  listen: 0.0.0.0:7101\n  keys: [key]\n",
-                      "f.yaml:2: membership.advertise: is missing: others can't reach 0.0.0.0"},
-           FaultyText{"  listen: 127.0.0.11:7101\n  keys: [short]\n",
-                      "f.yaml:6: membership.keys: short holds no 32 bytes in base64"},
-           FaultyText{"  listen: 127.0.0.11:7101\n  keys: [open]\n",
-                      "f.yaml:6: membership.keys: open can be read by all"},
-           FaultyText{"  listen: 127.0.0.11:7101\n  keys: [none]\n",
-                      "f.yaml:6: membership.keys: none can't be read"},
-           FaultyText{"  listen: 127.0.0.11:7101\n",
-                      "f.yaml:2: membership.keys: names one or two files, each with a key"}));
-
-// With a good address and key, so that the seventh line is at fault.
-class FaultyMembershipExtras : public FaultyMembershipOptions {};
-
-TEST_P(FaultyMembershipExtras, NameFileLineKeyAndProblem) {
+    AddressesAndKeys, InvalidMembershipOptions,
+    Values(
+        InvalidText{"  listen: here:7101\n  keys: [key]\n",
+                    "f.yaml:5: membership.listen: 'here:7101' is not an address of the form 127.0.0.1:7101"},
+        InvalidText{
+            "  listen: 127.0.0.1:70000\n  keys: [key]\n",
+            "f.yaml:5: membership.listen: '127.0.0.1:70000' is not an address of the form 127.0.0.1:7101"},
+        InvalidText{"  listen: 0.0.0.0:7101\n  keys: [key]\n",
+                    "f.yaml:2: membership.advertise: other members cannot connect to 0.0.0.0:7101"},
+        InvalidText{"  listen: 127.0.0.11:7101\n  keys: [short]\n",
+                    "f.yaml:6: membership.keys: key file short does not contain 32 bytes in base64"},
+        InvalidText{"  listen: 127.0.0.11:7101\n  keys: [open]\n",
+                    "f.yaml:6: membership.keys: key file open is readable by all users"},
+        InvalidText{"  listen: 127.0.0.11:7101\n  keys: [none]\n",
+                    "f.yaml:6: membership.keys: key file none cannot be read"},
+        InvalidText{"  listen: 127.0.0.11:7101\n",
+                    "f.yaml:2: membership.keys: expected one or two key files, found 0"}));
+
+// The address and the key are valid, so that the error is in line 7.
+class InvalidOptionalMembershipOptions : public InvalidMembershipOptions {};
+
+TEST_P(InvalidOptionalMembershipOptions, ThrowAnErrorWithFileLineKeyAndProblem) {
   EXPECT_EQ(errorOf(listenAndKeys_ + GetParam().text), GetParam().error);
 }
 
 INSTANTIATE_TEST_SUITE_P(
-    SeedsReachAndInterval, FaultyMembershipExtras,
-    Values(FaultyText{"  seeds: [\"127.0.0.11:7101\"]\n",
-                      "f.yaml:7: membership.seeds: '127.0.0.11:7101' is this instance itself"},
-           FaultyText{"  seeds: [\"127.0.0.12:7101\", \"127.0.0.12:7101\"]\n",
-                      "f.yaml:7: membership.seeds: names '127.0.0.12:7101' twice"},
-           FaultyText{"  reach: {b: \"127.0.0.1:1\", b: \"127.0.0.1:2\"}\n",
-                      "f.yaml:7: membership.reach: names 'b' twice"},
-           FaultyText{"  reach: {a1: \"127.0.0.1:1\"}\n",
-                      "f.yaml:7: membership.reach: names 'a1', this instance itself"},
-           FaultyText{
+    SeedsReachAndInterval, InvalidOptionalMembershipOptions,
+    Values(InvalidText{"  seeds: [\"127.0.0.11:7101\"]\n",
+                       "f.yaml:7: membership.seeds: '127.0.0.11:7101' is this instance's own address"},
+           InvalidText{"  seeds: [\"127.0.0.12:7101\", \"127.0.0.12:7101\"]\n",
+                       "f.yaml:7: membership.seeds: lists '127.0.0.12:7101' twice"},
+           InvalidText{"  reach: {b: \"127.0.0.1:1\", b: \"127.0.0.1:2\"}\n",
+                       "f.yaml:7: membership.reach: lists 'b' twice"},
+           InvalidText{"  reach: {a1: \"127.0.0.1:1\"}\n",
+                       "f.yaml:7: membership.reach: 'a1' is this instance's own name"},
+           InvalidText{
                "  probe-every: 10ms\n",
-               "f.yaml:7: membership.probe-every: '10ms' is no duration from 50 ms to 60000 ms, such as "
+               "f.yaml:7: membership.probe-every: '10ms' is not a duration from 50 ms to 60000 ms, such as "
+               "250ms or 1s"},
+           InvalidText{
+               "  probe-every: 1\n",
+               "f.yaml:7: membership.probe-every: '1' is not a duration from 50 ms to 60000 ms, such as "
                "250ms or 1s"},
-           FaultyText{"  probe-every: 1\n",
-                      "f.yaml:7: membership.probe-every: '1' is no duration from 50 ms to 60000 ms, such as "
-                      "250ms or 1s"},
-           FaultyText{"  colour: red\n", "f.yaml:7: membership.colour: is no known key"}));
+           InvalidText{"  colour: red\n", "f.yaml:7: membership.colour: unknown key"}));
 
-TEST(PlanningScenario, EachFaultNamesFileLineAndKey) {
+TEST(PlanningScenario, ThrowsAnErrorWithFileLineAndKeyWhenAValueIsInvalid) {
   const std::string file = ::testing::TempDir() + "rainhook-zones-" + std::to_string(::getpid()) + ".yaml";
-  const auto fault = [&](const std::string& text) -> std::string {
+  const auto errorOfScenario = [&](const std::string& text) -> std::string {
     std::ofstream(file) << text;
     try {
       static_cast<void>(readPlanningScenario(file));
@@ -214,17 +220,19 @@
     }
     return "none";
   };
-  EXPECT_EQ(fault("zones: {a: r, b: r}\ncosts: {a b: 3}\nfigures: {a: {read: 5}}\n"), "none");
-  EXPECT_EQ(fault("zones: {a: r, a: s}\n"), ":1: zones: names 'a' twice");
-  EXPECT_EQ(fault("zones: {a: ''}\n"), ":1: zones: zone 'a' is in no region");
-  EXPECT_EQ(fault("zones: {a: r, b: r}\ncosts: {a b: -1}\n"), ":2: costs: '-1' is no number from 0 to 1000");
-  EXPECT_EQ(fault("zones: {a: r, b: r}\ncosts: {a c: 1}\n"),
-            ":2: costs: 'a c' is no pair of stated zones, such as \"a b\"");
-  EXPECT_EQ(fault("zones: {a: r, b: r}\ncosts: {a b: 1, b a: 2}\n"), ":2: costs: names 'b a' both ways");
-  EXPECT_EQ(fault("zones: {a: r}\ndrained: [c]\n"), ":2: drained: 'c' is no stated zone");
-  EXPECT_EQ(fault("zones: {a: r}\nfigures: {c: {read: 5}}\n"), ":2: figures.c: is no known key");
-  EXPECT_EQ(fault("zones: {a: r}\nfigures: {a: {read: many}}\n"),
-            ":2: figures.a.read: 'many' is no number from 0 to 1000000000");
+  EXPECT_EQ(errorOfScenario("zones: {a: r, b: r}\ncosts: {a b: 3}\nfigures: {a: {read: 5}}\n"), "none");
+  EXPECT_EQ(errorOfScenario("zones: {a: r, a: s}\n"), ":1: zones: lists 'a' twice");
+  EXPECT_EQ(errorOfScenario("zones: {a: ''}\n"), ":1: zones: zone 'a' with region '': neither may be empty");
+  EXPECT_EQ(errorOfScenario("zones: {a: r, b: r}\ncosts: {a b: -1}\n"),
+            ":2: costs: '-1' is not a number from 0 to 1000");
+  EXPECT_EQ(errorOfScenario("zones: {a: r, b: r}\ncosts: {a c: 1}\n"),
+            ":2: costs: 'a c' is not a pair of configured zones, such as \"a b\"");
+  EXPECT_EQ(errorOfScenario("zones: {a: r, b: r}\ncosts: {a b: 1, b a: 2}\n"),
+            ":2: costs: 'b a' is already listed in the opposite order");
+  EXPECT_EQ(errorOfScenario("zones: {a: r}\ndrained: [c]\n"), ":2: drained: 'c' is not a configured zone");
+  EXPECT_EQ(errorOfScenario("zones: {a: r}\nfigures: {c: {read: 5}}\n"), ":2: figures.c: unknown key");
+  EXPECT_EQ(errorOfScenario("zones: {a: r}\nfigures: {a: {read: many}}\n"),
+            ":2: figures.a.read: 'many' is not a number from 0 to 1000000000");
   std::filesystem::remove(file);
 }
 
