--- a/src/commands/check_command.cpp
+++ b/src/commands/check_command.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// The command `check`: what a configuration and the options hold, and what a reload would not take over.
+/// The command `check`: prints a summary of a configuration and the options, and the changes that a reload
+/// would not apply.
 #include <fmt/format.h>
 #include <fmt/ranges.h>
 
@@ -34,14 +35,14 @@
 }
 
 void printEndpoints(const ServerEndpoints& endpoints) {
-  fmt::print("{} listens at {}; engine {}, registry {}, downstream service {}\n", endpoints.name,
+  fmt::print("server {}: listens at {}, engine {}, registry {}, downstream service {}\n", endpoints.name,
              endpoints.listen, endpoints.engine, orNone(endpoints.registry), orNone(endpoints.downstream));
-  fmt::print("limits: {} descriptors, {} MB; {} ms from the shutdown notice to the end\n",
-             endpoints.maxDescriptors, endpoints.memoryMb, millisecondsOf(endpoints.shutdownTimeout));
+  fmt::print("limits: {} descriptors, {} MB of memory, {} ms for a shutdown\n", endpoints.maxDescriptors,
+             endpoints.memoryMb, millisecondsOf(endpoints.shutdownTimeout));
 }
 
 void printDeployment(const DeploymentSettings& settings) {
-  fmt::print("{} cores, {:.0f} kB for requests, {} tenants\n", settings.machine.cores,
+  fmt::print("machine: {} cores, {:.0f} kB of memory for requests; {} tenants\n", settings.machine.cores,
              settings.machine.memoryKb, settings.tenantNames.size());
   for (std::size_t i = 0; i < settings.handlerPolicies.size(); ++i) {
     const HandlerPolicy& policy = settings.handlerPolicies[i];
@@ -53,30 +54,32 @@
 
 void printEnabledFeatures(const options::Options& options) {
   const auto features = options::describeEnabledFeatures(options);
-  fmt::print("enabled by our own settings: {}\n",
-             features.empty() ? "nothing" : fmt::to_string(fmt::join(features, "; ")));
+  fmt::print("features enabled by the options: {}\n",
+             features.empty() ? "none" : fmt::to_string(fmt::join(features, "; ")));
 }
 
 void printReload(const std::string& runningFile, const ServerConfiguration& offered) {
-  const auto kept = restartRequiredChanges(readConfigurationFile(runningFile), offered);
-  fmt::print("a reload (SIGHUP) of a server with {} would take {}\n", runningFile,
-             kept.empty() ? "all of it" : fmt::format("all but {}", fmt::join(kept, ", ")));
+  const auto restartRequired = restartRequiredChanges(readConfigurationFile(runningFile), offered);
+  fmt::print("a server that runs with {} would apply {} at a reload (SIGHUP)\n", runningFile,
+             restartRequired.empty()
+                 ? "all changes"
+                 : fmt::format("all changes except {}", fmt::join(restartRequired, ", ")));
 }
 
 po::options_description checkOptions() {
   auto options = configurationOptions("options of check");
   options.add_options()("running", po::value<std::string>(),
-                        "the configuration of a running server: says what a reload of it would not take");
+                        "the configuration of a running server: print which keys a reload would not apply");
   return options;
 }
 
 }  // namespace
 
 int check(const Arguments& arguments) {
-  const auto described = checkOptions();
-  const auto values = parseArguments(arguments, described);
+  const auto description = checkOptions();
+  const auto values = parseArguments(arguments, description);
   if (values.count("help") > 0) {
-    printUsage("check", described);
+    printUsage("check", description);
     return exitSuccess;
   }
   const options::Options options = options::readOptionsFile(values["options"].as<std::string>());
--- a/src/commands/command_line.cpp
+++ b/src/commands/command_line.cpp
@@ -30,10 +30,10 @@
   po::options_description options(title);
   auto add = options.add_options();
   add("config", po::value<std::string>()->default_value(environmentVariable("GW_CONFIG")),
-      "the configuration, a JSON file; where absent the one that GW_CONFIG names");
+      "the server's configuration, a JSON file; default: the file that GW_CONFIG names");
   add("options", po::value<std::string>()->default_value(environmentVariable("RAINHOOK_OPTIONS")),
-      "our own settings, a YAML file; where absent the one that RAINHOOK_OPTIONS names, or none");
-  add("help", "this page");
+      "rainhook's options, a YAML file; default: the file that RAINHOOK_OPTIONS names, or none");
+  add("help", "print this help");
   return options;
 }
 
--- a/src/commands/command_line.h
+++ b/src/commands/command_line.h
@@ -1,5 +1,5 @@
 /// @file
-/// Reading of command lines, common to all sub-commands.
+/// Command-line parsing that all sub-commands share.
 #pragma once
 
 #include <boost/program_options.hpp>
@@ -10,20 +10,20 @@
 
 namespace rainhook::commands {
 
-/// Reads arguments by a description of the options, in any order. Arguments that stand alone are, in turn,
-/// the values of the options that `positional` names; there may be no more of them.
-/// @throws UsageError
+/// Parses arguments in any order, according to a description of the options. Arguments without an option name
+/// are, in order, the values of the options in `positional`.
+/// @throws UsageError if an argument is invalid or there are more positional arguments than names.
 [[nodiscard]] boost::program_options::variables_map parseArguments(
     const Arguments& arguments, const boost::program_options::options_description& options,
     const std::vector<const char*>& positional = {});
 
-/// The value of a variable of the environment, empty where it is absent.
+/// Returns the value of an environment variable; empty if it is not set.
 [[nodiscard]] std::string environmentVariable(const char* name);
 
-/// The options of the commands that read a server's configuration: `config`, `options` and `help`.
+/// Describes the options of commands that read a server's configuration: `config`, `options` and `help`.
 [[nodiscard]] boost::program_options::options_description configurationOptions(const char* title);
 
-/// Prints how a command is used.
+/// Prints the usage of a command.
 void printUsage(const char* command, const boost::program_options::options_description& options);
 
 }  // namespace rainhook::commands
--- a/src/commands/commands.h
+++ b/src/commands/commands.h
@@ -1,5 +1,5 @@
 /// @file
-/// The sub-commands of `rainhook`, a file for each group, and what they end with.
+/// The sub-commands of `rainhook`, implemented in one file per group, and the exit statuses.
 #pragma once
 
 #include <stdexcept>
@@ -8,38 +8,39 @@
 
 namespace rainhook::commands {
 
-/// What the program ends with; documented for users, so that the numbers stay. Not scoped, since a command
-/// returns it as the plain number.
+/// The exit statuses of the program. They are documented for users and must not change. The enumeration is
+/// unscoped, since commands return the values as int.
 enum ExitStatus : int {
   exitSuccess = 0,
-  exitFailure = 1,     ///< it cannot do its work, as where an address is taken
-  exitNotFound = 1,    ///< what was asked for is not there
-  exitUsageError = 2,  ///< the command line, the configuration or the options cannot be used
-  exitDamaged = 3,     ///< a store holds damaged data
+  exitFailure = 1,     ///< the command failed, for example because an address is already in use
+  exitNotFound = 1,    ///< the requested object does not exist
+  exitUsageError = 2,  ///< the command line, the configuration or the options are invalid
+  exitDamaged = 3,     ///< a store contains damaged data
   exitStoreError = 4,  ///< a store cannot be opened, read or written
 };
 
-/// The words of a command line that follow the name of the program or the command.
+/// The command-line arguments after the name of the program or the command.
 using Arguments = std::vector<std::string>;
 
-/// The command line cannot be used; main prints it and ends with exitUsageError.
+/// The command line is invalid. main() prints the error and exits with exitUsageError.
 class UsageError : public std::runtime_error {
  public:
   using std::runtime_error::runtime_error;
 };
 
 /// Runs a server until SIGTERM or SIGINT.
-/// @throws ConfigurationError, options::OptionsError, as check() does, and UsageError, as all commands do.
+/// @throws ConfigurationError, options::OptionsError (check() throws them as well) and UsageError (all
+/// commands throw it).
 int serve(const Arguments& arguments);
-/// Says what a configuration and the options hold.
+/// Validates a configuration and the options and prints a summary of them.
 int check(const Arguments& arguments);
-/// Looks into a store, checks it or changes it.
+/// Reads, verifies or changes a store.
 int store(const Arguments& arguments);
-/// Runs a member that does not serve.
+/// Runs a member that does not serve requests.
 int witness(const Arguments& arguments);
-/// Says who is a member, as a running instance sees it.
+/// Prints the members as a running instance sees them.
 int members(const Arguments& arguments);
-/// Computes the plan by which zones take over from each other.
+/// Computes the plan by which zones take over traffic from each other.
 int failover(const Arguments& arguments);
 
 }  // namespace rainhook::commands
--- a/src/commands/failover_command.cpp
+++ b/src/commands/failover_command.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// `rainhook failover`: so far only computes a plan from a file of observations, without a fleet.
+/// The command `failover`: computes a plan from a file of observations, without a fleet.
 #include <fmt/format.h>
 
 #include <iostream>
@@ -23,14 +23,15 @@
 
 constexpr const char* usage = R"(usage: rainhook failover plan FILE [--json]
 
-Computes the plan of a fleet of zones from a file of figures (examples/zones.yaml), without a fleet.
+Computes the failover plan of a fleet of zones from a file of observations (see examples/zones.yaml). The command
+does not contact any server.
 
 )";
 
-/// Smaller shares are left out of the table, which shows tenths of a percent.
-constexpr double leastPrintedShare = 0.0005;
+/// The table omits smaller shares, since it shows tenths of a percent.
+constexpr double minPrintedShare = 0.0005;
 
-/// The names of states in the JSON output, a published format.
+/// Names of states in the JSON output. The format is public and must not change.
 const char* jsonNameOf(ZoneState state) {
   switch (state) {
     case ZoneState::serving:
@@ -47,7 +48,7 @@
   return "";
 }
 
-/// The reasons in the JSON output, a published format.
+/// Names of reasons in the JSON output. The format is public and must not change.
 const char* jsonNameOf(TransitionReason reason) {
   switch (reason) {
     case TransitionReason::none:
@@ -78,8 +79,8 @@
   return "";
 }
 
-/// Makes as many plans as the scenario has steps; each counts the plan before its previous one as still in
-/// use.
+/// Computes one plan per step of the scenario and returns the last. Each step assumes that instances may
+/// still follow the plan before the previous one.
 FailoverPlan computePlan(const options::PlanningScenario& scenario) {
   FailoverPlanner planner(scenario.settings);
   FailoverPlan plan;
@@ -117,7 +118,7 @@
   std::string text;
   for (const auto& [target, targetPlan] : plan.zones) {
     const double share = plan.share(zone, target);
-    if (share < leastPrintedShare) continue;
+    if (share < minPrintedShare) continue;
     text += fmt::format("{}{} {:.1f}%", text.empty() ? "" : ", ", target.text, 100 * share);
   }
   return text;
@@ -134,25 +135,25 @@
 
 }  // namespace
 
-int failover(const Arguments& words) {
+int failover(const Arguments& arguments) {
   po::options_description options("options of failover");
-  options.add_options()("json", po::bool_switch(), "as JSON")(
-      "command", po::value<std::string>()->default_value(""), "plan")(
-      "file", po::value<std::string>()->default_value(""), "plan: the file, also as the word behind it")(
-      "help", "this page");
-  const po::variables_map given = parseArguments(words, options, {"command", "file"});
-  const auto command = given["command"].as<std::string>();
-  const auto file = given["file"].as<std::string>();
-  if (given.count("help") > 0 || command == "help") {
+  options.add_options()("json", po::bool_switch(), "print the plan as JSON")(
+      "command", po::value<std::string>()->default_value(""), "the command: plan")(
+      "file", po::value<std::string>()->default_value(""),
+      "plan: the file of observations, also as the argument after the command")("help", "print this help");
+  const po::variables_map values = parseArguments(arguments, options, {"command", "file"});
+  const auto command = values["command"].as<std::string>();
+  const auto file = values["file"].as<std::string>();
+  if (values.count("help") > 0 || command == "help") {
     std::cout << usage << options;
     return exitSuccess;
   }
-  if (command.empty()) throw UsageError("failover: no command is given");
+  if (command.empty()) throw UsageError("failover: the command is missing, expected plan");
   if (command != "plan") throw UsageError("unknown command 'failover " + command + "'");
-  if (file.empty()) throw UsageError("failover plan: the file is missing");
+  if (file.empty()) throw UsageError("failover plan: the file name is missing");
 
   const FailoverPlan plan = computePlan(options::readPlanningScenario(file));
-  if (given["json"].as<bool>())
+  if (values["json"].as<bool>())
     std::cout << toJson(plan).dump(2) << '\n';
   else
     printTable(plan);
--- a/src/commands/members_command.cpp
+++ b/src/commands/members_command.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// members: what a running instance sees of the others.
+/// The command `members`: prints the members as a running instance sees them.
 #include <Poco/Exception.h>
 #include <fmt/format.h>
 
@@ -25,27 +25,29 @@
   po::options_description out(title);
   out.add_options()(
       "options", po::value<std::string>()->default_value(environmentVariable("RAINHOOK_OPTIONS")),
-      "our own settings, with a section membership; where absent the file that RAINHOOK_OPTIONS names")(
-      "help", "this page");
+      "rainhook's options with the section membership; default: the file that RAINHOOK_OPTIONS names")(
+      "help", "print this help");
   return out;
 }
 
-membership::MembershipSettings membershipSettingsOf(const po::variables_map& given) {
-  const auto own = options::readOptionsFile(given["options"].as<std::string>());
-  if (!own.membership) throw UsageError("the settings have no section membership");
-  return *own.membership;
+membership::MembershipSettings membershipSettingsOf(const po::variables_map& values) {
+  const auto file = values["options"].as<std::string>();
+  const auto fileOptions = options::readOptionsFile(file);
+  if (!fileOptions.membership)
+    throw UsageError(fmt::format("options file '{}' has no section membership", file));
+  return *fileOptions.membership;
 }
 
 namespace {
 
 constexpr const char* usage = R"(usage: rainhook members [COMMAND] --options FILE [--at ADDRESS] [options]
 
-  (none)         the members, a row each, as the instance asked sees them
-  watch          the same again and again: a line for each change, until it is ended
-  zones          what the zones do together, a row each, and how old the oldest part of it is
-  explain NAME   why that member is in its state: which probes failed, which witnesses, what is waited for
+  (none)         print the members as the queried instance sees them, one row each
+  watch          print the members, then each change, until the command is interrupted
+  zones          print the load of each zone, one row each, and the age of its oldest data
+  explain NAME   print why a member is in its state: failed probes, witnesses and the pending step
 
-ExitStatus 1: nobody answers at that address, under that key.
+Exit status 1: no instance answered at the address with a shared key, or the answer was invalid.
 
 )";
 
@@ -72,13 +74,13 @@
   fmt::print("\n");
   for (const auto& member : answer.at("members")) fmt::print("{}\n", memberRow(member));
   if (answer.at("doubtful").get<bool>())
-    fmt::print("{} says that its view is uncertain\n", textOf(answer, "asked"));
+    fmt::print("{} reports that its view of the members is uncertain\n", textOf(answer, "asked"));
   return exitSuccess;
 }
 
 using RowsByName = std::map<std::string, std::string>;
 
-RowsByName queryRows(MembershipClient& client) {
+RowsByName queryMemberRows(MembershipClient& client) {
   RowsByName out;
   const auto answer = client.queryMembers();
   for (const auto& member : answer.at("members")) out[textOf(member, "name")] = memberRow(member);
@@ -91,16 +93,16 @@
     if (it == before.end() || it->second != row) std::cout << row << '\n';
   }
   for (const auto& [name, row] : before)
-    if (!after.contains(name)) std::cout << name << " is forgotten\n";
+    if (!after.contains(name)) std::cout << name << " is no longer listed\n";
   std::cout << std::flush;
 }
 
-/// Ends by an exception or a signal.
+/// Prints changes until an exception or a signal ends the program.
 [[noreturn]] void watchMembers(MembershipClient& client) {
   constexpr auto interval = std::chrono::milliseconds(500);
   RowsByName before;
   for (;;) {
-    auto after = queryRows(client);
+    auto after = queryMemberRows(client);
     printChanges(before, after);
     before = std::move(after);
     std::this_thread::sleep_for(interval);
@@ -109,10 +111,10 @@
 
 void printZone(const json& zone) {
   const auto count = [&](const char* field) { return zone.at(field).get<std::uint64_t>(); };
-  const auto figure = [&](const char* field) { return fmt::format("{:.1f}", zone.at(field).get<double>()); };
+  const auto decimal = [&](const char* field) { return fmt::format("{:.1f}", zone.at(field).get<double>()); };
   fmt::print(zoneRowFormat, textOf(zone, "zone"), textOf(zone, "region"), count("members"), count("serving"),
-             count("cold"), count("unfit"), figure("limit"), figure("running"), figure("read_a_second"),
-             figure("done_a_second"), fmt::format("{:.2f}", zone.at("held_back").get<double>()),
+             count("cold"), count("unfit"), decimal("limit"), decimal("running"), decimal("read_a_second"),
+             decimal("done_a_second"), fmt::format("{:.2f}", zone.at("held_back").get<double>()),
              count("oldest_ms"), zone.at("silent").get<bool>() ? "unreachable" : "");
 }
 
@@ -130,7 +132,7 @@
 
 int printExplanation(MembershipClient& client, const std::string& memberName) {
   const auto lines = client.queryExplanation(memberName);
-  if (lines.empty()) throw UsageError("members: nobody is known under the name " + memberName);
+  if (lines.empty()) throw UsageError("members explain: no member has the name '" + memberName + "'");
   for (const auto& line : lines) fmt::print("{}\n", line.get<std::string>());
   return exitSuccess;
 }
@@ -138,18 +140,20 @@
 po::options_description membersOptions() {
   auto out = membershipOptions("options of members");
   out.add_options()("at", po::value<std::string>(),
-                    "the instance to ask; where absent the one of the settings")(
-      "json", po::bool_switch(), "as a JSON array")("command", po::value<std::string>()->default_value(""),
-                                                    "watch, zones or explain")(
-      "name", po::value<std::string>()->default_value(""), "explain: the member, also as the word behind it");
+                    "address of the instance to query; default: the advertised address in the options")(
+      "json", po::bool_switch(), "print a JSON array")("command", po::value<std::string>()->default_value(""),
+                                                       "watch, zones or explain")(
+      "name", po::value<std::string>()->default_value(""),
+      "explain: the name of the member, also as the argument after the command");
   return out;
 }
 
 void checkCommand(const std::string& command, const std::string& name) {
   if (!command.empty() && command != "watch" && command != "explain" && command != "zones")
     throw UsageError("unknown command 'members " + command + "'");
-  if (command == "explain" && name.empty()) throw UsageError("members explain: the name is missing");
-  if (command != "explain" && !name.empty()) throw UsageError("members: no name is wanted");
+  if (command == "explain" && name.empty()) throw UsageError("members explain: the member's name is missing");
+  if (command != "explain" && !name.empty())
+    throw UsageError("members: only explain takes a name, got '" + name + "'");
 }
 
 int run(MembershipClient& client, const std::string& command, const std::string& name, bool asJson) {
@@ -161,25 +165,27 @@
 
 }  // namespace
 
-int members(const Arguments& words) {
+int members(const Arguments& arguments) {
   const auto options = membersOptions();
-  const auto given = parseArguments(words, options, {"command", "name"});
-  const auto command = given["command"].as<std::string>();
-  const auto name = given["name"].as<std::string>();
-  if (given.count("help") > 0 || command == "help") {
+  const auto values = parseArguments(arguments, options, {"command", "name"});
+  const auto command = values["command"].as<std::string>();
+  const auto name = values["name"].as<std::string>();
+  if (values.count("help") > 0 || command == "help") {
     std::cout << usage << options;
     return exitSuccess;
   }
   checkCommand(command, name);
-  const auto settings = membershipSettingsOf(given);
-  const auto address = given.count("at") > 0 ? given["at"].as<std::string>() : settings.advertise.text;
+  const auto settings = membershipSettingsOf(values);
+  const auto address = values.count("at") > 0 ? values["at"].as<std::string>() : settings.advertise.text;
   MembershipClient client(settings, address);
   try {
-    return run(client, command, name, given["json"].as<bool>());
+    return run(client, command, name, values["json"].as<bool>());
   } catch (const Poco::Exception& error) {
-    fmt::print(stderr, "rainhook: members: nobody answers: {}\n", error.displayText());
+    fmt::print(stderr, "rainhook: members: no valid answer from {}: {}\n", address, error.displayText());
   } catch (const json::exception&) {
-    fmt::print(stderr, "rainhook: members: the answer can't be read: another release?\n");
+    fmt::print(stderr,
+               "rainhook: members: cannot decode the answer from {}; the instance may run another release\n",
+               address);
   }
   return exitNotFound;
 }
--- a/src/commands/members_options.h
+++ b/src/commands/members_options.h
@@ -1,5 +1,5 @@
 /// @file
-/// The options that `witness` and `members` share.
+/// The command-line options that `witness` and `members` share.
 #pragma once
 
 #include <boost/program_options.hpp>
@@ -8,11 +8,12 @@
 
 namespace rainhook::commands {
 
-/// The options `--options` and `--help`, under this title in the help page.
+/// Describes the options `--options` and `--help` under the given title of the help text.
 [[nodiscard]] boost::program_options::options_description membershipOptions(const char* title);
-/// The section membership of the settings that the option names.
-/// @throws UsageError where there is none
+/// Reads the section `membership` of the file that `--options` names.
+/// @throws UsageError if the file has no such section.
+/// @throws options::OptionsError if the file is invalid.
 [[nodiscard]] membership::MembershipSettings membershipSettingsOf(
-    const boost::program_options::variables_map& given);
+    const boost::program_options::variables_map& values);
 
 }  // namespace rainhook::commands
--- a/src/commands/membership_client.cpp
+++ b/src/commands/membership_client.cpp
@@ -30,7 +30,9 @@
   std::string out(size, '\0');
   for (std::size_t received = 0; received < size;) {
     const int count = socket.receiveBytes(out.data() + received, static_cast<int>(size - received));
-    if (count <= 0) throw Poco::IOException("the connection was closed: another key?");
+    if (count <= 0)
+      throw Poco::IOException(fmt::format(
+          "connection closed after {} of {} bytes; the instance may use another key", received, size));
     received += static_cast<std::size_t>(count);
   }
   return out;
@@ -38,17 +40,17 @@
 
 }  // namespace
 
-std::uint64_t drawProcessId() {
+std::uint64_t generateProcessId() {
   std::random_device device;
   const std::uint64_t high = device();
   return high << 32 | device();
 }
 
 MembershipClient::MembershipClient(const membership::MembershipSettings& settings, const std::string& address)
-    : authenticator_(settings.keys, drawProcessId()) {
+    : authenticator_(settings.keys, generateProcessId()) {
   const auto parsed = membershipTransport::parseAddress(address);
   if (!parsed)
-    throw UsageError(fmt::format("members: '{}' is no address of the form 127.0.0.1:7101", address));
+    throw UsageError(fmt::format("members: '{}' is not an address of the form 127.0.0.1:7101", address));
   address_ = *parsed;
 }
 
@@ -62,14 +64,16 @@
   const std::string signedAnswer = receiveFrame(socket);
   const auto verified = authenticator_.verify(signedAnswer);
   const auto answer = verified ? membershipTransport::payloadOf(MessageTag::answer, *verified) : std::nullopt;
-  if (!answer) throw Poco::DataFormatException("an answer under another key");
+  if (!answer) throw Poco::DataFormatException("the answer is not signed with a configured key");
   return json::parse(*answer);
 }
 
 std::string MembershipClient::receiveFrame(StreamSocket& socket) const {
   const auto header = receiveAll(socket, membershipTransport::frameHeaderBytes);
   const auto length = membershipTransport::frameLength(header);
-  if (length > maxAnswerBytes) throw Poco::DataFormatException("an answer that is too long");
+  if (length > maxAnswerBytes)
+    throw Poco::DataFormatException(
+        fmt::format("answer of {} bytes exceeds the limit of {}", length, maxAnswerBytes));
   return receiveAll(socket, length);
 }
 
--- a/src/commands/membership_client.h
+++ b/src/commands/membership_client.h
@@ -1,5 +1,5 @@
 /// @file
-/// Asks a running instance over its membership port what it sees, under the key that members share.
+/// Queries a running instance through its membership port, authenticated with the key that members share.
 #pragma once
 
 #include <Poco/Net/SocketAddress.h>
@@ -14,30 +14,31 @@
 
 namespace rainhook::commands {
 
-/// A random number for a process or a sender.
-[[nodiscard]] std::uint64_t drawProcessId();
+/// Generates a random number that identifies a process as the sender of messages.
+[[nodiscard]] std::uint64_t generateProcessId();
 
-/// Blocks, 3 seconds at most for each step; one connection for each query.
+/// Sends queries and blocks until the answer has arrived. Each query uses its own connection; connecting and
+/// each receive time out after 3 seconds.
 class MembershipClient {
  public:
-  /// Opens no connection yet.
-  /// @param settings of which the keys are used
-  /// @param address of the instance to ask
-  /// @throws UsageError where the address has another form
+  /// Does not connect yet.
+  /// @param settings the settings that contain the keys
+  /// @param address the address of the instance to query
+  /// @throws UsageError if the address is not of the form 127.0.0.1:7101.
   MembershipClient(const membership::MembershipSettings& settings, const std::string& address);
 
-  /// The members as that instance sees them, with `members`, `doubtful` and `asked`.
+  /// The members as that instance sees them: an object with `members`, `doubtful` and `asked`.
   [[nodiscard]] nlohmann::json queryMembers() { return query({{"what", "table"}}); }
-  /// A row for each zone.
+  /// The zones: an array with one object per zone.
   [[nodiscard]] nlohmann::json queryZones() { return query({{"what", "zones"}}).at("zones"); }
-  /// Why a member is in its state, one text a line; empty where the name is not known.
+  /// Why a member is in its state, as an array of lines; empty if the name is unknown.
   [[nodiscard]] nlohmann::json queryExplanation(const std::string& memberName) {
     return query({{"what", "explain"}, {"name", memberName}}).at("lines");
   }
 
  private:
-  /// @throws Poco::Exception where nobody answers under that key
-  /// @throws nlohmann::json::exception where the answer is not JSON
+  /// @throws Poco::Exception if no answer arrives that is signed with a shared key.
+  /// @throws nlohmann::json::exception if the answer is not valid JSON.
   [[nodiscard]] nlohmann::json query(const nlohmann::json& question);
   [[nodiscard]] std::string receiveFrame(Poco::Net::StreamSocket& socket) const;
 
--- a/src/commands/serve_command.cpp
+++ b/src/commands/serve_command.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The command `serve`: a real server, which may be a member among others.
+/// The command `serve`: runs a real server, which is also a member if the options enable membership.
 #include <Poco/Exception.h>
 #include <fmt/format.h>
 
@@ -20,24 +20,24 @@
 namespace rainhook::commands {
 namespace {
 
-std::uint64_t randomNumber() {
+std::uint64_t generateRandomSeed() {
   std::random_device device;
   const std::uint64_t high = device();
   return (high << 32) | device();
 }
 
-logging::Log::Format logForm(options::LogFormat format) {
+logging::Log::Format toLogFormat(options::LogFormat format) {
   return format == options::LogFormat::json ? logging::Log::Format::json : logging::Log::Format::text;
 }
 
-// False, after a message on standard error, where the address cannot be had.
+// Opens the service's listening socket. Prints an error and returns false if the address is not available.
 template <typename Service>
 bool openAt(Service& service, const std::string& address) {
   try {
     service.open();
     return true;
   } catch (const Poco::Exception& error) {
-    fmt::print(stderr, "rainhook: can't listen at {}: {}\n", address, error.displayText());
+    fmt::print(stderr, "rainhook: cannot listen at {}: {}\n", address, error.displayText());
     return false;
   }
 }
@@ -47,7 +47,7 @@
   net::Reactor reactor;
   std::optional<server::RequestServer> server;
   std::optional<server::MembershipService> membership;
-  // Signals wait in the reactor until it runs; by then the server is there.
+  // Signals stay pending until the reactor runs; the server exists by then.
   reactor.onSignals({SIGTERM, SIGINT, SIGHUP}, [&](int signal) {
     if (signal == SIGHUP) return server->reloadFile(configurationFile);
     server->shutDownGracefully();
@@ -55,13 +55,13 @@
   });
   const options::Options options = options::readOptionsFile(optionsFile);
   const ServerConfiguration configuration = readConfigurationFile(configurationFile);
-  logging::Log log(logForm(options.logFormat()), configuration.endpoints.name);
+  logging::Log log(toLogFormat(options.logFormat()), configuration.endpoints.name);
   for (const std::string& feature : options::describeEnabledFeatures(options))
     log.message(logging::LogCategory::start, "{}", feature);
   server.emplace(reactor, log, configuration);
   if (options.membership)
     membership.emplace(reactor, log, *options.membership, *server, configuration.deployment.fleet.servers,
-                       randomNumber());
+                       generateRandomSeed());
   if (!openAt(*server, configuration.endpoints.listen)) return exitFailure;
   if (membership && !openAt(*membership, options.membership->listen.text)) return exitFailure;
   reactor.run();
--- a/src/commands/witness_command.cpp
+++ b/src/commands/witness_command.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// witness: a member without a server.
+/// The command `witness`: runs a member that does not serve requests.
 #include <Poco/Exception.h>
 #include <fmt/format.h>
 
@@ -25,7 +25,8 @@
 using membership::MembershipSettings;
 using membershipTransport::MembershipTransport;
 
-/// Says why this instance can't be a member, and gives the status to end with; nothing where it can.
+/// Returns the exit status and prints the reason if the event means that this instance cannot be a member;
+/// otherwise returns nothing.
 std::optional<ExitStatus> rejectionStatus(const MembershipSettings& settings, const MembershipEvent& event) {
   if (event.type == MembershipEvent::Type::regionMismatch) {
     fmt::print(stderr, "rainhook: {}\n", server::regionMismatch(settings, event.member));
@@ -37,7 +38,7 @@
   return exitFailure;
 }
 
-/// Runs until a signal ends it or it is rejected.
+/// Runs until a signal arrives or the other members reject this instance.
 int runWitness(const MembershipSettings& settings, logging::Log& log) {
   net::Reactor reactor;
   net::BufferPool pool;
@@ -50,7 +51,7 @@
     stopTimer = reactor.after(transport->membership().leaveDuration(), [&] { reactor.stop(); });
   });
   server::IncarnationStore incarnations(reactor, log, settings);
-  transport.emplace(reactor, pool, log, settings, incarnations.open(), drawProcessId(),
+  transport.emplace(reactor, pool, log, settings, incarnations.open(), generateProcessId(),
                     [&](const MembershipEvent& event) {
                       const auto rejection = rejectionStatus(settings, event);
                       if (!rejection) return;
@@ -60,11 +61,11 @@
   try {
     transport->open();
   } catch (const Poco::Exception& error) {
-    fmt::print(stderr, "rainhook: can't listen at {}: {}\n", settings.listen.text, error.displayText());
+    fmt::print(stderr, "rainhook: cannot listen at {}: {}\n", settings.listen.text, error.displayText());
     return exitFailure;
   }
   incarnations.follow(*transport);
-  transport->publishStatus(membership::MemberStatus{});  // an observer
+  transport->publishStatus(membership::MemberStatus{});  // the default status is that of an observer
   reactor.run();
   transport.reset();
   reactor.releaseRetired();
@@ -73,17 +74,17 @@
 
 }  // namespace
 
-int witness(const Arguments& words) {
+int witness(const Arguments& arguments) {
   const auto description = membershipOptions("options of witness");
-  const auto given = parseArguments(words, description);
-  if (given.count("help") > 0) {
+  const auto values = parseArguments(arguments, description);
+  if (values.count("help") > 0) {
     std::cout << "usage: rainhook witness --options FILE\n\n" << description;
     return exitSuccess;
   }
-  const auto settings = membershipSettingsOf(given);
-  const auto own = options::readOptionsFile(given["options"].as<std::string>());
+  const auto settings = membershipSettingsOf(values);
+  const auto fileOptions = options::readOptionsFile(values["options"].as<std::string>());
   signal(SIGPIPE, SIG_IGN);
-  const bool isJson = own.logFormat() == options::LogFormat::json;
+  const bool isJson = fileOptions.logFormat() == options::LogFormat::json;
   logging::Log log(isJson ? logging::Log::Format::json : logging::Log::Format::text, settings.name.text);
   return runWitness(settings, log);
 }
--- a/src/main.cpp
+++ b/src/main.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The program `rainhook`: finds the command that is meant, runs it, and turns errors into a message and an
-/// exit status.
+/// The program `rainhook`: runs the command that the first argument names and converts errors into a message
+/// and an exit status.
 #include <fmt/format.h>
 
 #include <algorithm>
@@ -20,14 +20,14 @@
 
 constexpr const char* usage = R"(usage: rainhook COMMAND [options]
 
-  serve    serve until SIGTERM or SIGINT
-  check    say what a configuration and our own settings hold, or what is wrong with them
-  store    look into a store, check it, change it
-  witness  be a member among the servers without serving: an observer
-  members  who is there, as a running instance sees it
-  failover the plan by which zones take over from each other
-  version  say which version this is
-  help     this page, or with a command's name that command's options
+  serve    run a server until SIGTERM or SIGINT
+  check    validate a configuration and the options and print a summary
+  store    read, verify or change a store
+  witness  run a member that observes the servers without serving requests
+  members  print the members as a running instance sees them
+  failover compute the plan by which zones take over traffic from each other
+  version  print the version
+  help     print this help, or the options of the command that is named
 )";
 
 struct Command {
@@ -38,7 +38,7 @@
                                  Command{"store", store},     Command{"witness", witness},
                                  Command{"members", members}, Command{"failover", failover}};
 
-// Null where there is no such command.
+// Returns null if there is no such command.
 const Command* findCommand(const std::string& name) {
   const auto* const found =
       std::find_if(commands.begin(), commands.end(), [&](const Command& each) { return each.name == name; });
@@ -58,7 +58,7 @@
 }
 
 int runCommand(const Arguments& arguments) {
-  if (arguments.empty() || arguments.front().empty()) throw UsageError("no command is given");
+  if (arguments.empty() || arguments.front().empty()) throw UsageError("the command is missing");
   const std::string& name = arguments.front();
   const Arguments rest(arguments.begin() + 1, arguments.end());
   if (name == "help" || name == "--help" || name == "-h") return help(rest);
@@ -75,9 +75,9 @@
 
 }  // namespace
 
-int main(int count, char** words) {
+int main(int argumentCount, char** arguments) {
   try {
-    return runCommand({words + 1, words + count});
+    return runCommand({arguments + 1, arguments + argumentCount});
   } catch (const UsageError& error) {
     fmt::print(stderr, "rainhook: {}; try 'rainhook help'\n", error.what());
     return exitUsageError;
--- a/tests/compatibility_test.cpp
+++ b/tests/compatibility_test.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// Today's code reads what an earlier release wrote: the fixtures under tests/data (see the README there).
+/// The current code reads the data that an earlier release wrote: the fixtures under tests/data (see the
+/// README there).
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -26,7 +27,7 @@
 using testing::ElementsAre;
 using testing::IsEmpty;
 
-/// A copy of a fixture in a temporary folder, removed at the end of the test.
+/// A copy of a fixture in a temporary folder. The destructor removes the folder.
 class FixtureCopy {
  public:
   explicit FixtureCopy(const std::string& fixture)
@@ -45,7 +46,7 @@
   std::filesystem::path folder_;
 };
 
-/// What a key holds, and when it expires; without an expiry it never does.
+/// The expected value and expiry of a key. A key without an expiry never expires.
 struct ExpectedValue {
   std::string value;
   std::optional<std::int64_t> expiryUnixMs;
@@ -60,14 +61,14 @@
 
 constexpr std::int64_t longLivedExpiryUnixMs = 4958460000900;
 
-/// The value of `binary`: every byte once.
-std::string everyByte() {
+/// The value of `binary`: each of the 256 byte values once.
+std::string everyByteValue() {
   std::string out;
   for (int byte = 0; byte < 256; ++byte) out.push_back(static_cast<char>(byte));
   return out;
 }
 
-/// The value of `incompressible`: 900 bytes of a linear congruential generator.
+/// The value of `incompressible`: 900 bytes from a linear congruential generator.
 std::string incompressibleValue() {
   std::string out;
   std::uint64_t state = 1;
@@ -78,18 +79,18 @@
   return out;
 }
 
-/// The value of `compressed`, which stands on the disk as zstd.
+/// The value of `compressed`, which the fixture stores compressed with zstd.
 std::string compressedValue() {
   std::string out;
   for (int i = 0; i < 100; ++i) out += "compressed value, ";
   return out;
 }
 
-/// What the closed store and its snapshot hold. `plain-03`, `plain-07` were erased, `short-lived` has
-/// expired.
+/// The entries of the closed store and of its snapshot. `plain-03` and `plain-07` were erased, and
+/// `short-lived` has expired.
 ExpectedEntries closedStoreEntries() {
   ExpectedEntries out{
-      {"binary", {everyByte(), {}}},
+      {"binary", {everyByteValue(), {}}},
       {"compressed", {compressedValue(), {}}},
       {"empty-value", {"", {}}},
       {"incompressible", {incompressibleValue(), {}}},
@@ -104,7 +105,8 @@
   return out;
 }
 
-/// The same with the three writes that were acknowledged before their process was killed.
+/// The entries of the closed store and three writes that were acknowledged before the writing process was
+/// killed.
 ExpectedEntries killedStoreEntries() {
   auto out = closedStoreEntries();
   for (const char* key : {"unclosed-1", "unclosed-2", "unclosed-3"})
@@ -112,25 +114,25 @@
   return out;
 }
 
-constexpr store::StoreSettings fixtureBounds{.maxDiskBytes = 256 << 10,
-                                             .maxQueueBytes = 64 << 10,
-                                             .maxSegmentBytes = 16 << 10,
-                                             .maxValueBytes = 2 << 10};
+constexpr store::StoreSettings fixtureSettings{.maxDiskBytes = 256 << 10,
+                                               .maxQueueBytes = 64 << 10,
+                                               .maxSegmentBytes = 16 << 10,
+                                               .maxValueBytes = 2 << 10};
 
 store::UnixTime systemTime() {
   return std::chrono::floor<std::chrono::milliseconds>(std::chrono::system_clock::now());
 }
 
-std::unique_ptr<store::Store> openedStore(const std::string& folder) {
-  auto out = std::make_unique<store::Store>(std::make_unique<store::PosixDisk>(folder), fixtureBounds,
+std::unique_ptr<store::Store> openStore(const std::string& folder) {
+  auto out = std::make_unique<store::Store>(std::make_unique<store::PosixDisk>(folder), fixtureSettings,
                                             systemTime, [](const std::string&) {});
   const auto outcome = out->open(1);
   EXPECT_TRUE(outcome.isOk()) << outcome.message;
   return out;
 }
 
-/// Everything that the store serves, by the list of its keys and by a read of each.
-ExpectedEntries servedEntries(const store::Store& opened) {
+/// All entries that the store returns, from a scan of its keys and a read of each key.
+ExpectedEntries readAllEntries(const store::Store& opened) {
   constexpr std::size_t allRows = 1000;
   ExpectedEntries out;
   const auto page = opened.scanByKey("", store::ScanStart::atKey, allRows);
@@ -157,7 +159,7 @@
   FixtureCopy copy_{std::string("store-5aa88a4/") + GetParam().name};
 };
 
-TEST_P(StoreCompatibility, VerifyFindsNoDamage) {
+TEST_P(StoreCompatibility, VerifyFindsNoDamageWhenAnEarlierReleaseWroteTheStore) {
   store::PosixDisk disk(copy_.folder());
   store::VerificationReport verified;
   ASSERT_FALSE(store::verify(disk, verified));
@@ -165,16 +167,16 @@
   EXPECT_GE(verified.segments, 8u);
 }
 
-TEST_P(StoreCompatibility, EveryKeyValueAndExpiryIsRead) {
-  const auto opened = openedStore(copy_.folder());
-  EXPECT_EQ(servedEntries(*opened), GetParam().entries());
+TEST_P(StoreCompatibility, ReadsEveryKeyValueAndExpiryWhenAnEarlierReleaseWroteTheStore) {
+  const auto opened = openStore(copy_.folder());
+  EXPECT_EQ(readAllEntries(*opened), GetParam().entries());
   const auto statistics = opened->statistics().log;
   EXPECT_EQ(
       statistics.lostFiles + statistics.lostRecords + statistics.tornBytes + statistics.quarantinedFiles, 0u);
 }
 
-TEST_P(StoreCompatibility, ErasedAndExpiredKeysStayAbsent) {
-  const auto opened = openedStore(copy_.folder());
+TEST_P(StoreCompatibility, FindsNoValueWhenAKeyWasErasedOrHasExpired) {
+  const auto opened = openStore(copy_.folder());
   for (const char* key : {"plain-03", "plain-07", "short-lived"}) {
     const auto read = opened->get(key);
     EXPECT_FALSE(read.value) << key;
@@ -182,11 +184,11 @@
   }
 }
 
-TEST_P(StoreCompatibility, EverythingIsStillThereAfterAWriteACompactionAndARestart) {
+TEST_P(StoreCompatibility, KeepsEveryEntryWhenItIsWrittenToCompactedAndReopened) {
   auto expected = GetParam().entries();
   expected["new"] = {"written by this release", {}};
   {
-    const auto opened = openedStore(copy_.folder());
+    const auto opened = openStore(copy_.folder());
     const auto expectDone = [](const store::StoreStatus& outcome) {
       EXPECT_TRUE(outcome.isOk()) << outcome.message;
     };
@@ -194,9 +196,9 @@
     opened->waitUntilIdle();
     ASSERT_TRUE(opened->compact(expectDone).isOk());
     opened->waitUntilIdle();
-    EXPECT_EQ(servedEntries(*opened), expected);
+    EXPECT_EQ(readAllEntries(*opened), expected);
   }
-  EXPECT_EQ(servedEntries(*openedStore(copy_.folder())), expected);
+  EXPECT_EQ(readAllEntries(*openStore(copy_.folder())), expected);
 }
 
 INSTANTIATE_TEST_SUITE_P(Commit5aa88a4, StoreCompatibility,
@@ -205,42 +207,43 @@
                                          StoreFixture{"killed", killedStoreEntries}),
                          [](const auto& info) { return info.param.name; });
 
-/// The state folder of the witness `a`, which had reserved its incarnations up to 2048 and knew `b` and `c`.
+/// Uses the state folder of the witness `a`, which had reserved incarnations up to 2048 and knew the members
+/// `b` and `c`.
 class MembershipStateCompatibility : public testing::Test {
  protected:
-  membership::PersistedIdentity openedState() {
-    membership::MembershipSettings place;
-    place.name = {"a"};
-    place.advertise = {"127.0.0.111:7141"};
-    place.stateFolder = copy_.folder();
+  membership::PersistedIdentity loadState() {
+    membership::MembershipSettings settings;
+    settings.name = {"a"};
+    settings.advertise = {"127.0.0.111:7141"};
+    settings.stateFolder = copy_.folder();
     net::Reactor reactor;
     logging::Log log;
-    server::IncarnationStore incarnations(reactor, log, place);
+    server::IncarnationStore incarnations(reactor, log, settings);
     return incarnations.open();
   }
 
   FixtureCopy copy_{"membership-state-5aa88a4"};
 };
 
-TEST_F(MembershipStateCompatibility, TheNextLifeBeginsBeyondTheReservedIncarnations) {
-  const auto earlier = openedState();
-  EXPECT_EQ(earlier.firstIncarnation, membership::Incarnation{2049});
-  EXPECT_EQ(earlier.reservedIncarnation, membership::Incarnation{3072});
+TEST_F(MembershipStateCompatibility, StartsAboveTheReservedIncarnationsWhenAnEarlierReleaseWroteTheState) {
+  const auto state = loadState();
+  EXPECT_EQ(state.firstIncarnation, membership::Incarnation{2049});
+  EXPECT_EQ(state.reservedIncarnation, membership::Incarnation{3072});
 }
 
-TEST_F(MembershipStateCompatibility, TheKnownMembersAreRead) {
+TEST_F(MembershipStateCompatibility, ReadsTheKnownMembersWhenAnEarlierReleaseWroteTheState) {
   std::vector<std::pair<std::string, std::string>> known;
-  for (const auto& [name, address] : openedState().knownMembers) known.emplace_back(name.text, address.text);
+  for (const auto& [name, address] : loadState().knownMembers) known.emplace_back(name.text, address.text);
   EXPECT_THAT(known, ElementsAre(std::pair<std::string, std::string>("b", "127.0.0.112:7141"),
                                  std::pair<std::string, std::string>("c", "127.0.0.113:7141")));
 }
 
-TEST_F(MembershipStateCompatibility, ALaterLifeGoesOnFromWhatThisReleaseWrote) {
-  openedState();
-  const auto earlier = openedState();
-  EXPECT_EQ(earlier.firstIncarnation, membership::Incarnation{3073});
-  EXPECT_EQ(earlier.reservedIncarnation, membership::Incarnation{4096});
-  EXPECT_EQ(earlier.knownMembers.size(), 2u);
+TEST_F(MembershipStateCompatibility, StartsAboveItsOwnReservationWhenItIsRestarted) {
+  loadState();
+  const auto state = loadState();
+  EXPECT_EQ(state.firstIncarnation, membership::Incarnation{3073});
+  EXPECT_EQ(state.reservedIncarnation, membership::Incarnation{4096});
+  EXPECT_EQ(state.knownMembers.size(), 2u);
 }
 
 }  // namespace
--- a/tests/deploy_test.cpp
+++ b/tests/deploy_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// What the operators' standing test asks of `build` and `run` in deploy/balancer.toml, held against the
-/// sources and the built server.
+/// Checks the sources and the built server against the operators' requirements on `build` and `run` in
+/// deploy/balancer.toml, and that the deployed options file enables no feature.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -26,7 +26,7 @@
 }
 
 struct CommandResult {
-  int status = -1;  // as pclose gives it
+  int status = -1;  // as returned by pclose()
   std::string output;
 };
 
@@ -40,18 +40,18 @@
   return result;
 }
 
-TEST(Deploy, ServerIsLinkedDynamicallyAgainstTheCLibrary) {
+TEST(Deploy, ServerUsesTheSharedCLibraryWhenItIsBuilt) {
   const CommandResult result = runCommand("ldd " RAINHOOK_PROGRAM);
   ASSERT_EQ(result.status, 0);
   EXPECT_THAT(result.output, HasSubstr("libc.so.6 => /"));
 }
 
-TEST(Deploy, RunIsOneExecAndNamesNoOptionsFile) {
+TEST(Deploy, RunCommandIsOneExecWithoutAnOptionsFile) {
   EXPECT_THAT(readFile(sourceFolder + "/deploy/balancer.toml"),
               HasSubstr("\nrun = \"exec build/rainhook serve\"\n"));
 }
 
-TEST(Deploy, EveryFeatureOfTheOptionsFileIsOff) {
+TEST(Deploy, OptionsFileEnablesNoFeature) {
   const std::string file = sourceFolder + "/deploy/rainhook.yaml";
   ASSERT_FALSE(readFile(file).empty());
   const options::Options options = options::readOptionsFile(file);
--- a/tests/failover_command_test.cpp
+++ b/tests/failover_command_test.cpp
@@ -1,6 +1,7 @@
 /// @file
-/// `rainhook failover plan` as a person or a script meets it: the program itself is run, and its JSON output
-/// is compared byte for byte with files that were written by the program before its internal names changed.
+/// The command `rainhook failover plan`. The tests run the program and compare its output byte for byte with
+/// recorded files, which an earlier version of the program wrote. They guard against changes of the public
+/// JSON format, such as a renamed identifier that changes a printed name.
 #include <gtest/gtest.h>
 #include <sys/wait.h>
 
@@ -37,32 +38,32 @@
   return {std::istreambuf_iterator<char>(in), {}};
 }
 
-TEST(FailoverCommand, PrintsTheRecordedJsonForTheExample) {
+TEST(FailoverCommand, PrintsTheRecordedJsonWhenRunOnTheExample) {
   const CommandResult result = runFailover("plan " + sources + "/examples/zones.yaml --json");
   EXPECT_EQ(result.status, 0);
   EXPECT_EQ(result.output, readFile(sources + "/tests/data/failover_plan_example.json"));
 }
 
-TEST(FailoverCommand, PrintsTheRecordedJsonForFourStates) {
+TEST(FailoverCommand, PrintsTheRecordedJsonWhenZonesAreInFourStates) {
   const CommandResult result = runFailover("plan --json " + sources + "/tests/data/failover_plan.yaml");
   EXPECT_EQ(result.status, 0);
   EXPECT_EQ(result.output, readFile(sources + "/tests/data/failover_plan.json"));
 }
 
-TEST(FailoverCommand, PrintsATableWithStatesAndReasons) {
+TEST(FailoverCommand, PrintsTheRecordedTableWhenJsonIsNotRequested) {
   const CommandResult result = runFailover("plan " + sources + "/tests/data/failover_plan.yaml");
   EXPECT_EQ(result.status, 0);
   EXPECT_EQ(result.output, readFile(sources + "/tests/data/failover_plan_table.txt"));
 }
 
-TEST(FailoverCommand, EndsWithTwoWhenItIsMisused) {
+TEST(FailoverCommand, ExitsWithStatus2WhenArgumentsAreInvalid) {
   EXPECT_EQ(runFailover("").status, 2);
   EXPECT_EQ(runFailover("plan").status, 2);
   EXPECT_EQ(runFailover("drain").status, 2);
   EXPECT_EQ(runFailover("plan /nonexistent.yaml").status, 2);
 }
 
-TEST(FailoverCommand, ExplainsItselfWhenAskedForHelp) {
+TEST(FailoverCommand, PrintsItsUsageWhenHelpIsRequested) {
   const CommandResult result = runFailover("help");
   EXPECT_EQ(result.status, 0);
   EXPECT_EQ(result.output.find("usage: rainhook failover plan FILE [--json]"), 0U);
