--- a/src/failover/failover_planner.cpp
+++ b/src/failover/failover_planner.cpp
@@ -11,11 +11,11 @@
 namespace rainhook::failover {
 namespace {
 
-/// A share that differs by no more than this ratio of the traffic is no reason for a new plan.
+/// A share that changes by at most this ratio of the traffic does not justify a new plan.
 constexpr double materialShareChange = 0.02;
-/// Nor is a proven rate that differs by no more than this ratio of itself.
+/// A proven rate that changes by at most this ratio of itself does not justify a new plan.
 constexpr double materialRateChange = 0.25;
-/// Shares below this ratio are left out of a plan.
+/// A plan omits shares below this ratio.
 constexpr double negligibleShare = 1e-6;
 
 PlanVersion nextVersion(PlanVersion version) { return PlanVersion{static_cast<std::uint64_t>(version) + 1}; }
@@ -27,10 +27,10 @@
 }
 
 bool differsMaterially(const ZonePlan& plan, const ZonePlan& previous) {
-  const double leastRateChange = materialRateChange * std::max(previous.provenRate, 1.0);
+  const double minRateChange = materialRateChange * std::max(previous.provenRate, 1.0);
   return plan.state != previous.state || plan.usableRatio != previous.usableRatio ||
          plan.failedRecoveries != previous.failedRecoveries ||
-         std::abs(previous.provenRate - plan.provenRate) > leastRateChange;
+         std::abs(previous.provenRate - plan.provenRate) > minRateChange;
 }
 
 }  // namespace
@@ -74,7 +74,8 @@
   return zonePlans;
 }
 
-/// A share grows by one step at most, except from a zone that serves nobody; it may shrink at once.
+/// Limits the growth of each share to one step, except for origins that serve no requests. Shares may shrink
+/// without limit.
 void FailoverPlanner::limitGrowth(FailoverPlan& plan, const FailoverPlan& previous) const {
   for (auto& [origin, targets] : plan.shares) {
     if (isWithdrawn(plan.zones.at(origin).state)) continue;
@@ -97,7 +98,7 @@
   return false;
 }
 
-/// Whether the plan before hands some zone more than it can take now, by however little.
+/// Whether the previous plan hands some zone more load than its available capacity now.
 bool FailoverPlanner::exceedsCapacity(const FailoverPlan& previous, const FailoverPlan& plan,
                                       const FleetObservation& observation, const ZoneLoads& loads) const {
   return std::any_of(loads.begin(), loads.end(), [&](const auto& entry) {
--- a/src/failover/failover_planner.h
+++ b/src/failover/failover_planner.h
@@ -1,7 +1,7 @@
 /// @file
-/// Makes the plan of a fleet of zones: which zone serves its own clients, and what ratio of whose traffic
-/// goes to which other zone. docs/failover.md explains the method and the published practice behind it
-/// (regional evacuation, capacity-aware spill).
+/// Computes the failover plan of a fleet of zones: which zone serves its own clients, and what ratio of each
+/// zone's traffic goes to which other zone. docs/failover.md explains the method and the published practice
+/// behind it (regional evacuation, capacity-aware spill).
 #pragma once
 
 #include <map>
@@ -14,32 +14,32 @@
 
 namespace rainhook::failover {
 
-/// Makes one plan after the other. Deterministic: observations, operator overrides, the plan before and the
-/// time go in, the next plan comes out; no I/O, clock, threads or randomness.
+/// Computes a sequence of plans. The planner is deterministic: it computes the next plan from observations,
+/// operator overrides, the previous plan and the time, without I/O, a clock, threads or randomness.
 ///
-/// Traffic stays local while its own zone can serve it. What must move goes where there is measured capacity,
-/// at the least cost; where there is none, it stays local and is shed there.
+/// Traffic stays in its own zone as long as that zone can serve it. Excess traffic moves to zones with
+/// measured capacity, at the least cost. If no zone has capacity, the traffic stays local and is shed there.
 ///
 /// Invariants:
-/// - What all origins together hand to a zone, including what plans in use still grant, is within its
-/// available
-///   capacity, less a margin that grows with the age of its data.
-/// - A zone that is out of service or draining gets nothing.
-/// - An origin's shares, its own included, sum up to 1.
+/// - The load that all origins together hand to a zone, including the load that plans in use still grant, is
+///   within its available capacity, less a margin that grows with the age of its data.
+/// - A zone that is out of service or draining gets no traffic.
+/// - An origin's shares, including its own, sum up to 1.
 ///
-/// Holds some times for each zone of the settings. Not thread-safe.
+/// Stores a few timestamps for each zone of the settings. Not thread-safe.
 class FailoverPlanner {
  public:
-  /// Starts without history: the times it holds for each zone begin with the first plan.
+  /// Starts without history: the timestamps of each zone begin with the first plan.
   explicit FailoverPlanner(FailoverSettings settings) : settings_(std::move(settings)) {}
 
-  /// The plan that follows `previous`; equal to it, version included, where nothing is to change.
-  /// `plansInUse`: older plans that some instance may still follow. `now` must not go back.
+  /// Computes the plan that follows `previous`. Returns `previous` itself, with the same version, if nothing
+  /// changes materially. `plansInUse` are older plans that some instance may still follow. `now` must not
+  /// decrease from call to call.
   [[nodiscard]] FailoverPlan nextPlan(Duration now, const FleetObservation& observation,
                                       const OperatorOverrides& overrides, const FailoverPlan& previous,
                                       const std::vector<FailoverPlan>& plansInUse);
 
-  /// The settings that every plan is made by.
+  /// The settings of all plans.
   [[nodiscard]] const FailoverSettings& settings() const { return settings_; }
 
  private:
--- a/src/failover/failover_types.cpp
+++ b/src/failover/failover_types.cpp
@@ -73,10 +73,10 @@
   if (targets != shares.end())
     if (const auto found = targets->second.find(target); found != targets->second.end()) return found->second;
   if (origin != target) return 0;
-  double handedOn = 0;
+  double movedShare = 0;
   if (targets != shares.end())
-    for (const auto& [zone, share] : targets->second) handedOn += share;
-  return std::max(0.0, 1 - handedOn);
+    for (const auto& [zone, share] : targets->second) movedShare += share;
+  return std::max(0.0, 1 - movedShare);
 }
 
 }  // namespace rainhook::failover
--- a/src/failover/failover_types.h
+++ b/src/failover/failover_types.h
@@ -18,22 +18,24 @@
 using membership::RegionName;
 using membership::ZoneName;
 
-/// Times of the steady clock and spans between them.
+/// Times of the steady clock and differences between them.
 using Duration = std::chrono::nanoseconds;
 
-/// A span as the number of seconds that rates are multiplied with.
-[[nodiscard]] inline double toSeconds(Duration span) { return std::chrono::duration<double>(span).count(); }
+/// Converts a duration to seconds, the time unit of rates.
+[[nodiscard]] inline double toSeconds(Duration duration) {
+  return std::chrono::duration<double>(duration).count();
+}
 
-/// Grows by one with each plan that is agreed.
+/// Version of a plan; increases by one with each new plan.
 enum class PlanVersion : std::uint64_t {};
 
-/// What a zone does with its own clients' requests and with those of others.
+/// How a zone handles the requests of its own clients and of other zones.
 enum class ZoneState : std::uint8_t {
-  serving,       ///< serves its own clients; takes over from others where it has capacity
-  overloaded,    ///< hands on what exceeds its capacity
-  draining,      ///< hands on everything and takes over nothing
-  outOfService,  ///< no member can be reached
-  recovering,    ///< returns step by step
+  serving,       ///< serves its own clients, and other zones' traffic if it has capacity
+  overloaded,    ///< hands the load that exceeds its capacity to other zones
+  draining,      ///< hands all traffic to other zones and gets none from them
+  outOfService,  ///< none of its members is reachable
+  recovering,    ///< returns to service step by step
 };
 
 /// Why a zone is in its state.
@@ -43,7 +45,7 @@
   drainedByOperator,
   slowerThanOtherZones,  ///< a gray failure
   healthyAgain,
-  waitingToRecover,  ///< reachable again, until its recovery delay is over
+  waitingToRecover,  ///< reachable again, but its recovery delay has not passed
   reachableAgain,
   recoveryStepFailed,
   recoveryCompleted,
@@ -52,28 +54,29 @@
   overloadEnded,
 };
 
-/// The state in words, for people.
+/// The state in words, for output to operators.
 [[nodiscard]] const char* nameOf(ZoneState state);
 
-/// The reason in words, for people; empty for `none`.
+/// The reason in words, for output to operators; empty for `none`.
 [[nodiscard]] const char* describe(TransitionReason reason);
 
-/// What operators state in the settings file.
+/// The settings of failover in the operators' file.
 struct FailoverSettings {
-  std::map<ZoneName, RegionName> zones;  ///< all zones of the fleet, with the region of each
-  /// Cost of handing a request from one zone to another; holds for both directions. Pairs that are absent
-  /// cost `sameRegionCost` or `crossRegionCost`.
+  std::map<ZoneName, RegionName> zones;  ///< all zones of the fleet and their regions
+  /// Cost of handing a request from one zone to another, in either direction. The cost of an absent pair is
+  /// `sameRegionCost` or `crossRegionCost`.
   std::map<std::pair<ZoneName, ZoneName>, double> costs;
-  double sameRegionCost = 1;    ///< of one request to another zone of the same region
-  double crossRegionCost = 10;  ///< of one request to a zone of another region
-  /// Ratio of a zone's capacity that is kept free, and how much more for each second of its data's age.
+  double sameRegionCost = 1;    ///< of handing one request to another zone of the same region
+  double crossRegionCost = 10;  ///< of handing one request to a zone of another region
+  /// Ratio of a zone's capacity that is kept free.
   double capacityMargin = 0.05;
-  double marginPerSecondOfAge = 0.02;  ///< ratio of capacity per second, added to `capacityMargin`
-  /// Data that is as old as this says nothing about available capacity.
+  /// Added to `capacityMargin` for each second of the age of a zone's data.
+  double marginPerSecondOfAge = 0.02;
+  /// A zone whose data is at least this old has no available capacity.
   Duration maxDataAge = std::chrono::seconds(10);
-  /// Time between two steps of one zone.
+  /// Time between two recovery steps of one zone; recovery delays are multiples of it.
   Duration stepInterval = std::chrono::seconds(5);
-  /// Ratio of a zone's traffic that one step moves at most.
+  /// The largest ratio of a zone's traffic that one step may move.
   double maxStep = 0.2;
 
   bool operator==(const FailoverSettings&) const = default;  ///< compares all values
@@ -84,59 +87,61 @@
   [[nodiscard]] double marginForAge(Duration dataAge) const;
 };
 
-/// What a zone does, summed up over the status messages of its members.
+/// The load of a zone, aggregated from the status messages of its members.
 struct ZoneObservation {
-  std::size_t liveMembers = 0;  ///< 0: the zone can't be reached
-  bool isUnreachable = false;   ///< as a whole, whatever `liveMembers` is
-  double arrivalRate = 0;       ///< requests that arrive, its own clients' and those handed on by others
-  double completionRate = 0;    ///< requests that are completed
-  double executing = 0;         ///< requests that execute at a time
-  double concurrencyLimit = 0;  ///< requests that may execute at a time
-  double queueingRatio = 0;     ///< ratio of the time in which requests wait in its queues
-  Duration dataAge{};           ///< of the oldest message that is counted
+  std::size_t liveMembers = 0;  ///< 0 means that the zone is unreachable
+  bool isUnreachable = false;   ///< the whole zone is unreachable, regardless of `liveMembers`
+  double arrivalRate = 0;       ///< requests that arrive per second, from its own clients and other zones
+  double completionRate = 0;    ///< requests that are completed per second
+  double executing = 0;         ///< number of requests that execute concurrently
+  double concurrencyLimit = 0;  ///< number of requests that may execute concurrently
+  double queueingRatio = 0;     ///< ratio of the time during which requests wait in its queues
+  Duration dataAge{};           ///< age of the oldest aggregated message
 };
 
-/// What is known about all zones at one moment.
+/// The observations of all zones at one moment.
 struct FleetObservation {
-  std::map<ZoneName, ZoneObservation> zones;  ///< a zone that is absent can't be reached
-  /// Pairs of zones of which the first can't reach the second.
+  std::map<ZoneName, ZoneObservation> zones;  ///< an absent zone is unreachable
+  /// Pairs of zones in which the first cannot reach the second.
   std::set<std::pair<ZoneName, ZoneName>> unreachablePairs;
 
-  /// The observation of a zone of which some member can be reached; else null.
+  /// Returns the observation of a zone, or null if none of its members is reachable.
   [[nodiscard]] const ZoneObservation* findReachable(const ZoneName& zone) const;
 };
 
-/// What operators have ordered; holds until they take it back.
+/// Orders of operators, in effect until an operator revokes them.
 struct OperatorOverrides {
-  std::set<ZoneName> drainedZones;  ///< hand on everything and take over nothing
-  bool isFrozen = false;            ///< the plan stays as it is
+  std::set<ZoneName> drainedZones;  ///< zones that hand all traffic to others and get none
+  bool isFrozen = false;            ///< the plan does not change
 
   bool operator==(const OperatorOverrides&) const = default;  ///< compares all orders
 };
 
 /// One zone's part of a plan.
 struct ZonePlan {
-  ZoneState state = ZoneState::serving;  ///< by the latest step of its state machine
-  double usableRatio = 1;                ///< of its capacity; grows step by step while it recovers
-  double provenRate = 0;                 ///< requests per second that it was observed to complete
-  std::uint32_t failedRecoveries = 0;    ///< of late; each doubles the delay before the next attempt
-  TransitionReason reason = TransitionReason::none;  ///< why it is in `state`
+  ZoneState state = ZoneState::serving;  ///< after the latest step of its state machine
+  double usableRatio = 1;  ///< usable part of its capacity; grows in steps while the zone recovers
+  double provenRate = 0;   ///< requests per second that it has been observed to complete
+  std::uint32_t failedRecoveries = 0;  ///< recent failures; each doubles the delay before the next recovery
+  TransitionReason reason = TransitionReason::none;  ///< why the zone is in `state`
 
   bool operator==(const ZonePlan&) const = default;  ///< compares all values
 };
 
-/// Ratios of an origin's traffic, by origin and target; the rest stays at the origin.
+/// Ratios of each origin's traffic that go to other zones, by origin and target. The rest stays at the
+/// origin.
 using TrafficShares = std::map<ZoneName, std::map<ZoneName, double>>;
 
-/// Which zone is in which state, and what ratio of whose traffic goes where.
+/// The state of each zone, and the shares of traffic that zones hand to each other.
 struct FailoverPlan {
-  PlanVersion version{};               ///< one more than that of the plan before
-  std::map<ZoneName, ZonePlan> zones;  ///< each zone of the settings; none before the first plan
-  TrafficShares shares;                ///< what moves; what is absent stays at its origin
+  PlanVersion version{};               ///< one more than the version of the previous plan
+  std::map<ZoneName, ZonePlan> zones;  ///< all zones of the settings; empty before the first plan
+  TrafficShares shares;  ///< the traffic that moves; traffic without a share stays at its origin
 
-  bool operator==(const FailoverPlan&) const = default;  ///< compares the version too
+  bool operator==(const FailoverPlan&) const = default;  ///< compares all values, including the version
 
-  /// The ratio of the origin's traffic that the target gets; for the origin itself, what stays.
+  /// Returns the ratio of the origin's traffic that the target gets. For the origin itself, returns the ratio
+  /// that stays there.
   [[nodiscard]] double share(const ZoneName& origin, const ZoneName& target) const;
 };
 
--- a/src/failover/gray_failure_detector.cpp
+++ b/src/failover/gray_failure_detector.cpp
@@ -7,16 +7,17 @@
 namespace rainhook::failover {
 namespace {
 
-/// A zone is slow when its service time is over this multiple of the others' median.
+/// A zone is slow if its service time exceeds the median of the others by more than this factor.
 constexpr double slowFactor = 3;
-/// It is healthy below this multiple; in between, neither.
+/// A zone is healthy if its service time is below this multiple of the median. Between the two factors it is
+/// neither slow nor healthy.
 constexpr double healthyFactor = slowFactor / 2;
-/// Step intervals for which a zone has to be slow before it counts as a gray failure.
+/// Number of step intervals for which a zone must be slow before it counts as a gray failure.
 constexpr int slowStepsToFailure = 3;
 
 using ServiceTimes = std::map<ZoneName, double>;
 
-/// Seconds per request, of the zones with work and with data that is not too old.
+/// Returns the service time in seconds of each zone that has work and recent data.
 ServiceTimes measureServiceTimes(const FailoverSettings& settings, const FleetObservation& observation) {
   ServiceTimes times;
   for (const auto& [zone, observed] : observation.zones) {
@@ -27,8 +28,8 @@
   return times;
 }
 
-/// The median of all service times but the zone's own, of an even number the upper one; empty if there are
-/// none.
+/// Returns the median of all service times except the zone's own, or nothing if there are no others. The
+/// median of an even number of values is the upper one.
 std::optional<double> medianOfOthers(const ServiceTimes& times, const ZoneName& zone) {
   std::vector<double> others;
   for (const auto& [other, time] : times)
@@ -39,7 +40,7 @@
   return *middle;
 }
 
-/// Keeps the time at which a condition became true, for as long as it holds.
+/// Stores the time at which a condition became true and clears it when the condition becomes false.
 void trackSince(std::optional<Duration>& since, bool holds, Duration now) {
   if (!holds)
     since.reset();
--- a/src/failover/gray_failure_detector.h
+++ b/src/failover/gray_failure_detector.h
@@ -1,5 +1,5 @@
 /// @file
-/// Finds gray failures: zones that answer, but much more slowly than the others.
+/// Detects gray failures: zones that answer, but much more slowly than the others.
 #pragma once
 
 #include <map>
@@ -10,20 +10,21 @@
 
 namespace rainhook::failover {
 
-/// Compares each zone's service time (Little's law: executing requests over completion rate) with the median
-/// of the others. An overloaded zone is not among those found: its concurrency limit bounds its service time
-/// and lets requests queue instead. Where only one zone has work, nothing can be compared and nothing is
-/// found.
+/// Compares each zone's service time (Little's law: executing requests divided by completion rate) with the
+/// median of the others. The detector does not report an overloaded zone: its concurrency limit bounds its
+/// service time, and the excess requests queue. If only one zone has work, there is nothing to compare, and
+/// the detector reports no zone.
 ///
-/// Holds two times for each zone of the settings. Not thread-safe.
+/// Stores two timestamps for each zone of the settings. Not thread-safe.
 class GrayFailureDetector {
  public:
-  /// Takes the next observation and returns the zones that have been too slow for some steps. The zones and
-  /// the step interval come from the settings, which must be the same in each call.
+  /// Processes the next observation and returns the zones that have been slow for three step intervals. The
+  /// zones and the step interval come from the settings, which must be the same in each call.
   [[nodiscard]] std::set<ZoneName> update(Duration now, const FailoverSettings& settings,
                                           const FleetObservation& observation);
 
-  /// Since when the zone's service time has been like the others'; empty while it is not.
+  /// The time since which the zone's service time has been similar to that of the others; empty while it is
+  /// not.
   [[nodiscard]] std::optional<Duration> healthySince(const ZoneName& zone) const;
 
  private:
--- a/src/failover/minimum_cost_flow.cpp
+++ b/src/failover/minimum_cost_flow.cpp
@@ -7,7 +7,7 @@
 namespace rainhook::failover {
 namespace {
 
-/// Keeps a capacity that is a whole multiple of the resolution from being rounded down.
+/// Prevents rounding errors from lowering a capacity that is a whole multiple of the resolution.
 constexpr double roundingTolerance = 1e-9;
 
 std::size_t indexOf(FlowNetwork::NodeId node) { return static_cast<std::size_t>(node); }
@@ -24,8 +24,8 @@
   const auto backward = boost::add_edge(indexOf(to), indexOf(from), graph_).first;
   boost::put(boost::edge_capacity, graph_, forward, static_cast<long>(units));
   boost::put(boost::edge_capacity, graph_, backward, 0L);
-  // Weights are doubles: Boost adds to the greatest value of their type for nodes out of reach, which would
-  // overflow a whole number.
+  // Weights are doubles, since Boost adds to the maximum value of their type for unreachable nodes, which
+  // would overflow an integer.
   boost::put(boost::edge_weight, graph_, forward, cost);
   boost::put(boost::edge_weight, graph_, backward, -cost);
   boost::put(boost::edge_reverse, graph_, forward, backward);
--- a/src/failover/minimum_cost_flow.h
+++ b/src/failover/minimum_cost_flow.h
@@ -12,8 +12,8 @@
 /// Flows are whole multiples of this many requests per second.
 inline constexpr double flowResolution = 1.0 / 64;
 
-/// A network with one source and one sink, whose flow is computed once. Building the same network in the same
-/// order gives the same flow. Not thread-safe.
+/// A network with one source and one sink, whose flow is computed once. Networks that are built in the same
+/// order have the same flow. Not thread-safe.
 class FlowNetwork {
  public:
   /// Index of a node, in the order of addition.
@@ -23,19 +23,19 @@
 
   FlowNetwork();
 
-  [[nodiscard]] NodeId source() const { return source_; }  ///< where all flow begins
-  [[nodiscard]] NodeId sink() const { return sink_; }      ///< where all flow ends
+  [[nodiscard]] NodeId source() const { return source_; }  ///< the node at which all flow starts
+  [[nodiscard]] NodeId sink() const { return sink_; }      ///< the node at which all flow ends
 
   NodeId addNode();  ///< adds a node without edges
-  /// Adds a directed edge. The capacity, in requests per second, is rounded down to the resolution, and a
-  /// negative one counts as none. The cost of one unit of flow must not be negative.
+  /// Adds a directed edge. The capacity, in requests per second, is rounded down to the resolution; a
+  /// negative capacity counts as 0. The cost of one unit of flow must not be negative.
   EdgeId addEdge(NodeId from, NodeId to, double capacity, double cost);
 
-  /// Computes the greatest flow from source to sink that costs least. Throws boost::negative_edge where the
-  /// sums of costs are not exact in binary (tenths, say) and rounding makes the reduced cost of an edge
+  /// Computes the maximum flow from source to sink with the minimum cost. Throws boost::negative_edge if sums
+  /// of costs are not exact in binary (for example tenths) and rounding makes the reduced cost of an edge
   /// negative.
   void solve();
-  /// The flow on an edge after `solve`, in requests per second.
+  /// Returns the flow on an edge after solve(), in requests per second.
   [[nodiscard]] double flow(EdgeId edge) const;
 
  private:
--- a/src/failover/traffic_assignment.cpp
+++ b/src/failover/traffic_assignment.cpp
@@ -8,10 +8,10 @@
 namespace rainhook::failover {
 namespace {
 
-/// More than any zone's load, in requests per second.
+/// In requests per second; exceeds the load of any zone.
 constexpr double unlimitedCapacity = 1e9;
 
-/// The part of an origin's load that it can't serve itself, in requests per second.
+/// Returns the part of an origin's load that it cannot serve itself, in requests per second.
 double excessLoad(const ZonePlan& plan, const ZoneLoad& load) {
   switch (plan.state) {
     case ZoneState::serving:
@@ -27,9 +27,9 @@
   return 0;
 }
 
-/// The network of one assignment: source -> origins -> targets -> sink. Each target has two entries before
-/// its own node, which bounds both to its available capacity: one for capacity that is granted anew and one
-/// for capacity that plans in use have granted already.
+/// The flow network of one assignment: source -> origins -> targets -> sink. Each target has two entry nodes,
+/// one for new grants of capacity and one for grants of plans in use. Both lead to the target's own node,
+/// which bounds their sum to the target's available capacity.
 class AssignmentNetwork {
  public:
   explicit AssignmentNetwork(const AssignmentInputs& inputs) : inputs_(inputs) {}
@@ -93,7 +93,8 @@
     }
   }
 
-  /// The most that any plan in use lets the origin send to the target, in requests per second.
+  /// Returns the highest rate that any plan in use lets the origin send to the target, in requests per
+  /// second.
   [[nodiscard]] double grantInUse(const ZoneName& origin, const ZoneName& target) const {
     if (origin == target) return 0;
     const double localLoad = inputs_.loads.at(origin).localLoad;
--- a/src/failover/traffic_assignment.h
+++ b/src/failover/traffic_assignment.h
@@ -1,5 +1,5 @@
 /// @file
-/// Decides what ratio of each zone's local load goes to which other zone.
+/// Determines the ratio of each zone's local load that goes to each other zone.
 #pragma once
 
 #include <map>
@@ -10,18 +10,19 @@
 
 namespace rainhook::failover {
 
-/// What traffic is assigned by; the referenced values must outlive the call.
+/// The input of assignTraffic(); the referenced values must outlive the call.
 struct AssignmentInputs {
   const FailoverSettings& settings;               ///< zones, costs and margins
-  const FleetObservation& observation;            ///< age of the data, and which zones can reach which
+  const FleetObservation& observation;            ///< the age of the data and the reachability between zones
   const ZoneLoads& loads;                         ///< estimated from `observation`
-  const std::map<ZoneName, ZonePlan>& zonePlans;  ///< of the plan that is being made
-  const std::vector<FailoverPlan>& plansInUse;    ///< that some instance may still follow
+  const std::map<ZoneName, ZonePlan>& zonePlans;  ///< zones of the new plan
+  const std::vector<FailoverPlan>& plansInUse;    ///< plans that some instance may still follow
 };
 
-/// Moves as much as possible of what zones can't serve themselves into the available capacity of others, at
-/// the least cost; the rest stays where it is and is shed there. An origin may go on using what a plan in use
-/// gave it; only capacity that no plan in use has given away is given anew.
+/// Moves as much as possible of the load that zones cannot serve themselves to the available capacity of
+/// other zones, at the least cost. The rest stays in its zone and is shed there. An origin may continue to
+/// use the capacity that a plan in use granted to it. New grants use only capacity that no plan in use has
+/// granted.
 [[nodiscard]] TrafficShares assignTraffic(const AssignmentInputs& inputs);
 
 }  // namespace rainhook::failover
--- a/src/failover/zone_load.cpp
+++ b/src/failover/zone_load.cpp
@@ -5,15 +5,15 @@
 namespace rainhook::failover {
 namespace {
 
-/// Requests that queue for this ratio of the time show that the zone completes all it can.
+/// A zone whose requests queue for at least this ratio of the time completes requests at its capacity.
 constexpr double saturatedQueueingRatio = 0.5;
-/// A zone is believed to be capable of this multiple, at most, of what it was observed to complete.
+/// Upper bound of a zone's estimated capacity, as a multiple of its observed completion rate.
 constexpr double maxCapacityGrowth = 1.5;
-/// Rounds in which local load and assigned load of all zones are told apart.
+/// Number of rounds that separate the local load of all zones from their assigned load.
 constexpr int localLoadRounds = 4;
 
-/// While requests queue, a zone's completion rate is its capacity. Otherwise its capacity is what it would
-/// complete at its concurrency limit with today's service time (Little's law), bounded by
+/// While requests queue, the capacity of a zone is its completion rate. Otherwise it is the rate that the
+/// zone would complete at its concurrency limit with the observed service time (Little's law), bounded by
 /// `maxCapacityGrowth`.
 double estimateCapacity(const ZoneObservation& observation, bool isSaturated, double provenRate) {
   const double observedRate = std::max(observation.completionRate, isSaturated ? 0.0 : provenRate);
@@ -29,8 +29,8 @@
   return found == plan.zones.end() ? 0 : found->second.provenRate;
 }
 
-/// A request that is handed on is counted as arrived at both ends; repeated substitution separates the zones'
-/// own clients' requests.
+/// The origin and the target both count a request that is handed over as arrived. Repeated substitution
+/// separates the requests of each zone's own clients.
 void separateLocalLoads(ZoneLoads& loads, const FleetObservation& observation, const FailoverPlan& previous) {
   for (int round = 0; round < localLoadRounds; ++round)
     for (auto& [zone, load] : loads)
--- a/src/failover/zone_load.h
+++ b/src/failover/zone_load.h
@@ -1,6 +1,6 @@
 /// @file
-/// Turns observations into what the planner decides by: each zone's load, its capacity and how much of that
-/// others may use. Pure functions.
+/// Estimates the input of the planner from observations: each zone's load, its capacity and the part of the
+/// capacity that other zones may use. Functions without side effects.
 #pragma once
 
 #include <map>
@@ -11,28 +11,28 @@
 
 /// Load and capacity of one zone; rates are per second.
 struct ZoneLoad {
-  double localLoad = 0;      ///< what its own clients send
-  double capacity = 0;       ///< what it can complete, judged by what it was observed to complete
-  bool isSaturated = false;  ///< its requests wait in queues for much of the time
+  double localLoad = 0;  ///< requests that its own clients send
+  double capacity = 0;   ///< requests that it can complete, estimated from those it was observed to complete
+  bool isSaturated = false;  ///< requests wait in its queues for at least half of the time
 };
 
 /// The load of each zone, by name.
 using ZoneLoads = std::map<ZoneName, ZoneLoad>;
 
-/// Load and capacity of every zone in the settings. A zone that can't be reached has neither. `previous` is
-/// the plan that the zones followed while they were observed.
+/// Estimates load and capacity of every zone in the settings; both are 0 for an unreachable zone. `previous`
+/// is the plan that the zones followed while they were observed.
 [[nodiscard]] ZoneLoads estimateLoads(const FailoverSettings& settings, const FleetObservation& observation,
                                       const FailoverPlan& previous);
 
-/// What the other zones together hand to the target, by the plan; requests per second.
+/// Returns the load that the other zones together hand to the target under the plan, in requests per second.
 [[nodiscard]] double assignedLoad(const FailoverPlan& plan, const ZoneLoads& loads, const ZoneName& target);
 
-/// How many requests per second other zones may hand to this one: its usable capacity, less the margin for
-/// the age of its data, less its local load.
+/// Returns the rate, in requests per second, that other zones may hand to this zone: its usable capacity,
+/// less the margin for the age of its data, less its local load.
 [[nodiscard]] double availableCapacity(const FailoverSettings& settings, const FleetObservation& observation,
                                        const ZoneName& zone, const ZoneLoad& load, const ZonePlan& plan);
 
-/// Whether the zone serves nobody: neither its own clients nor those of others.
+/// Whether a zone in this state serves no requests, neither of its own clients nor of other zones.
 [[nodiscard]] bool isWithdrawn(ZoneState state);
 
 }  // namespace rainhook::failover
--- a/src/failover/zone_state_machine.cpp
+++ b/src/failover/zone_state_machine.cpp
@@ -6,15 +6,16 @@
 namespace rainhook::failover {
 namespace {
 
-/// From this number on, failed recoveries don't make the recovery delay longer.
+/// Failed recoveries beyond this number do not increase the recovery delay further.
 constexpr std::uint32_t maxFailedRecoveries = 8;
-/// The proven rate of a zone whose requests queue follows its completion rate with this weight.
+/// While requests queue, the completion rate enters the proven rate with this weight, and the previous proven
+/// rate with `saturatedRateRetained`.
 constexpr double saturatedRateWeight = 0.3;
 constexpr double saturatedRateRetained = 0.7;
-/// What remains of the proven rate after each step in which the zone completes less.
+/// Factor that lowers the proven rate after each step in which the zone completes fewer requests.
 constexpr double provenRateRetained = 0.999;
 
-/// Doubles with each recovery that has failed.
+/// The delay before a recovery; doubles with each failed recovery.
 Duration recoveryDelay(const FailoverSettings& settings, std::uint32_t failedRecoveries) {
   return settings.stepInterval * (1LL << std::min(failedRecoveries, maxFailedRecoveries));
 }
@@ -83,8 +84,8 @@
 void ZoneStateMachine::onUnreachable(const Step& step) {
   if (step.previous.state != ZoneState::outOfService) {
     const Duration longestDelay = recoveryDelay(step.settings, maxFailedRecoveries);
-    const bool hasFailedOfLate = lastFailure_ && step.now - *lastFailure_ < longestDelay;
-    if (step.previous.state == ZoneState::recovering || hasFailedOfLate)
+    const bool hasFailedRecently = lastFailure_ && step.now - *lastFailure_ < longestDelay;
+    if (step.previous.state == ZoneState::recovering || hasFailedRecently)
       step.next.failedRecoveries = withOneMoreFailure(step.previous.failedRecoveries);
     lastFailure_ = step.now;
   }
@@ -98,7 +99,8 @@
   enter(step, ZoneState::draining, 0, TransitionReason::slowerThanOtherZones);
 }
 
-/// Neither drained by an operator nor a gray failure any more: recovers once it has been healthy for a while.
+/// Handles a zone that is neither drained by an operator nor a gray failure any more. It recovers once it has
+/// been healthy for the recovery delay.
 void ZoneStateMachine::advanceDraining(const Step& step) {
   const Duration delay = recoveryDelay(step.settings, step.next.failedRecoveries);
   const std::optional<Duration> healthySince = step.inputs.healthySince;
@@ -118,7 +120,7 @@
   const double usableRatio = step.previous.usableRatio;
   if (step.now - lastRecoveryStep_ < step.settings.stepInterval) return;
   lastRecoveryStep_ = step.now;
-  if (step.inputs.load.isSaturated && usableRatio < 1) {  // the last step was too much
+  if (step.inputs.load.isSaturated && usableRatio < 1) {  // the last step exceeded the zone's capacity
     step.next.failedRecoveries = withOneMoreFailure(step.previous.failedRecoveries);
     const Duration delay = recoveryDelay(step.settings, step.next.failedRecoveries);
     lastRecoveryStep_ = step.now + delay - step.settings.stepInterval;
@@ -146,7 +148,7 @@
     enter(step, ZoneState::overloaded, 1, TransitionReason::arrivalsExceedCapacity);
     return;
   }
-  // An overload is not over while requests queue, nor within its first step.
+  // An overload ends neither while requests queue nor within its first step.
   const bool isFirstStep = step.now - *stateSince_ < step.settings.stepInterval;
   if (wasOverloaded && (load.isSaturated || isFirstStep)) return;
   const TransitionReason reason = wasOverloaded ? TransitionReason::overloadEnded : step.previous.reason;
--- a/src/failover/zone_state_machine.h
+++ b/src/failover/zone_state_machine.h
@@ -1,5 +1,5 @@
 /// @file
-/// Decides the state of one zone, step by step.
+/// The state machine that determines the state of a zone.
 #pragma once
 
 #include <optional>
@@ -9,26 +9,27 @@
 
 namespace rainhook::failover {
 
-/// What one step of a zone's state is decided by.
+/// The input of one step of the state machine.
 struct ZoneInputs {
-  const ZoneObservation* observation = nullptr;  ///< null: no member can be reached; not owned
+  const ZoneObservation* observation = nullptr;  ///< null if no member is reachable; not owned
   ZoneLoad load;                                 ///< estimated from `observation`
-  bool isGrayFailure = false;                    ///< it answers, but has been much slower than the others
-  std::optional<Duration> healthySince;          ///< since when its service time is like the others'
-  bool isDrained = false;                        ///< by an operator
+  bool isGrayFailure = false;  ///< the zone answers, but has been much slower than the others
+  /// Time since which its service time is similar to that of the others; empty while it is not.
+  std::optional<Duration> healthySince;
+  bool isDrained = false;  ///< an operator has drained the zone
 };
 
-/// The state machine of one zone; docs/failover.md has the table of states. It remembers times only: the
-/// state itself is part of the plan, so that whoever takes over planning continues from the plan and merely
-/// waits anew. Not thread-safe.
+/// The state machine of one zone; docs/failover.md has the table of states. It stores timestamps only. The
+/// state itself is part of the plan, so that another planner can continue from the plan; only its waiting
+/// times start again. Not thread-safe.
 class ZoneStateMachine {
  public:
-  /// The zone's part of the next plan. `previous` is its part of the plan before.
+  /// Computes the zone's part of the next plan. `previous` is its part of the previous plan.
   [[nodiscard]] ZonePlan advance(Duration now, const FailoverSettings& settings, const ZoneInputs& inputs,
                                  const ZonePlan& previous);
 
  private:
-  /// The event that one step is about; lives for one call of `advance`.
+  /// The input and output of one call of advance().
   struct Step {
     Duration now;
     const FailoverSettings& settings;
@@ -48,9 +49,9 @@
 
   std::optional<Duration> stateSince_;
   std::optional<Duration> lastFailure_;
-  /// The last recovery step, or the time from which the recovery delay counts. May lie ahead of now. Before
-  /// the first step it lies before the start of the clock, so that a recovery that another planner had begun
-  /// goes on at once.
+  /// The time of the last recovery step, or the time from which the recovery delay counts; may be in the
+  /// future. It is initially before the start of the clock, so that a recovery that another planner has
+  /// started continues without a delay.
   Duration lastRecoveryStep_{-1};
 };
 
--- a/tests/failover_planner_test.cpp
+++ b/tests/failover_planner_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The failover planner on small simulated fleets: available capacity is kept, traffic stays local first,
-/// steps are bounded, and a steady fleet keeps its plan.
+/// The failover planner on small simulated fleets. The tests guard against plans that exceed available
+/// capacity, move traffic without need, move it in large steps or change while the fleet does not.
 #include "failover/failover_planner.h"
 
 #include <gtest/gtest.h>
@@ -29,7 +29,7 @@
   return settings;
 }
 
-/// What a zone shows that gets `arrivalRate` and can complete `capacity` requests per second.
+/// The observation of a zone that gets `arrivalRate` and can complete `capacity` requests per second.
 ZoneObservation observeZone(double arrivalRate, double capacity) {
   ZoneObservation observation;
   observation.liveMembers = 3;
@@ -41,39 +41,41 @@
   return observation;
 }
 
-/// A fleet that follows its plans: what is handed on arrives at the target and uses its capacity.
+/// A fleet that follows its plans: traffic that a zone hands over arrives at the target and uses its
+/// capacity.
 class SimulatedFleet {
  public:
   std::map<ZoneName, double> localLoads{{north1, 60}, {north2, 60}, {north3, 60}, {south, 60}};
   std::map<ZoneName, double> capacities{{north1, 100}, {north2, 100}, {north3, 100}, {south, 100}};
-  std::set<ZoneName> lostZones;
+  std::set<ZoneName> unreachableZones;
   OperatorOverrides overrides;
   FailoverPlanner planner{settingsOfTwoRegions()};
   FailoverPlan plan;
-  std::vector<FailoverPlan> plansInUse;  ///< of the step before
+  std::vector<FailoverPlan> plansInUse;  ///< the plan of the previous step
   Duration now{};
-  /// The highest utilization of each zone while anything was handed to it.
+  /// The highest utilization of each zone while other zones handed traffic to it.
   std::map<ZoneName, double> peakUtilization;
   std::size_t versionChanges = 0;
 
   [[nodiscard]] double assignedLoad(const ZoneName& target) const {
     double assigned = 0;
     for (const auto& [origin, localLoad] : localLoads)
-      if (origin != target && !lostZones.contains(origin)) assigned += plan.share(origin, target) * localLoad;
+      if (origin != target && !unreachableZones.contains(origin))
+        assigned += plan.share(origin, target) * localLoad;
     return assigned;
   }
 
   [[nodiscard]] FleetObservation observe() const {
     FleetObservation observation;
     for (const auto& [zone, localLoad] : localLoads)
-      if (!lostZones.contains(zone))
+      if (!unreachableZones.contains(zone))
         observation.zones[zone] = observeZone(localLoad + assignedLoad(zone), capacities.at(zone));
     return observation;
   }
 
-  /// Makes a plan a second.
-  void run(Duration span) {
-    for (const Duration end = now + span; now < end; now += 1s) {
+  /// Computes one plan per second.
+  void run(Duration duration) {
+    for (const Duration end = now + duration; now < end; now += 1s) {
       const FailoverPlan previous = plan;
       plan = planner.nextPlan(now, observe(), overrides, plan, plansInUse);
       if (plan.version != previous.version) ++versionChanges;
@@ -82,7 +84,7 @@
     }
   }
 
-  /// Makes one plan a second later by an observation of the test's own, without plans in use.
+  /// Advances the time by one second and computes a plan from the given observation, without plans in use.
   void step(const FleetObservation& observation) {
     now += 1s;
     plan = planner.nextPlan(now, observation, overrides, plan, {});
@@ -105,14 +107,14 @@
  protected:
   FailoverPlannerTest() { fleet_.run(30s); }
 
-  void expectNoZoneWasOverrun() {
+  void expectNoZoneExceededItsCapacity() {
     for (const auto& [zone, utilization] : fleet_.peakUtilization) EXPECT_LE(utilization, 1.0) << zone.text;
   }
 
   SimulatedFleet fleet_;
 };
 
-TEST_F(FailoverPlannerTest, KeepsItsPlanAndAllTrafficLocalWhileTheFleetIsSteady) {
+TEST_F(FailoverPlannerTest, KeepsItsPlanAndAllTrafficLocalWhenTheFleetIsSteady) {
   fleet_.run(30s);
   EXPECT_TRUE(fleet_.plan.shares.empty());
   const std::size_t versionChanges = fleet_.versionChanges;
@@ -121,16 +123,17 @@
   for (const auto& [zone, zonePlan] : fleet_.plan.zones) EXPECT_EQ(zonePlan.state, ZoneState::serving);
 }
 
-TEST_F(FailoverPlannerTest, MovesTrafficToTheNearestZonesWhenAZoneIsDrainedAndBackInSteps) {
+TEST_F(FailoverPlannerTest, MovesTrafficWithinTheRegionWhenAZoneIsDrainedAndReturnsItInSteps) {
   fleet_.overrides.drainedZones = {north1};
   fleet_.run(60s);
   const FailoverPlan drained = fleet_.plan;
   EXPECT_EQ(fleet_.stateOf(north1), ZoneState::draining);
   EXPECT_NEAR(drained.share(north1, north1), 0, 0.05);
-  // 60 a second fit into twice 35 of its own region.
+  // 60 requests per second fit into the 35 per second that each of the two other zones of its region has
+  // available.
   EXPECT_GT(drained.share(north1, north2) + drained.share(north1, north3), 0.9);
   EXPECT_LT(drained.share(north1, south), 0.05);
-  expectNoZoneWasOverrun();
+  expectNoZoneExceededItsCapacity();
 
   fleet_.overrides.drainedZones.clear();
   const double longestStep = 2 * fleet_.planner.settings().maxStep + 0.05;
@@ -151,11 +154,11 @@
   fleet.run(30s);
   fleet.overrides.drainedZones = {north1};
   fleet.run(60s);
-  EXPECT_GT(fleet.plan.share(north1, north1), 0.9);  // shed there rather than overrun another zone
+  EXPECT_GT(fleet.plan.share(north1, north1), 0.9);  // it sheds requests instead of overloading another zone
   for (const auto& [zone, utilization] : fleet.peakUtilization) EXPECT_LE(utilization, 1.0) << zone.text;
 }
 
-TEST_F(FailoverPlannerTest, MovesOnlyTheExcessOfAnOverloadedZone) {
+TEST_F(FailoverPlannerTest, MovesOnlyTheExcessWhenAZoneIsOverloaded) {
   fleet_.localLoads[north1] = 130;
   fleet_.run(60s);
   EXPECT_EQ(fleet_.stateOf(north1), ZoneState::overloaded);
@@ -165,16 +168,17 @@
     EXPECT_LE(fleet_.peakUtilization[zone], 1.0) << zone.text;
 }
 
-// What the zone is given shows in its completion rate, and is taken back.
-TEST_F(FailoverPlannerTest, TakesBackTrafficFromAZoneWhoseObservationPromisedTooMuch) {
+// An observation can overstate a zone's capacity. The completion rate shows the real capacity once the zone
+// gets more traffic, and the planner must then take the excess back.
+TEST_F(FailoverPlannerTest, TakesBackTrafficWhenAnObservationOverstatedTheCapacity) {
   fleet_.capacities[north2] = 62;
-  const FleetObservation promised = fleet_.observe();
+  const FleetObservation overstated = fleet_.observe();
   fleet_.overrides.drainedZones = {north1};
   const auto loadOfNorth2 = [this] { return fleet_.assignedLoad(north2) + fleet_.localLoads[north2]; };
   for (int step = 0; step < 40; ++step) {
     FleetObservation observation = fleet_.observe();
     if (loadOfNorth2() <= fleet_.capacities[north2])
-      observation.zones[north2] = promised.zones.at(north2);  // until it gets more than it can complete
+      observation.zones[north2] = overstated.zones.at(north2);  // until its load exceeds its capacity
     const FailoverPlan previous = fleet_.plan;
     fleet_.now += 1s;
     fleet_.plan =
@@ -184,13 +188,13 @@
   EXPECT_LE(loadOfNorth2(), fleet_.capacities[north2] * 1.05);
 }
 
-TEST_F(FailoverPlannerTest, DoublesTheRecoveryDelayWhenAZoneIsLostAgain) {
+TEST_F(FailoverPlannerTest, DoublesTheRecoveryDelayWhenAZoneBecomesUnreachableAgain) {
   std::vector<double> delays;
   for (int loss = 0; loss < 5; ++loss) {
-    fleet_.lostZones = {north1};
+    fleet_.unreachableZones = {north1};
     fleet_.run(3s);
     EXPECT_EQ(fleet_.stateOf(north1), ZoneState::outOfService);
-    fleet_.lostZones.clear();
+    fleet_.unreachableZones.clear();
     const Duration reachableSince = fleet_.now;
     while (fleet_.stateOf(north1) == ZoneState::outOfService && fleet_.now < reachableSince + 1000s)
       fleet_.run(1s);
@@ -208,20 +212,20 @@
   EXPECT_EQ(fleet_.stateOf(north3), ZoneState::draining) << describe(fleet_.plan.zones.at(north3).reason);
 }
 
-TEST_F(FailoverPlannerTest, DoesNotTakeAnOverloadedZoneForAGrayFailure) {
+TEST_F(FailoverPlannerTest, ReportsAnOverloadWhenAZoneIsOverloadedAndNotAGrayFailure) {
   fleet_.localLoads[north3] = 140;
   fleet_.run(60s);
   EXPECT_EQ(fleet_.stateOf(north3), ZoneState::overloaded);
 }
 
-TEST_F(FailoverPlannerTest, KeepsThePlanWhileItIsFrozen) {
+TEST_F(FailoverPlannerTest, KeepsThePlanWhenItIsFrozen) {
   fleet_.overrides = {{north1}, true};
   const FailoverPlan frozen = fleet_.plan;
   fleet_.run(10s);
   EXPECT_EQ(fleet_.plan, frozen);
 }
 
-TEST_F(FailoverPlannerTest, AvoidsATargetThatTheOriginCannotReach) {
+TEST_F(FailoverPlannerTest, AvoidsATargetWhenTheOriginCannotReachIt) {
   fleet_.overrides.drainedZones = {north1};
   for (int step = 0; step < 30; ++step) {
     FleetObservation observation = fleet_.observe();
@@ -232,10 +236,11 @@
   EXPECT_GT(fleet_.plan.share(north1, north3), 0);
 }
 
-// An older plan that some instance may still follow occupies capacity until it is out of use.
-TEST_F(FailoverPlannerTest, CountsWhatAPlanInUseGrants) {
+// Some instance may still follow an older plan. The capacity that such a plan grants is not available for new
+// grants; otherwise both together overload the target.
+TEST_F(FailoverPlannerTest, GrantsLessCapacityWhenAPlanInUseGrantsSomeOfIt) {
   FailoverPlan planInUse = fleet_.plan;
-  planInUse.shares[north1][north2] = 0.5;  // 30 of the 35 a second that north2 has available
+  planInUse.shares[north1][north2] = 0.5;  // 30 of the 35 requests per second that north2 has available
   fleet_.overrides.drainedZones = {north3};
   fleet_.now += 1s;
   const auto planWith = [this](const std::vector<FailoverPlan>& plansInUse) {
@@ -250,10 +255,10 @@
   EXPECT_LT(withPlanInUse.share(north3, north1) + withPlanInUse.share(north3, north2), 0.8);
 }
 
-/// Observations, overrides and plans in use as RapidCheck draws them.
+/// Generates random observations and overrides with RapidCheck.
 class GeneratedFleet {
  public:
-  FleetObservation drawObservation() {
+  FleetObservation generateObservation() {
     FleetObservation observation;
     for (const ZoneName& zone : zones_) {
       if (*rc::gen::inRange(0, 10) == 0) continue;
@@ -265,7 +270,7 @@
     return observation;
   }
 
-  void drawOverrides(OperatorOverrides& overrides) {
+  void generateOverrides(OperatorOverrides& overrides) {
     if (*rc::gen::inRange(0, 4) == 0)
       overrides.drainedZones = {zones_[*rc::gen::inRange<std::size_t>(0, zones_.size())]};
   }
@@ -294,7 +299,7 @@
   }
 }
 
-/// What the target may complete at most, by what it was observed to complete.
+/// The upper bound of the target's capacity that follows from the rates it was observed to complete.
 double provenCapacity(const ZoneName& target, const ZoneObservation& observed, const FailoverPlan& next,
                       const FailoverPlan& previous) {
   if (observed.queueingRatio > 0) return 0;
@@ -303,7 +308,8 @@
   return std::max({observed.completionRate, next.zones.at(target).provenRate, provenBefore}) * 1.5;
 }
 
-/// What is granted anew fits beside all that may be in use.
+/// Asserts that the new grants of each target are within its proven capacity. Grants that a plan in use
+/// contains already are not new.
 void assertNewGrantsFit(const FleetObservation& observation, const FailoverPlan& next,
                         const FailoverPlan& previous, const std::vector<FailoverPlan>& plansInUse) {
   for (const auto& [target, observedTarget] : observation.zones) {
@@ -319,7 +325,7 @@
   }
 }
 
-RC_GTEST_PROP(FailoverPlanner, KeepsItsInvariantsWhateverIsObserved, ()) {
+RC_GTEST_PROP(FailoverPlanner, KeepsItsInvariantsWhenObservationsAreArbitrary, ()) {
   GeneratedFleet fleet;
   FailoverPlanner planner(settingsOfTwoRegions());
   FailoverPlan plan;
@@ -327,8 +333,8 @@
   OperatorOverrides overrides;
   Duration now{};
   for (int step = 0; step < 12; ++step) {
-    const FleetObservation observation = fleet.drawObservation();
-    fleet.drawOverrides(overrides);
+    const FleetObservation observation = fleet.generateObservation();
+    fleet.generateOverrides(overrides);
     const FailoverPlan next = planner.nextPlan(now, observation, overrides, plan, plansInUse);
     assertVersionFollows(next, plan);
     assertSharesAreValid(next);
--- a/tests/failover_recording_test.cpp
+++ b/tests/failover_recording_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Holds the failover planner to its recorded behaviour; see recording.h. Simulated fleets of two to six
-/// zones follow the plans they are given while zones fail, slow down, overload and are drained.
+/// Compares the failover planner with its recorded behaviour; see recording.h. Simulated fleets of two to six
+/// zones follow their plans while zones fail, slow down, become overloaded and are drained.
 #include <gtest/gtest.h>
 
 #include <array>
@@ -23,7 +23,7 @@
 constexpr int runCount = 160;
 constexpr int stepsPerHash = 10;
 
-/// The numbers of the recording; they stay whatever becomes of the enumeration.
+/// The numbers in the recording. They must not change, even if the enumeration does.
 std::uint64_t stableNumber(ZoneState state) {
   switch (state) {
     case ZoneState::serving:
@@ -73,8 +73,8 @@
 constexpr std::size_t stateNumbers = 6;
 constexpr std::size_t reasonNumbers = 13;
 
-/// How often each thing was seen, so that the recording can't become empty unnoticed.
-struct Tally {
+/// Counts how often each situation occurred, so that the test fails if the recording no longer covers it.
+struct Coverage {
   int steps = 0;
   int unchangedPlans = 0;
   int plansWithShares = 0;
@@ -104,22 +104,22 @@
   }
 }
 
-void count(Tally& tally, const FailoverPlan& plan) {
-  if (!plan.shares.empty()) ++tally.plansWithShares;
+void count(Coverage& coverage, const FailoverPlan& plan) {
+  if (!plan.shares.empty()) ++coverage.plansWithShares;
   for (const auto& [zone, zonePlan] : plan.zones) {
-    ++tally.states.at(stableNumber(zonePlan.state));
-    ++tally.reasons.at(stableNumber(zonePlan.reason));
+    ++coverage.states.at(stableNumber(zonePlan.state));
+    ++coverage.reasons.at(stableNumber(zonePlan.reason));
   }
 }
 
 enum class Fault : std::uint8_t { none, missing, memberless, unreachable, slow, verySlow, noWork, stale };
 
 struct SimulatedZone {
-  double localRate = 0;  ///< requests a second of its own clients
-  double capacity = 0;   ///< requests a second
+  double localRate = 0;  ///< requests per second of its own clients
+  double capacity = 0;   ///< requests per second
   double secondsPerRequest = 0.05;
   Fault fault = Fault::none;
-  double slowdown = 1;  ///< while it is slow
+  double slowdown = 1;  ///< factor on the service time while the zone is slow
   int faultStepsLeft = 0;
 };
 
@@ -134,19 +134,19 @@
     for (const auto& [zone, region] : planner_.settings().zones) drawLoad(zones_[zone]);
   }
 
-  RecordedRun run(const std::string& name, Tally& tally) {
+  RecordedRun run(const std::string& name, Coverage& coverage) {
     RecordedRun recorded{name, {}};
     Fnv1aHash hash;
     const auto steps = random_.between(60, 140);
     for (std::int64_t step = 1; step <= steps; ++step) {
-      changeWorld();
+      changeConditions();
       const FailoverPlan previous = plan_;
       plan_ = planner_.nextPlan(now_, observe(), overrides_, plan_, plansInUse_);
       addPlan(hash, plan_);
-      count(tally, plan_);
-      ++tally.steps;
-      if (plan_.version == previous.version) ++tally.unchangedPlans;
-      rememberInUse(previous);
+      count(coverage, plan_);
+      ++coverage.steps;
+      if (plan_.version == previous.version) ++coverage.unchangedPlans;
+      updatePlansInUse(previous);
       advanceTime();
       if (step % stepsPerHash == 0 || step == steps) recorded.hashes.push_back(hash.value());
     }
@@ -171,8 +171,8 @@
     return settings;
   }
 
-  // Quarters, whose sums are exact: with other fractions Boost's solver can meet a reduced cost that rounding
-  // made negative, and throws.
+  // Costs are multiples of a quarter, whose sums are exact. With other fractions rounding can make a reduced
+  // cost negative, and Boost's solver then throws.
   double drawCost() { return static_cast<double>(random_.between(0, 60)) / 4; }
 
   void drawLoad(SimulatedZone& zone) {
@@ -183,7 +183,7 @@
     zone.secondsPerRequest = random_.thousandths(40, 60);
   }
 
-  void changeWorld() {
+  void changeConditions() {
     for (auto& [name, zone] : zones_) {
       if (random_.percent(4)) drawLoad(zone);
       if (random_.percent(30)) zone.localRate *= random_.thousandths(950, 1050);
@@ -253,7 +253,7 @@
     return observed;
   }
 
-  void rememberInUse(const FailoverPlan& previous) {
+  void updatePlansInUse(const FailoverPlan& previous) {
     if (random_.percent(60)) plansInUse_.push_back(previous);
     while (plansInUse_.size() > 3) plansInUse_.erase(plansInUse_.begin());
     if (random_.percent(30)) plansInUse_.clear();
@@ -264,7 +264,7 @@
     if (random_.percent(3))
       now_ += interval * random_.between(20, 300);
     else if (random_.percent(50))
-      now_ += interval;  // exactly: comparisons meet their edges
+      now_ += interval;  // exactly one interval, which tests comparisons at their boundary
     else
       now_ += std::chrono::milliseconds(random_.between(200, 6000));
   }
@@ -281,26 +281,27 @@
   Duration now_{};
 };
 
-/// Some two thirds of what was counted at the first recording; runs that show less hold less.
-void expectEnoughSeen(const Tally& tally) {
-  EXPECT_GE(tally.steps, 10'700);
-  EXPECT_GE(tally.unchangedPlans, 3600);
-  EXPECT_GE(tally.plansWithShares, 5000);
-  constexpr std::array<int, stateNumbers> leastStates{0, 15'000, 3800, 12'600, 6400, 3300};
+/// The bounds are about two thirds of the counts of the first recording. Runs with lower counts would cover
+/// less behaviour.
+void expectEnoughCoverage(const Coverage& coverage) {
+  EXPECT_GE(coverage.steps, 10'700);
+  EXPECT_GE(coverage.unchangedPlans, 3600);
+  EXPECT_GE(coverage.plansWithShares, 5000);
+  constexpr std::array<int, stateNumbers> minStateCounts{0, 15'000, 3800, 12'600, 6400, 3300};
   for (std::size_t number = 0; number < stateNumbers; ++number)
-    EXPECT_GE(tally.states[number], leastStates[number]) << "state " << number;
-  constexpr std::array<int, reasonNumbers> leastReasons{0,   6200, 5700, 11'500, 1100, 280, 670,
-                                                        400, 1200, 3600, 1400,   3800, 5100};
+    EXPECT_GE(coverage.states[number], minStateCounts[number]) << "state " << number;
+  constexpr std::array<int, reasonNumbers> minReasonCounts{0,   6200, 5700, 11'500, 1100, 280, 670,
+                                                           400, 1200, 3600, 1400,   3800, 5100};
   for (std::size_t number = 0; number < reasonNumbers; ++number)
-    EXPECT_GE(tally.reasons[number], leastReasons[number]) << "reason " << number;
+    EXPECT_GE(coverage.reasons[number], minReasonCounts[number]) << "reason " << number;
 }
 
-TEST(FailoverRecording, EveryPlanIsAsRecorded) {
-  Tally tally;
+TEST(FailoverRecording, EveryPlanIsAsRecordedWhenFleetsMeetFaults) {
+  Coverage coverage;
   std::vector<RecordedRun> runs;
   for (int seed = 1; seed <= runCount; ++seed)
-    runs.push_back(SimulatedFleet(seed).run("fleet" + std::to_string(seed), tally));
-  expectEnoughSeen(tally);
+    runs.push_back(SimulatedFleet(seed).run("fleet" + std::to_string(seed), coverage));
+  expectEnoughCoverage(coverage);
   recording::expectMatchesRecording("failover_recording.txt", runs);
 }
 
--- a/tests/gray_failure_detector_test.cpp
+++ b/tests/gray_failure_detector_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// When a zone counts as a gray failure, and since when it counts as healthy.
+/// When the detector reports a zone as a gray failure, and since when a zone counts as healthy.
 #include "failover/gray_failure_detector.h"
 
 #include <gtest/gtest.h>
@@ -40,20 +40,20 @@
   GrayFailureDetector detector_;
 };
 
-TEST_F(GrayFailureDetectorTest, FindsAZoneOnceItHasBeenSlowForThreeSteps) {
+TEST_F(GrayFailureDetectorTest, FindsAZoneWhenItHasBeenSlowForThreeSteps) {
   setServiceTime(slow, 0.16);
   EXPECT_EQ(updateAt(0s), nothing);
   EXPECT_EQ(updateAt(14s), nothing);
   EXPECT_EQ(updateAt(15s), std::set{slow});
 }
 
-TEST_F(GrayFailureDetectorTest, FindsNothingWhenAZoneIsThreeTimesAsSlowAtMost) {
+TEST_F(GrayFailureDetectorTest, FindsNothingWhenAZoneTakesExactlyThreeTimesAsLong) {
   setServiceTime(slow, 0.15);
   updateAt(0s);
   EXPECT_EQ(updateAt(60s), nothing);
 }
 
-TEST_F(GrayFailureDetectorTest, StartsAnewWhenAZoneWasFastInBetween) {
+TEST_F(GrayFailureDetectorTest, RestartsTheWaitWhenAZoneWasFastInBetween) {
   setServiceTime(slow, 0.16);
   updateAt(0s);
   setServiceTime(slow, 0.05);
@@ -72,14 +72,14 @@
   EXPECT_EQ(detector_.healthySince(slow), Duration{0s});
 }
 
-TEST_F(GrayFailureDetectorTest, IgnoresDataThatIsTooOld) {
+TEST_F(GrayFailureDetectorTest, IgnoresAZoneWhenItsDataIsTooOld) {
   setServiceTime(slow, 0.5);
   observation_.zones[slow].dataAge = settings_.maxDataAge;
   updateAt(0s);
   EXPECT_EQ(updateAt(60s), nothing);
 }
 
-TEST_F(GrayFailureDetectorTest, CountsAZoneAsHealthyBelowOneAndAHalfTimesTheOthers) {
+TEST_F(GrayFailureDetectorTest, CountsAZoneAsHealthyWhenItTakesLessThanOneAndAHalfTimesAsLong) {
   EXPECT_EQ(detector_.healthySince(slow), std::nullopt);
   setServiceTime(slow, 0.08);
   updateAt(10s);
--- a/tests/minimum_cost_flow_test.cpp
+++ b/tests/minimum_cost_flow_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// Minimum-cost flows on networks that are small enough to be solved by hand.
+/// Minimum-cost flows on networks that are small enough to solve by hand.
 #include "failover/minimum_cost_flow.h"
 
 #include <gtest/gtest.h>
@@ -7,7 +7,7 @@
 namespace rainhook::failover {
 namespace {
 
-TEST(FlowNetwork, UsesTheCheapestRouteFirstAndTheNextOneForTheRest) {
+TEST(FlowNetwork, UsesTheNextRouteWhenTheCheapestIsFull) {
   FlowNetwork network;
   const auto origin = network.addNode();
   const auto near = network.addNode();
@@ -22,7 +22,7 @@
   EXPECT_EQ(network.flow(toFar), 20);
 }
 
-TEST(FlowNetwork, TakesACheapTargetFromAnOriginThatHasAnotherChoice) {
+TEST(FlowNetwork, GivesACheapTargetToAnotherOriginWhenThatOneHasNoAlternative) {
   FlowNetwork network;
   const auto flexible = network.addNode();
   const auto bound = network.addNode();
@@ -41,7 +41,7 @@
   EXPECT_EQ(network.flow(boundToShared), 10);
 }
 
-TEST(FlowNetwork, RoundsCapacitiesDownToItsResolution) {
+TEST(FlowNetwork, RoundsACapacityDownWhenItIsNotAMultipleOfTheResolution) {
   FlowNetwork network;
   const auto node = network.addNode();
   network.addEdge(network.source(), node, 1000, 0);
@@ -50,7 +50,7 @@
   EXPECT_EQ(network.flow(edge), 2 * flowResolution);
 }
 
-TEST(FlowNetwork, TreatsANegativeCapacityAsNone) {
+TEST(FlowNetwork, TreatsACapacityAsZeroWhenItIsNegative) {
   FlowNetwork network;
   const auto node = network.addNode();
   network.addEdge(network.source(), node, 1000, 0);
--- a/tests/zone_state_machine_test.cpp
+++ b/tests/zone_state_machine_test.cpp
@@ -1,5 +1,5 @@
 /// @file
-/// The states of one zone, transition by transition; docs/failover.md has the table.
+/// The transitions between the states of one zone; docs/failover.md has the table.
 #include "failover/zone_state_machine.h"
 
 #include <gtest/gtest.h>
@@ -23,8 +23,8 @@
 
   void advanceTo(Duration now) { plan_ = machine_.advance(now, settings_, inputs_, plan_); }
 
-  /// Loses the zone at `now` and has it reachable again a second later.
-  void loseAt(Duration now) {
+  /// Makes the zone unreachable at `now` and reachable again one second later.
+  void interruptAt(Duration now) {
     inputs_.observation = nullptr;
     advanceTo(now);
     inputs_.observation = &observation_;
@@ -43,14 +43,14 @@
   ZoneStateMachine machine_;
 };
 
-TEST_F(ZoneStateMachineTest, StaysServingWhileNothingHappens) {
+TEST_F(ZoneStateMachineTest, StaysServingWhenLoadIsBelowCapacity) {
   advanceTo(0s);
   advanceTo(5s);
   expectState(ZoneState::serving, TransitionReason::none);
   EXPECT_EQ(plan_.provenRate, 50);
 }
 
-TEST_F(ZoneStateMachineTest, IsOverloadedWhenRequestsQueueAndMoreArrivesThanItCanComplete) {
+TEST_F(ZoneStateMachineTest, BecomesOverloadedWhenRequestsQueueAndArrivalsExceedCapacity) {
   inputs_.load = {.localLoad = 120, .capacity = 100, .isSaturated = true};
   advanceTo(0s);
   expectState(ZoneState::overloaded, TransitionReason::arrivalsExceedCapacity);
@@ -61,7 +61,7 @@
   expectState(ZoneState::serving, TransitionReason::overloadEnded);
 }
 
-TEST_F(ZoneStateMachineTest, DrainsByOrderAndRecoversInSteps) {
+TEST_F(ZoneStateMachineTest, RecoversInStepsWhenAnOperatorEndsItsDrain) {
   inputs_.isDrained = true;
   advanceTo(0s);
   expectState(ZoneState::draining, TransitionReason::drainedByOperator);
@@ -71,7 +71,7 @@
   expectState(ZoneState::recovering, TransitionReason::healthyAgain);
   EXPECT_EQ(plan_.usableRatio, 0.25);
   advanceTo(9s);
-  EXPECT_EQ(plan_.usableRatio, 0.25) << "one step in five seconds";
+  EXPECT_EQ(plan_.usableRatio, 0.25) << "one step per five seconds";
   advanceTo(10s);
   expectState(ZoneState::recovering, TransitionReason::recoveryStepSucceeded);
   EXPECT_EQ(plan_.usableRatio, 0.5);
@@ -81,7 +81,7 @@
   EXPECT_EQ(plan_.usableRatio, 1);
 }
 
-TEST_F(ZoneStateMachineTest, StaysDrainingUntilItHasBeenHealthyForAWhile) {
+TEST_F(ZoneStateMachineTest, StaysDrainingWhenItHasNotBeenHealthyForTheRecoveryDelay) {
   inputs_.isGrayFailure = true;
   inputs_.healthySince.reset();
   advanceTo(0s);
@@ -96,17 +96,17 @@
   expectState(ZoneState::recovering, TransitionReason::healthyAgain);
 }
 
-TEST_F(ZoneStateMachineTest, WaitsBeforeItRecoversFromALoss) {
-  loseAt(0s);
+TEST_F(ZoneStateMachineTest, WaitsForTheRecoveryDelayWhenItIsReachableAgain) {
+  interruptAt(0s);
   expectState(ZoneState::outOfService, TransitionReason::waitingToRecover);
   advanceTo(5s);
   expectState(ZoneState::recovering, TransitionReason::reachableAgain);
 }
 
-TEST_F(ZoneStateMachineTest, DoublesTheDelayWhenItIsLostWhileItRecovers) {
-  loseAt(0s);
+TEST_F(ZoneStateMachineTest, DoublesTheDelayWhenItBecomesUnreachableDuringRecovery) {
+  interruptAt(0s);
   advanceTo(5s);
-  loseAt(6s);
+  interruptAt(6s);
   EXPECT_EQ(plan_.failedRecoveries, 1U);
   advanceTo(15s);
   EXPECT_EQ(plan_.state, ZoneState::outOfService);
@@ -114,8 +114,8 @@
   EXPECT_EQ(plan_.state, ZoneState::recovering);
 }
 
-TEST_F(ZoneStateMachineTest, StepsBackWhenRequestsQueueWhileItRecovers) {
-  loseAt(0s);
+TEST_F(ZoneStateMachineTest, StepsBackWhenRequestsQueueDuringRecovery) {
+  interruptAt(0s);
   advanceTo(5s);
   advanceTo(10s);
   EXPECT_EQ(plan_.usableRatio, 0.5);
@@ -131,7 +131,7 @@
   EXPECT_EQ(plan_.usableRatio, 0.5);
 }
 
-TEST_F(ZoneStateMachineTest, ForgivesAFailedRecoveryAfterTheLongestDelay) {
+TEST_F(ZoneStateMachineTest, DiscountsAFailedRecoveryWhenItHasServedForTheLongestDelay) {
   plan_.failedRecoveries = 2;
   advanceTo(0s);
   advanceTo(256 * 5s - 1s);
