--- a/src/simulator_adapter/main.cpp
+++ b/src/simulator_adapter/main.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// The program that the simulator starts: reads batches from standard input and writes one reply for each to
-/// standard output, until the input ends.
+/// The program that the simulator starts. It reads batches from standard input and writes one reply per batch
+/// to standard output until the input ends.
 #include <algorithm>
 #include <cstdio>
 #include <cstring>
@@ -14,17 +14,21 @@
 
 using rainhook::simulator::ProtocolError;
 
-// The buffer grows as bytes arrive, whatever length a frame claims.
+// The buffer grows in steps of this size as bytes arrive, so that a wrong frame length does not cause a large
+// allocation.
 constexpr std::size_t maxBytesPerRead = 1 << 20;
 
-// False at a clean end of the input; a frame cut short is an error.
+// Returns false if the input ends before a frame. Throws if it ends within the length of a frame.
 bool readLength(std::uint32_t& length) {
   const std::size_t received = std::fread(&length, 1, sizeof length, stdin);
   if (received == 0) return false;
-  if (received < sizeof length) throw ProtocolError("the input ends within a frame's length");
+  if (received < sizeof length)
+    throw ProtocolError("input ends after " + std::to_string(received) +
+                        " of the 4 bytes of a frame's length");
   return true;
 }
 
+// Returns false if the input ends before a frame. Throws if it ends within a frame.
 bool readFrame(std::vector<std::byte>& body) {
   std::uint32_t length = 0;
   if (!readLength(length)) return false;
@@ -34,7 +38,7 @@
     body.resize(std::min<std::size_t>(length, before + maxBytesPerRead));
     const std::size_t received = std::fread(body.data() + before, 1, body.size() - before, stdin);
     if (received < body.size() - before)
-      throw ProtocolError("the input ends after " + std::to_string(before + received) + " of a frame's " +
+      throw ProtocolError("input ends after " + std::to_string(before + received) + " of a frame's " +
                           std::to_string(length) + " bytes");
   }
   return true;
@@ -42,7 +46,8 @@
 
 void writeFrame(const std::vector<std::byte>& frame) {
   if (std::fwrite(frame.data(), 1, frame.size(), stdout) != frame.size() || std::fflush(stdout) != 0)
-    throw ProtocolError("standard output does not take the reply");
+    throw ProtocolError("cannot write the reply of " + std::to_string(frame.size()) +
+                        " bytes to standard output");
 }
 
 }  // namespace
--- a/src/simulator_adapter/simulator_codes.h
+++ b/src/simulator_adapter/simulator_codes.h
@@ -1,12 +1,12 @@
 /// @file
-/// The codes of the simulator's wire format, by the terms of rainhook. The numbers belong to the simulator.
+/// The codes of the simulator's wire format under rainhook's names. The simulator defines the numbers.
 #pragma once
 
 #include <cstdint>
 
 namespace rainhook::simulator {
 
-/// The first byte of an event in a batch.
+/// The event code: the first byte of an event in a batch.
 enum class EventCode : std::uint8_t {
   executionEnded = 16,
   requestArrived = 17,
@@ -19,7 +19,7 @@
   downstreamCallEnded = 24,
 };
 
-/// The first byte of an action in a reply.
+/// The action code: the first byte of an action in a reply.
 enum class ActionCode : std::uint8_t {
   startExecution = 80,
   shedRequest = 81,
@@ -35,7 +35,7 @@
   setIdleConnectionTimeout = 91,
   setTimer = 92,
   diagnosticMessage = 93,
-  instanceError = 94,  ///< an instance could not handle its events
+  instanceError = 94,  ///< an instance failed to handle its events
 };
 
 /// How an execution or a downstream call ended: the field `reason`.
--- a/src/simulator_adapter/simulator_host.cpp
+++ b/src/simulator_adapter/simulator_host.cpp
@@ -20,7 +20,8 @@
                               .fleet = settings.fleet});
 }
 
-// The instance's time of its policy; wraps as the simulator's clock does.
+// The time that the instance's policy sees: the time since the instance's start. It wraps around like the
+// simulator's clock.
 Duration elapsed(SimulatorTime since, SimulatorTime now) {
   return Duration(static_cast<Duration::rep>((now - since).count()));
 }
@@ -38,7 +39,7 @@
 
 SimulatorHost::Instance& SimulatorHost::instanceFor(InstanceId id) {
   const auto found = instances_.find(id);
-  if (found == instances_.end()) throw ProtocolError(nameOf(id) + " has an event but was never attached");
+  if (found == instances_.end()) throw ProtocolError(nameOf(id) + " gets an event, but is not attached");
   found->second.isInBatch = true;
   return found->second;
 }
@@ -53,7 +54,10 @@
   Instance& instance = instanceFor(id);
   if (auto* request = std::get_if<RequestArrived>(&event)) {
     if (static_cast<std::size_t>(request->handler) >= instance.settings.handlerPolicies.size())
-      throw ProtocolError(nameOf(id) + ": a request of a handler that is not in its settings");
+      throw ProtocolError(nameOf(id) + ": a request names handler " +
+                          std::to_string(static_cast<std::size_t>(request->handler)) +
+                          ", but the settings have only " +
+                          std::to_string(instance.settings.handlerPolicies.size()) + " handlers");
     if (!instance.settings.clientsSendTimeRemaining) request->timeRemaining.reset();
   }
   instance.pending.push_back(event);
@@ -63,7 +67,7 @@
   if (const auto* attached = std::get_if<AttachInstance>(&event)) {
     attach(id, *attached, clock);
   } else if (std::holds_alternative<DetachInstance>(event)) {
-    static_cast<void>(instanceFor(id));  // throws where it is unknown
+    static_cast<void>(instanceFor(id));  // throws if the instance is unknown
     instances_.erase(id);
   } else if (const auto* expired = std::get_if<TimerExpired>(&event)) {
     enqueueTimer(id, *expired);
--- a/src/simulator_adapter/simulator_host.h
+++ b/src/simulator_adapter/simulator_host.h
@@ -1,5 +1,5 @@
 /// @file
-/// Runs the admission policies of all instances of one simulation in one process.
+/// Runs the admission policies of all server instances of one simulation in one process.
 #pragma once
 
 #include <map>
@@ -12,14 +12,14 @@
 
 namespace rainhook::simulator {
 
-/// Hands the events of a batch to the instances that they concern and collects their actions, by ascending
-/// instance and in order. Instances share nothing. Not thread-safe.
+/// Passes the events of a batch to their instances and collects the actions of each instance, in ascending
+/// order of the instances' numbers. Instances share no state. Not thread-safe.
 class SimulatorHost {
  public:
-  /// Carries out one batch.
-  /// @throws ProtocolError on an event for an unknown instance or an unknown handler. An error of a single
-  ///         instance does not throw; it is reported in the reply.
-  /// @throws ConfigurationError on settings that cannot be used.
+  /// Processes one batch.
+  /// @throws ProtocolError if an event names an unknown instance or an unknown handler. An error that an
+  ///     instance throws while it handles its events is reported in the reply instead.
+  /// @throws ConfigurationError if the settings of a new instance are invalid.
   [[nodiscard]] Reply handle(const Batch& batch);
 
  private:
@@ -27,19 +27,19 @@
     DeploymentSettings settings;
     SimulatorTime startedAt{};
     std::unique_ptr<AdmissionPolicy> policy;
-    std::vector<Event> pending;  // events of the batch in hand
-    bool isInBatch = false;      // whether the batch in hand concerns it, with or without events
+    std::vector<Event> pending;  // its events of the current batch
+    bool isInBatch = false;      // whether it was attached or got an event in the current batch
   };
 
   void attach(InstanceId id, const AttachInstance& attach, SimulatorTime clock);
   void enqueue(InstanceId id, const SimulatorEvent& event, SimulatorTime clock);
   void enqueueTimer(InstanceId id, const TimerExpired& expired);
   void enqueueEvent(InstanceId id, Event event);
-  // Marks the instance as concerned by the batch in hand.
+  // Returns the instance and marks it as part of the current batch.
   Instance& instanceFor(InstanceId id);
   static void runPolicy(InstanceId id, Instance& instance, SimulatorTime clock, Reply& reply);
 
-  std::map<InstanceId, Instance> instances_;  // until DetachInstance
+  std::map<InstanceId, Instance> instances_;  // the instances that are attached
 };
 
 }  // namespace rainhook::simulator
--- a/src/simulator_adapter/simulator_protocol.cpp
+++ b/src/simulator_adapter/simulator_protocol.cpp
@@ -10,12 +10,12 @@
 namespace {
 
 static_assert(std::endian::native == std::endian::little,
-              "frames are read and written in place, little-endian");
+              "frames are little-endian and copied without conversion");
 
-// The length of a text in a reply has 16 bits.
+// Text lengths in a reply have 16 bits.
 constexpr std::size_t maxTextBytes = 65535;
 
-// On the wire, 0 stands for a request that repeats no other.
+// On the wire, 0 means that the request does not repeat another one.
 constexpr std::uint32_t noOriginal = 0;
 
 std::string withOffset(const std::string& problem, std::optional<std::size_t> byteOffset) {
@@ -23,7 +23,7 @@
   return "byte " + std::to_string(*byteOffset) + " of the batch: " + problem;
 }
 
-// Takes fields off the front of a batch. `field` is the field's name on the wire, for errors.
+// Reads the fields of a batch from front to back. `field` is the field's name on the wire, for errors.
 class FieldReader {
  public:
   explicit FieldReader(std::span<const std::byte> bytes) : bytes_(bytes) {}
@@ -42,7 +42,7 @@
   Duration duration(const char* field) {
     const auto nanoseconds = number<std::uint64_t>(field);
     if (nanoseconds > static_cast<std::uint64_t>(Duration::max().count()))
-      fail(std::string(field) + " is out of range");
+      fail(std::string(field) + " is out of range: " + std::to_string(nanoseconds) + " ns exceed 63 bits");
     return Duration(static_cast<Duration::rep>(nanoseconds));
   }
 
@@ -59,7 +59,9 @@
 
  private:
   void requireBytes(std::size_t count, const char* field) const {
-    if (bytes_.size() - offset_ < count) fail(std::string(field) + " runs past the end");
+    if (bytes_.size() - offset_ < count)
+      fail(std::string(field) + " needs " + std::to_string(count) + " bytes, but only " +
+           std::to_string(bytes_.size() - offset_) + " are left");
   }
 
   std::span<const std::byte> bytes_;
@@ -189,68 +191,70 @@
   for (const char character : written) out.push_back(static_cast<std::byte>(character));
 }
 
-// Writes one action: its code, the instance, then the fields of its kind.
+// Writes one action: its code, the instance, then the fields of the action's type.
 class ActionWriter {
  public:
   ActionWriter(std::vector<std::byte>& out, InstanceId instance) : out_(out), instance_(instance) {}
 
-  void operator()(const StartExecution& action) const { writeHead(ActionCode::startExecution, action.id); }
+  void operator()(const StartExecution& action) const { writeHeader(ActionCode::startExecution, action.id); }
   void operator()(const ShedRequest& action) const {
-    writeHead(ActionCode::shedRequest, action.id);
+    writeHeader(ActionCode::shedRequest, action.id);
     writeDuration(out_, action.retryAfter);
     writeFlag(out_, action.discourageRetry);
   }
-  void operator()(const FailRequest& action) const { writeHead(ActionCode::failRequest, action.id); }
-  void operator()(const CancelExecution& action) const { writeHead(ActionCode::cancelExecution, action.id); }
+  void operator()(const FailRequest& action) const { writeHeader(ActionCode::failRequest, action.id); }
+  void operator()(const CancelExecution& action) const {
+    writeHeader(ActionCode::cancelExecution, action.id);
+  }
   void operator()(const CallDownstream& action) const {
-    writeHead(ActionCode::callDownstream, action.id);
+    writeHeader(ActionCode::callDownstream, action.id);
     writeDuration(out_, action.timeout);
   }
   void operator()(const SkipDownstreamCall& action) const {
-    writeHead(ActionCode::skipDownstreamCall, action.id);
+    writeHeader(ActionCode::skipDownstreamCall, action.id);
   }
   void operator()(const RetainResult& action) const {
-    writeHead(ActionCode::retainResult, action.id);
+    writeHeader(ActionCode::retainResult, action.id);
     writeDuration(out_, action.retention);
   }
-  void operator()(const DropResult& action) const { writeHead(ActionCode::dropResult, action.id); }
+  void operator()(const DropResult& action) const { writeHeader(ActionCode::dropResult, action.id); }
   void operator()(const AnswerFromOriginal& action) const {
-    writeHead(ActionCode::answerFromOriginal, action.id);
+    writeHeader(ActionCode::answerFromOriginal, action.id);
   }
   void operator()(const PublishHealth& action) const {
-    writeHead(ActionCode::publishHealth);
+    writeHeader(ActionCode::publishHealth);
     writeFlag(out_, action.healthy);
     writeFlag(out_, action.isCached);
   }
   void operator()(const PublishLoadSignal& action) const {
-    writeHead(ActionCode::publishLoadSignal);
+    writeHeader(ActionCode::publishLoadSignal);
     writeNumber(out_, static_cast<float>(action.value));
   }
   void operator()(const SetIdleConnectionTimeout& action) const {
-    writeHead(ActionCode::setIdleConnectionTimeout);
+    writeHeader(ActionCode::setIdleConnectionTimeout);
     writeDuration(out_, action.timeout);
   }
   void operator()(const SetTimer& action) const {
-    writeHead(ActionCode::setTimer);
+    writeHeader(ActionCode::setTimer);
     writeNumber(out_, static_cast<std::uint32_t>(action.timer));
     writeDuration(out_, action.delay);
   }
   void operator()(const DiagnosticMessage& action) const {
-    writeHead(ActionCode::diagnosticMessage);
+    writeHeader(ActionCode::diagnosticMessage);
     writeText(out_, action.text);
   }
   void writeInstanceError(std::string_view problem) const {
-    writeHead(ActionCode::instanceError);
+    writeHeader(ActionCode::instanceError);
     writeText(out_, problem);
   }
 
  private:
-  void writeHead(ActionCode code) const {
+  void writeHeader(ActionCode code) const {
     writeNumber(out_, static_cast<std::uint8_t>(code));
     writeNumber(out_, static_cast<std::uint16_t>(instance_));
   }
-  void writeHead(ActionCode code, RequestId id) const {
-    writeHead(code);
+  void writeHeader(ActionCode code, RequestId id) const {
+    writeHeader(code);
     writeNumber(out_, static_cast<std::uint32_t>(id));
   }
 
--- a/src/simulator_adapter/simulator_protocol.h
+++ b/src/simulator_adapter/simulator_protocol.h
@@ -1,8 +1,8 @@
 /// @file
-/// The frames of the simulator: batches of events in, replies with actions out. The mapping between the
-/// simulator's fields and the types of the decision module is in this module and nowhere else.
+/// Decodes the simulator's batches of events and encodes replies with actions. Only this module maps the
+/// simulator's fields to the types of the decision module.
 ///
-/// All numbers are little-endian. A frame is a 32-bit length and that many bytes.
+/// All numbers are little-endian. A frame consists of a 32-bit length and as many bytes.
 #pragma once
 
 #include <chrono>
@@ -20,60 +20,61 @@
 
 namespace rainhook::simulator {
 
-/// The simulator sent what the protocol does not allow.
+/// The simulator violated the protocol, or its input or output failed.
 class ProtocolError : public std::runtime_error {
  public:
   /// @param problem    what is wrong
-  /// @param byteOffset where in the batch the fault was found, if it was found while decoding
+  /// @param byteOffset the offset in the batch at which decoding failed, if it did
   explicit ProtocolError(const std::string& problem, std::optional<std::size_t> byteOffset = std::nullopt);
 
-  /// Where in the batch the fault was found, if it was found while decoding.
+  /// The offset in the batch at which decoding failed; empty for other errors.
   [[nodiscard]] std::optional<std::size_t> byteOffset() const { return byteOffset_; }
 
  private:
   std::optional<std::size_t> byteOffset_;
 };
 
-/// The number under which the simulator knows a server instance.
+/// The simulator's number of a server instance.
 enum class InstanceId : std::uint16_t {};
 
-/// The simulator's clock; unsigned as on the wire.
+/// Time of the simulator's clock; unsigned as on the wire.
 using SimulatorTime = std::chrono::duration<std::uint64_t, std::nano>;
 
 /// A server instance starts.
 struct AttachInstance {
-  std::uint64_t seed = 0;  ///< drawn by the simulator; the admission policy makes no random choices
-  std::string settings;    ///< lines of path=value, see parseSettingsText()
+  /// Random seed that the simulator chose; unused, since the admission policy makes no random choices.
+  std::uint64_t seed = 0;
+  std::string settings;  ///< lines of path=value; see parseSettingsText()
 };
 
 /// A server instance ends.
 struct DetachInstance {};
 
-/// A timer that the instance had set has expired.
+/// A timer of the instance has expired.
 struct TimerExpired {
-  TimerId timer{};                 ///< the timer, by the number that the instance gave it
-  std::vector<float> gaugeValues;  ///< in the order of the instance's settings
+  TimerId timer{};                 ///< the number that the instance gave the timer
+  std::vector<float> gaugeValues;  ///< in the order of the gauges in the instance's settings
 };
 
-/// What a batch tells of an instance. The remaining time of an arrived request is as on the wire; whether
-/// clients send it is a matter of the instance's settings, which the host knows.
+/// An event of an instance in a batch. The remaining time of an arrived request has the value of the wire.
+/// The host removes it if clients do not send it according to the instance's settings.
 using SimulatorEvent = std::variant<AttachInstance, DetachInstance, TimerExpired, Event>;
 
-/// An event and the instance that it concerns.
+/// An event and its instance.
 struct InstanceEvent {
-  InstanceId instance{};  ///< the one that it concerns
+  InstanceId instance{};  ///< the instance that the event belongs to
   SimulatorEvent event;   ///< what happened
 };
 
-/// The events of one moment, in their order.
+/// The events of one moment, in order.
 struct Batch {
-  SimulatorTime clock{};              ///< the moment
+  SimulatorTime clock{};              ///< the time of the events
   std::vector<InstanceEvent> events;  ///< in the order in which they happened
 };
 
 /// Decodes a batch.
 /// @param body the frame without its length
-/// @throws ProtocolError
+/// @throws ProtocolError if the body is not a valid batch.
 [[nodiscard]] Batch readBatch(std::span<const std::byte> body);
 
 /// Collects the actions of a batch and encodes them as one frame.
@@ -81,9 +82,9 @@
  public:
   /// Appends an action of an instance.
   void add(InstanceId instance, const Action& action);
-  /// Appends that an instance failed to handle its events.
+  /// Appends the error of an instance that failed to handle its events.
   void addError(InstanceId instance, std::string_view problem);
-  /// The whole frame, its length included.
+  /// Returns the complete frame, including its length.
   [[nodiscard]] std::vector<std::byte> frame() const;
 
  private:
--- a/tests/simulator_adapter_test.cpp
+++ b/tests/simulator_adapter_test.cpp
@@ -1,5 +1,6 @@
 /// @file
-/// The simulator's frames, well-formed and malformed, and the host with instances that come and go.
+/// Decoding and encoding of the simulator's frames, valid and malformed, and the host with instances that
+/// start and end.
 #include <gmock/gmock.h>
 #include <gtest/gtest.h>
 
@@ -30,7 +31,7 @@
 constexpr InstanceId instance4{4};
 constexpr InstanceId instance5{5};
 
-TEST(SimulatorBatch, DecodesEveryFieldOfARequest) {
+TEST(SimulatorBatch, DecodesEveryFieldWhenARequestArrives) {
   const Batch batch = readBatch(bytesOf(clockField + requestRecord));
   ASSERT_THAT(batch.events, SizeIs(1));
   EXPECT_EQ(batch.clock, SimulatorTime(0x1f568bf90u));
@@ -44,7 +45,7 @@
   EXPECT_EQ(request.client, ClientId{17});
 }
 
-TEST(SimulatorBatch, IsRefusedWhereverItIsCutShort) {
+TEST(SimulatorBatch, IsRejectedWhenItIsTruncatedAtAnyByte) {
   constexpr std::size_t emptyBatchSize = 8;  // the clock alone is a batch without events
   const std::vector<std::byte> whole = bytesOf(clockField + requestRecord);
   for (std::size_t length = 0; length < whole.size(); ++length) {
@@ -55,7 +56,7 @@
 
 class MalformedBatch : public testing::TestWithParam<std::string_view> {};
 
-TEST_P(MalformedBatch, IsRefusedAndTheErrorTellsWhere) {
+TEST_P(MalformedBatch, ThrowsAnErrorWithTheByteOffset) {
   try {
     static_cast<void>(readBatch(bytesOf(clockField + std::string(GetParam()))));
     ADD_FAILURE() << "no error";
@@ -66,13 +67,13 @@
 }
 
 INSTANTIATE_TEST_SUITE_P(UnknownCodesAndOverrunningCounts, MalformedBatch,
-                         testing::Values("630300",                          // no such event
-                                         "1303004d000000ff52b81e3f",        // 255 gauges, one of them there
-                                         "1203000000000000000000ffffffff",  // settings longer than the batch
-                                         "100300c4913a5d0100a0491a0100000000",  // no such reason
-                                         "170300ffffffffffffffff"));            // a duration over 63 bits
+                         testing::Values("630300",                    // unknown event code
+                                         "1303004d000000ff52b81e3f",  // 255 gauges, of which one is present
+                                         "1203000000000000000000ffffffff",  // settings that exceed the batch
+                                         "100300c4913a5d0100a0491a0100000000",  // unknown reason
+                                         "170300ffffffffffffffff"));  // a duration that exceeds 63 bits
 
-TEST(SimulatorReply, EncodesTheExampleOfTheProtocolPage) {
+TEST(SimulatorReply, EncodesTheDocumentedExampleWhenActionsAreAdded) {
   Reply reply;
   reply.add(instance3, StartExecution{RequestId{0x5d3a91c4}});
   reply.add(instance3, SetTimer{TimerId{77}, Duration(500000000)});
@@ -96,23 +97,23 @@
   SimulatorHost host_;
 };
 
-// What came before the end of the first instance is void: the new one opens as if alone, and nothing is said
-// of the old one's request.
-TEST_F(SimulatorHostTest, ReusesANumberWhenAnInstanceEndsAndAnotherStartsInOneBatch) {
+// The simulator may reuse a number in the batch in which the previous instance ends. The host must drop the
+// events of the previous instance; otherwise the new instance would handle a request that it never got.
+TEST_F(SimulatorHostTest, DropsEarlierEventsWhenAnInstanceEndsAndAnotherStartsInOneBatch) {
   static_cast<void>(host_.handle(batchAt(0, {attach(instance4, 1)})));
   const InstanceEvent request{instance4, Event{RequestArrived{}}};
   const InstanceEvent detach{instance4, DetachInstance{}};
   const auto reply = host_.handle(batchAt(5, {request, detach, attach(instance4, 2)})).frame();
-  const auto opened = SimulatorHost().handle(batchAt(5, {attach(instance4, 2)})).frame();
-  EXPECT_EQ(reply, opened);
+  const auto expected = SimulatorHost().handle(batchAt(5, {attach(instance4, 2)})).frame();
+  EXPECT_EQ(reply, expected);
 }
 
-TEST_F(SimulatorHostTest, RefusesAnEventWhenTheInstanceIsUnknown) {
+TEST_F(SimulatorHostTest, RejectsAnEventWhenTheInstanceIsUnknown) {
   const Batch batch = batchAt(0, {{instance4, Event{ClientDisconnected{}}}});
   EXPECT_THROW(static_cast<void>(host_.handle(batch)), ProtocolError);
 }
 
-TEST_F(SimulatorHostTest, RefusesARequestWhenItsHandlerIsNotInTheSettings) {
+TEST_F(SimulatorHostTest, RejectsARequestWhenItsHandlerIsNotInTheSettings) {
   static_cast<void>(host_.handle(batchAt(0, {attach(instance4, 1)})));
   RequestArrived request;
   request.handler = HandlerId{1};
