--- a/deploy/sites/make.py
+++ b/deploy/sites/make.py
@@ -1,7 +1,7 @@
 #!/usr/bin/env python3
-"""Two deployments unlike the others, for the operators' bench: `crowded` has many of everything and little room,
-`plain` has one of everything or none. Both are made from a site file of the kit, with what stands here put in its
-place, into deploy/sites/made, which git does not keep. Ends with 2 where the kit is not there."""
+"""Generates two unusual deployments for the operators' bench: `crowded` has many handlers and tenants and little memory,
+`plain` has one handler and no optional parts. Both are copies of a site file of the kit with the values below replaced.
+The script writes them to deploy/sites/made, which git ignores. It exits with status 2 if the kit does not exist."""
 
 import copy
 import json
@@ -17,7 +17,7 @@
 
 
 def make_crowded(site):
-    """Many handlers and tenants with names that need escaping, little memory and few keys."""
+    """Changes a site to one with many handlers and tenants whose names need escaping, little memory and few keys."""
     names = ["plan.read", "plan/write", "Zug & Gleis", "späť-lookup", "x", "ticket:buy#1", "a_very_long_name-" + "y" * 40,
              "50%", "quote'd", "seat+map", "名前", "refund"]
     effects = ["safe", "keyed", "unsafe"]
@@ -41,7 +41,7 @@
 
 
 def make_plain(site):
-    """One handler, no tenants, and none of what is optional."""
+    """Changes a site to one with one handler, no tenants and no optional parts."""
     site["name"] = "plain"
     site["class"] = [{"name": "only", "share": 1, "work_ms": [500, 900], "dist": "exp", "aim_ms": 6000,
                       "deadline_ms": 20000, "worth": 1, "late_worth": 0.4, "effect": "safe"}]
@@ -61,7 +61,7 @@
 
 
 def is_nested(value):
-    """Whether a value becomes a table of its own, or several."""
+    """Returns whether a value is written as a separate TOML table or as an array of tables."""
     return isinstance(value, dict) or (isinstance(value, list) and bool(value) and isinstance(value[0], dict))
 
 
@@ -74,7 +74,7 @@
 
 
 def toml_table(table, path=()):
-    """A table as TOML, plain values before nested tables."""
+    """Formats a table as TOML, with plain values before nested tables."""
     lines = [f"{key} = {toml_value(value)}" for key, value in table.items() if not is_nested(value)]
     for key, value in table.items():
         inner_path = (*path, key)
@@ -88,7 +88,7 @@
 
 
 def write_site(site):
-    """Writes a site file with copies of the files that belong beside it; its path."""
+    """Writes a site file and copies the files that belong next to it. Returns the path of the site file."""
     folder = SITES_FOLDER / "made" / site["name"]
     folder.mkdir(parents=True, exist_ok=True)
     file = folder / f"{site['name']}.toml"
@@ -105,7 +105,7 @@
         print(f"make sites: {KIT_FOLDER} is not there, so there is nothing to make them from", file=sys.stderr)
         return EXIT_NO_KIT
     base = tomllib.loads(next(KIT_FOLDER.glob("*.toml")).read_text())
-    base.pop("stock", None)  # the made sites have days of their own
+    base.pop("stock", None)  # the generated sites use their own days
     for change in (make_crowded, make_plain):
         site = copy.deepcopy(base)
         change(site)
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -1,10 +1,10 @@
 #!/usr/bin/env python3
-"""A toy deployment on loopback: one rainhook with a small execution engine, downstream service and endpoint registry, and one
-client.
+"""A small example deployment on the loopback interface: one rainhook server, an execution engine, a downstream service, an
+endpoint registry and one client.
 
-The client sends 40 requests to two cores in two seconds, more than they can do, and prints what became of each. Halfway the
-downstream service moves to another port: the configuration is written anew and the server gets SIGHUP. In the end the server
-is shut down. Start it from the root of the repository: python3 examples/toy.py build/rainhook
+The client sends 40 requests in two seconds, which is more than the two cores can complete, and prints the outcome of each.
+After one second the downstream service moves to another port: the script rewrites the configuration and sends SIGHUP to the
+server. At the end it shuts the server down. Run it from the root of the repository: python3 examples/toy.py build/rainhook
 """
 
 import base64
@@ -22,7 +22,7 @@
 
 CONFIGURATION_FILE = os.path.join(os.path.dirname(os.path.abspath(__file__)), "config.json")
 CORES = 2
-WORK_SECONDS = 0.12  # of an execution, its downstream call not counted
+WORK_SECONDS = 0.12  # of one execution, without its downstream call
 CALL_SECONDS = 0.02
 MAX_CALL_WAIT_SECONDS = 5
 REQUESTS = 40
@@ -37,7 +37,7 @@
 
 
 def listen(address):
-    """A socket that listens at host:port."""
+    """Returns a socket that listens at host:port."""
     host, port = address.rsplit(":", 1)
     listener = socket.socket()
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
@@ -51,7 +51,7 @@
 
 
 def read_content_length(stream):
-    """Reads the headers of an HTTP request; the length that they state."""
+    """Reads the headers of an HTTP request and returns their Content-Length."""
     length = 0
     while (line := stream.readline()) not in (b"\r\n", b""):
         if line.lower().startswith(b"content-length:"):
@@ -69,17 +69,17 @@
 
 
 def serve_http(listener, answer):
-    """Answers each request on each connection with the status and body of answer(path, body)."""
+    """Answers every request on every connection with the status and body that answer(path, body) returns."""
     while True:
         try:
             connection, _ = listener.accept()
-        except OSError:  # shut down, since the service has moved
+        except OSError:  # move_downstream() has shut the listener down
             return
         start_thread(serve_http_connection, connection, answer)
 
 
 class Engine:
-    """Runs executions on its cores: half the work, a downstream call, the other half."""
+    """Runs executions on its cores. Each does half of its work, makes a downstream call and does the other half."""
 
     def __init__(self, listener):
         self.listener = listener
@@ -87,18 +87,18 @@
         self.send_lock = threading.Lock()
         self.notifications = 0
         self.cores = threading.Semaphore(CORES)
-        self.resumed = {}  # by execution: the event that its call is over
+        self.resumed = {}  # by execution: the event that its downstream call has ended
         self.executing = 0
 
     def send(self, is_notification=False, **message):
-        """Sends a message; notifications are numbered without gaps."""
+        """Sends a message. Notifications have consecutive serial numbers."""
         with self.send_lock:
             if is_notification:
                 self.notifications += 1
                 message["serial"] = self.notifications
             try:
                 self.connection.sendall(json.dumps(message).encode() + b"\n")
-            except OSError:  # the server has ended
+            except OSError:  # the server has exited
                 pass
 
     def notify(self, **message):
@@ -146,7 +146,7 @@
 
 
 def thrift_call(sequence, fields, body):
-    """A framed call: field 1 a map of texts, field 2 the body."""
+    """Encodes a framed call: field 1 is a map of strings, field 2 is the body."""
     message = struct.pack(">I", VERSION_AND_CALL) + thrift_text("call") + struct.pack(">i", sequence)
     message += struct.pack(">bhbbi", TYPE_MAP, 1, TYPE_TEXT, TYPE_TEXT, len(fields))
     message += b"".join(thrift_text(name) + thrift_text(value) for name, value in fields.items())
@@ -155,7 +155,8 @@
 
 
 def read_answer(stream):
-    """The sequence number of a request, and what became of it; None at the end of the connection."""
+    """Reads a reply. Returns the sequence number of its request and the outcome, or None and "closed" at the end of the
+    connection."""
     length = stream.read(4)
     if len(length) < 4:
         return None, "closed"
@@ -175,7 +176,7 @@
 
 
 def run_client(address):
-    """Sends the requests at a fixed rate; counts what became of them."""
+    """Sends the requests at a fixed rate, prints the outcome of each and returns the count of each outcome."""
     host, port = address.rsplit(":", 1)
     with socket.create_connection((host, int(port))) as connection:
         sent_at = {}
@@ -209,7 +210,7 @@
 
 
 class Deployment:
-    """The server and its peers. Its configuration file is a copy that may be written anew."""
+    """The server and its peers. The server reads a copy of the configuration file, so that the script can change it."""
 
     def __init__(self, program):
         with open(CONFIGURATION_FILE) as file:
@@ -228,7 +229,7 @@
         os.rename(self.file + ".new", self.file)
 
     def move_downstream(self):
-        """Lets the downstream service listen at another port, and the server learn of it by a reload."""
+        """Moves the downstream service to another port and makes the server reload its configuration."""
         host, port = self.configuration["backend"].rsplit(":", 1)
         self.configuration["backend"] = "%s:%d" % (host, int(port) + 1)
         start_thread(serve_http, listen(self.configuration["backend"]), answer_call)
@@ -243,10 +244,10 @@
         time.sleep(0.5)
         threading.Timer(1, deployment.move_downstream).start()
         outcomes = run_client(deployment.configuration["listen"])
-        print("in all: " + ", ".join("%d %s" % (count, outcome) for outcome, count in sorted(outcomes.items())))
+        print("total: " + ", ".join("%d %s" % (count, outcome) for outcome, count in sorted(outcomes.items())))
     finally:
         deployment.server.terminate()
-        print("the server ended with status %d" % deployment.server.wait(10))
+        print("server exited with status %d" % deployment.server.wait(10))
 
 
 if __name__ == "__main__":
