--- a/src/codec/json_lines.cpp
+++ b/src/codec/json_lines.cpp
@@ -37,8 +37,7 @@
   Poco::Base64Decoder decoder(in);
   try {
     std::string out{std::istreambuf_iterator<char>(decoder), {}};
-    // The decoder stops silently at an invalid character; the text is then longer than its output accounts
-    // for.
+    // The decoder stops silently at an invalid character; its output is then too short for the text.
     if (out.size() / 3 * 4 + 4 < text.size()) throw ProtocolError("invalid base64");
     return out;
   } catch (const Poco::Exception&) {
--- a/src/codec/thrift.h
+++ b/src/codec/thrift.h
@@ -1,6 +1,5 @@
 /// @file
-/// Framed Thrift in the strict binary protocol: decodes and encodes values, independently of any service. No
-/// I/O.
+/// Framed Thrift in the strict binary protocol: decodes and encodes values for any service. No I/O.
 #pragma once
 
 #include <cstddef>
--- a/src/configuration/settings_reader.h
+++ b/src/configuration/settings_reader.h
@@ -78,7 +78,8 @@
     for (const Choice<Value>& choice : choices)
       if (choice.word == word) return choice.value;
     std::string expected = "one of";
-    for (const Choice<Value>& choice : choices) expected.append(" ").append(choice.word);
+    for (const Choice<Value>& choice : choices)
+      expected.append(&choice == choices.begin() ? " " : ", ").append(choice.word);
     reject(path, word, expected);
   }
 
