--- a/src/decision/actions.h
+++ b/src/decision/actions.h
@@ -14,7 +14,7 @@
   RequestId id{};  ///< The queued request.
 };
 
-/// Answers that the request was shed: it was not executed, or it is safe to repeat.
+/// Answers that the request was shed. The client may retry it: it was not executed, or it is idempotent.
 struct ShedRequest {
   RequestId id{};  ///< The request to answer.
   /// How long the client is advised to wait before it retries; 0 for no advice.
--- a/src/decision/active_requests.cpp
+++ b/src/decision/active_requests.cpp
@@ -14,7 +14,7 @@
 
 void ActiveRequests::start(RequestRecord& request, Duration now) {
   moveTo(request, RequestStage::executing, now);
-  request.hasStarted = true;
+  request.wasEverStarted = true;
   request.startedAt = now;
   ++startedCount_;
 }
--- a/src/decision/active_requests.h
+++ b/src/decision/active_requests.h
@@ -11,8 +11,8 @@
 
 namespace rainhook {
 
-/// Holds the records of all requests that are waiting for a response or still have an execution. Two indexes,
-/// by deadline and of the requests on the cores, spare event handling a scan of all records.
+/// Holds the records of all requests that are waiting for a response or still have an execution. Two indexes
+/// avoid scans of all records: one by deadline, and one of the requests on the cores.
 ///
 /// References and pointers to a record stay valid until the record is removed or replaced.
 class ActiveRequests {
@@ -31,7 +31,7 @@
   /// Returns the record of a request, which must exist, for reading.
   [[nodiscard]] const RequestRecord& at(RequestId id) const { return records_.at(id); }
 
-  /// Starts the execution of a queued request.
+  /// Records that the execution of a queued request starts.
   void start(RequestRecord& request, Duration now);
 
   /// Puts the request of a cancelled execution back into the queued stage; the work done is lost.
@@ -51,7 +51,7 @@
   /// The requests on the cores in ascending order of their ids.
   [[nodiscard]] const std::set<RequestId>& executing() const { return executing_; }
 
-  /// The number of started executions that have not ended, including those at downstream calls.
+  /// The number of started executions that have not ended, including those that wait for downstream calls.
   [[nodiscard]] int startedCount() const { return startedCount_; }
 
   /// The requests whose response is pending, earliest deadline first.
--- a/src/decision/admission_controller.cpp
+++ b/src/decision/admission_controller.cpp
@@ -106,12 +106,14 @@
 void AdmissionController::learnFromExecution(const RequestRecord& request) {
   const Duration coreTime = now_ - request.startedAt - request.offCoreTime;
   serviceTimes_.recordExecution(request.arrival, coreTime, request.completedCalls);
-  // Shed and failed requests must not count as low latency. The limit does not cause the time in calls.
+  // Shed and failed requests must not count as low latency. The limit does not cause the time
+  // in calls, so the latency excludes it.
   if (!request.isResponsePending) return;
   const double latencySeconds = toSeconds(now_ - request.arrivedAt - request.offCoreTime);
   limiter_.recordLatency(serviceTimes_.normalizeLatency(request.arrival.handler, latencySeconds));
 }
 
+/// Queues the request of a cancelled execution again if it may be repeated; otherwise sheds or fails it.
 void AdmissionController::requeueCancelled(RequestRecord& request) {
   requests_.requeue(request, now_);
   const double queuedKb = request.arrival.queuedMemoryKb;
@@ -177,11 +179,11 @@
     if (const auto timeout = idleConnections_.update(now_, *event.openConnections))
       emit(SetIdleConnectionTimeout{*timeout});
   }
-  hasIdleCores_ = hasIdleCores(event);
+  limitLeavesCoresIdle_ = limitLeavesCoresIdle(event);
 }
 
 /// Whether the gauges show that cores are idle now while the limit keeps requests in the queue.
-bool AdmissionController::hasIdleCores(const TimerFired& gauges) const {
+bool AdmissionController::limitLeavesCoresIdle(const TimerFired& gauges) const {
   if (!gauges.cpuUtilization || !gauges.runnableTasks || queue_.isEmpty()) return false;
   return *gauges.cpuUtilization < idleUtilization && *gauges.runnableTasks < settings_.machine.cores &&
          requests_.executingCount() >= limiter_.limit();
@@ -200,7 +202,7 @@
   const bool callsWait = !awaitingCall_.empty();
   startExecutions(ceiling, callsWait);
   const double queueWaitSeconds = trimQueue(tolerableSeconds, callsWait);
-  advanceDownstreamCalls(callsWait);
+  processAwaitedCalls(callsWait);
   shedOrFailOverdue();
 
   overload_.update(elapsed, queueWaitSeconds + readDelays_.excessSeconds(), tolerableSeconds);
@@ -225,17 +227,18 @@
 /// Sheds queued requests that can't be answered in time or would wait too long for a downstream call.
 void AdmissionController::shedUnservable(double tolerableSeconds) {
   removeStaleQueueEntries();
-  auto callsAhead = static_cast<double>(awaitingCall_.size());
+  // The downstream calls that wait or that the queued requests are expected to make.
+  auto expectedCalls = static_cast<double>(awaitingCall_.size());
   for (const RequestId id : queue_)
-    callsAhead += serviceTimes_.callsPerExecution(requests_.at(id).arrival.handler);
+    expectedCalls += serviceTimes_.callsPerExecution(requests_.at(id).arrival.handler);
   for (const RequestId id : queue_.oldestFirst()) {
     RequestRecord& request = requests_.at(id);
     const HandlerId handler = request.arrival.handler;
-    const double callWaitSeconds = callsAhead * serviceTimes_.callSeconds() / callBudget_.callLimit();
+    const double callWaitSeconds = expectedCalls * serviceTimes_.callSeconds() / callBudget_.callLimit();
     const bool waitsTooLongForCall =
         serviceTimes_.usuallyCallsDownstream(handler) && callWaitSeconds > tolerableSeconds;
     if (!waitsTooLongForCall && !isTooLate(request)) continue;
-    callsAhead -= serviceTimes_.callsPerExecution(handler);
+    expectedCalls -= serviceTimes_.callsPerExecution(handler);
     shedOrFail(request, waitsTooLongForCall ? ShedCause::unservableAnywhere : ShedCause::localLoad);
   }
   removeStaleQueueEntries();
@@ -264,8 +267,8 @@
   removeStaleQueueEntries();
 }
 
-/// Sheds the oldest requests until the newest one has to wait no longer than is tolerable for the requests
-/// ahead of it and the memory suffices. Returns the seconds that the newest request has to wait.
+/// Sheds the oldest requests until the memory suffices and the newest request has a tolerable wait for the
+/// requests ahead of it. Returns that wait in seconds.
 double AdmissionController::trimQueue(double tolerableSeconds, bool callsWait) {
   double secondsAhead = queuedWorkSeconds(callsWait);
   if (!queue_.isEmpty())
@@ -282,24 +285,26 @@
   return std::max(0.0, secondsAhead) / parallelism;
 }
 
-void AdmissionController::advanceDownstreamCalls(bool callsWait) {
+void AdmissionController::processAwaitedCalls(bool callsWait) {
   for (const RequestId id : std::exchange(awaitingCall_, {})) {
     RequestRecord* request = requests_.find(id);
     if (!request || request->stage != RequestStage::awaitingCall || !request->isResponsePending) continue;
-    advanceDownstreamCall(*request, callsWait);
+    processAwaitedCall(*request, callsWait);
   }
 }
 
-/// Makes the call if the budget allows. If the call would be late or has failed, skips it if a response
-/// without it earns weight, and sheds or fails the request if the call must not be repeated or would be of no
-/// use.
-void AdmissionController::advanceDownstreamCall(RequestRecord& request, bool callsWait) {
+/// Decides about the call that an execution waits for. A call that would be late, or that failed and should
+/// not be retried, is skipped if a response without it earns weight. The request is shed or failed if its
+/// call must not be repeated, has failed too often, or would be late while calls wait. Otherwise the call is
+/// made as soon as the budget has room.
+void AdmissionController::processAwaitedCall(RequestRecord& request, bool callsWait) {
   const RequestId id = request.arrival.id;
   const HandlerPolicy& policy = policyOf(request);
   const int failures = request.consecutiveCallFailures;
   const bool isRepeatable = isIdempotent(request) || provesNotExecuted(request.lastCallOutcome);
   const bool isLate = now_ + fromSeconds(serviceTimes_.callSeconds() * callTimeMargin) > request.target;
-  // While calls are fast and use no quota, a call that fails or gets no reply should be retried.
+  // A call that fails or gets no reply may be retried while calls are fast and use no quota, if it is safe to
+  // repeat.
   const bool mayRetryCalls =
       !callBudget_.hasQuota() && serviceTimes_.callSlowdown() < maxSlowdownForRetry && isRepeatable;
   const bool shouldRetry =
@@ -317,6 +322,8 @@
   }
 }
 
+/// Makes the call. If `shouldRetryOutlier`, a call that takes far longer than usual times out, so that it can
+/// be retried.
 void AdmissionController::startDownstreamCall(RequestRecord& request, bool shouldRetryOutlier) {
   requests_.moveTo(request, RequestStage::calling, now_);
   callBudget_.recordCallStart();
@@ -375,7 +382,7 @@
   return settings_.machine.cancellation == CancellationMode::discardWork;
 }
 
-bool AdmissionController::mayRaiseLimit() const { return hasIdleCores_ && now_ >= nextLimitRaise_; }
+bool AdmissionController::mayRaiseLimit() const { return limitLeavesCoresIdle_ && now_ >= nextLimitRaise_; }
 
 /// Returns the current limit on executions. Unread requests can't be shed, and reading shares the cores with
 /// executions: if requests wait long to be read, one core is reserved for reading.
@@ -431,7 +438,7 @@
 
 /// Drops a retained request that was never started: it has no result, so its duplicates must be executed.
 void AdmissionController::dropRetained(const RequestRecord& request) {
-  if (request.hasStarted || !deduplication_.remove(request.arrival.id)) return;
+  if (request.wasEverStarted || !deduplication_.remove(request.arrival.id)) return;
   memory_.release(memory_.cachedEntryKb());
   emit(DropResult{request.arrival.id});
 }
@@ -444,7 +451,7 @@
   const RequestId id = request.arrival.id;
   const bool isLocal = cause == ShedCause::localLoad;
   if (isLocal) overload_.recordShed();
-  if (isIdempotent(request) || (!request.hasStarted && !request.isDuplicate)) {
+  if (isIdempotent(request) || (!request.wasEverStarted && !request.isDuplicate)) {
     emit(ShedRequest{.id = id,
                      .retryAfter = isLocal ? retryAfter() : Duration{},
                      .discourageRetry = !isLocal || shouldDiscourageRetry()});
@@ -471,6 +478,7 @@
   requests_.remove(request.arrival.id);
 }
 
+/// Removes the ids of requests that are no longer queued.
 void AdmissionController::removeStaleQueueEntries() {
   entriesScanned_ += queue_.size();
   queue_.retainIf([this](RequestId id) {
@@ -486,8 +494,8 @@
 }
 
 /// If all servers are overloaded, retries at other servers fail too and only add load. A slow server can't
-/// distinguish a problem of its own from a fleet-wide overload by reading and accepting, which retries of
-/// shed requests increase. So every overloaded server discourages retries, unless it is draining.
+/// tell whether only it is slow, or whether reading and accepting overload the whole fleet; retries of shed
+/// requests increase that load. So every overloaded server discourages retries, unless it is draining.
 bool AdmissionController::shouldDiscourageRetry() const {
   return !drain_.isDraining() && overload_.isOverloaded();
 }
--- a/src/decision/admission_controller.h
+++ b/src/decision/admission_controller.h
@@ -41,7 +41,7 @@
   enum class ShedCause {
     /// The load of this server. It counts as a sign of overload, and another server may still succeed.
     localLoad,
-    /// A slow dependency, or too little time left: another server would not succeed either.
+    /// A slow dependency, or a target that has passed: another server would not succeed either.
     unservableAnywhere,
   };
 
@@ -59,7 +59,7 @@
   void onEvent(const ExecutionEngineStarted& event);
   void learnFromExecution(const RequestRecord& request);
   void requeueCancelled(RequestRecord& request);
-  [[nodiscard]] bool hasIdleCores(const TimerFired& gauges) const;
+  [[nodiscard]] bool limitLeavesCoresIdle(const TimerFired& gauges) const;
 
   /// Runs all decision stages in order.
   void processRequests(Duration elapsed);
@@ -67,8 +67,8 @@
   void shedUnservable(double tolerableSeconds);
   void startExecutions(double ceiling, bool callsWait);
   [[nodiscard]] double trimQueue(double tolerableSeconds, bool callsWait);
-  void advanceDownstreamCalls(bool callsWait);
-  void advanceDownstreamCall(RequestRecord& request, bool callsWait);
+  void processAwaitedCalls(bool callsWait);
+  void processAwaitedCall(RequestRecord& request, bool callsWait);
   void startDownstreamCall(RequestRecord& request, bool shouldRetryOutlier);
   void shedOrFailOverdue();
   void publishLoadSignal();
@@ -120,8 +120,8 @@
   std::vector<Action> actions_;
   Duration now_{};
   Duration nextLimitRaise_{};
-  /// Whether the latest load gauges showed idle cores while requests were queued.
-  bool hasIdleCores_ = false;
+  /// Whether the latest load gauges showed idle cores while the limit kept requests in the queue.
+  bool limitLeavesCoresIdle_ = false;
   bool hasStarted_ = false;
   std::uint64_t entriesScanned_ = 0;
 };
--- a/src/decision/admission_queue.h
+++ b/src/decision/admission_queue.h
@@ -13,8 +13,8 @@
 
 /// Holds the admitted requests that have not started, oldest first.
 ///
-/// Requests start oldest first. Once the queue has been full for some time they start newest first, since the
-/// oldest are then the least likely to be answered in time (adaptive LIFO).
+/// Requests start oldest first. Once the queue has been full for more than a second, they start newest first,
+/// since the oldest are then the least likely to be answered in time (adaptive LIFO).
 class AdmissionQueue {
  public:
   /// Whether the queue is empty.
--- a/src/decision/attempt_age_estimator.h
+++ b/src/decision/attempt_age_estimator.h
@@ -10,12 +10,13 @@
 
 /// Distinguishes retries from first attempts by the time that the client will still wait.
 ///
-/// In first attempts this time is one of a few shares of the client timeout that occur frequently. Any other
-/// value is taken as the rest of the timeout that a retry has left, which gives the time since the first
-/// attempt. If most values are infrequent, as with servers that call other servers, no age is estimated.
+/// For first attempts, this time is a frequent share of the client timeout; only a few shares are frequent.
+/// Any other share is taken as what a retry has left of the timeout, so the rest of the timeout has passed
+/// since the first attempt. If most requests have infrequent shares, as when the clients are servers that
+/// pass on the time that they have left, no age is estimated.
 class AttemptAgeEstimator {
  public:
-  /// Returns the time since the first attempt, 0 if unknown, and adds the value to the statistics.
+  /// Returns the time since the first attempt, 0 if unknown, and counts the share in the statistics.
   [[nodiscard]] Duration estimateAge(Duration timeRemaining, Duration clientTimeout);
 
  private:
--- a/src/decision/concurrency_limiter.h
+++ b/src/decision/concurrency_limiter.h
@@ -10,7 +10,7 @@
 
 /// Moves the concurrency limit towards the lowest latency, one step per interval by the rules of `fuzzyStep`.
 ///
-/// docs/design.md lists the differences from the published controller.
+/// docs/design.md lists the differences from the controller in the paper that fuzzy_rules.h cites.
 class ConcurrencyLimiter {
  public:
   /// Starts with a limit equal to the number of cores; the limit never falls below that number.
@@ -25,7 +25,8 @@
   /// Records that a request had to wait only because of the limit.
   void recordLimitReached() { isLimitReached_ = true; }
 
-  /// Ends the interval when it is due and moves the limit if the limit was reached in the interval.
+  /// Ends the interval if it is due and has enough responses; then moves the limit if it was reached in the
+  /// interval.
   void update(Duration now);
 
   /// Raises the limit by one, at most to the ceiling, regardless of the latency. For use when cores are idle
--- a/src/decision/downstream_call_budget.cpp
+++ b/src/decision/downstream_call_budget.cpp
@@ -62,7 +62,7 @@
   return openCalls_ + static_cast<int>(abandonedUntil_.size());
 }
 
-/// The share of the quota that is kept as a margin, in call-seconds over the window.
+/// The bucket holds the part of the quota that is kept as a margin, in call-seconds over the window.
 double DownstreamCallBudget::bucketCapacity() const {
   return downstream_.concurrentCallQuota * (1 - maxUsedShare) * toSeconds(downstream_.quotaWindow);
 }
--- a/src/decision/downstream_call_budget.h
+++ b/src/decision/downstream_call_budget.h
@@ -22,9 +22,9 @@
 /// Keeps the downstream calls in flight under this server's quota.
 ///
 /// Abandoned calls count until they can no longer occupy the downstream service. While calls are slow, a
-/// smaller share of the quota is used. A quota below one concurrent call is kept as a mean over time: calls
-/// in flight fill a leaky bucket of call-seconds that drains at the call limit, no call starts while the
-/// bucket is at least half full, and each call times out before the bucket overflows. The mean over the
+/// smaller share of the quota is used. A call limit below one concurrent call is kept as a mean over time:
+/// calls in flight fill a leaky bucket of call-seconds that drains at the call limit, no call starts while
+/// the bucket is at least half full, and each call times out before the bucket overflows. The mean over the
 /// quota's window therefore holds even if no call is ever answered.
 class DownstreamCallBudget {
  public:
@@ -63,9 +63,11 @@
   [[nodiscard]] int callsInFlight() const;
   [[nodiscard]] double bucketCapacity() const;
 
+  /// The profile, whose quota is the configured quota times the share that was set last.
   DownstreamProfile downstream_;
   const double configuredQuota_;
   int openCalls_ = 0;
+  /// Share of the quota in use; smaller while calls are slow.
   double usedShare_;
   /// Call-seconds in the bucket: those of calls in flight less those that have drained at the call limit.
   double bucketLevel_ = 0;
--- a/src/decision/events.h
+++ b/src/decision/events.h
@@ -25,8 +25,8 @@
 struct RequestArrived {
   RequestId id{};             ///< Identifies the request in all later events and actions.
   HandlerId handler{};        ///< The kind of the request.
-  TenantId tenant{};          ///< The tenant on whose behalf the request is made.
-  ClientId client{};          ///< The process that sent the request.
+  TenantId tenant{};          ///< The tenant on whose behalf it is made. Not used by the policy.
+  ClientId client{};          ///< The process that sent it. Not used by the policy.
   ResourceKey resourceKey{};  ///< The resource that the request reads or writes; zero if it names none.
   /// The retained request that this one repeats, if any.
   std::optional<RequestId> duplicateOf;
--- a/src/decision/execution_ceiling.cpp
+++ b/src/decision/execution_ceiling.cpp
@@ -10,6 +10,7 @@
 
 using namespace std::chrono_literals;
 
+/// The ceiling is this share of what the machine can sustain, less one execution.
 constexpr double usableShare = 0.9;
 
 }  // namespace
--- a/src/decision/execution_ceiling.h
+++ b/src/decision/execution_ceiling.h
@@ -7,9 +7,9 @@
 
 namespace rainhook {
 
-/// Computes the ceiling on executions that have started and not ended. Executions at downstream calls count
-/// too, since the policy does not control when they return to the cores. The ceiling only bounds the
-/// concurrency limit and never raises it.
+/// Calculates the ceiling on executions that have started and not ended. Executions that wait for downstream
+/// calls count too, since the policy does not control when they return to the cores. The ceiling only bounds
+/// the concurrency limit and never raises it.
 class ExecutionCeiling {
  public:
   /// Assumes that the engine started at time 0, cold or warm as the profile states.
--- a/src/decision/load_signal_encoder.cpp
+++ b/src/decision/load_signal_encoder.cpp
@@ -11,6 +11,7 @@
 constexpr double maxOverloadReduction = 0.95;
 /// Smaller changes are not published.
 constexpr double minChange = 0.03;
+/// The smallest credit of a client while the availability is 1.
 constexpr double minClientCredit = 0.2;
 /// Credits for each execution that the limit allows; more than one, since not all clients use their credit.
 constexpr double creditPerExecution = 2;
--- a/src/decision/memory_budget.h
+++ b/src/decision/memory_budget.h
@@ -29,10 +29,11 @@
   /// Memory of a request in execution, calculated from its memory while it is queued.
   [[nodiscard]] double executionKb(double queuedKb) const { return queuedKb * executionMemoryFactor_; }
 
-  /// Memory of one retained result.
+  /// Memory of one retained result, that is, one entry of the deduplication cache.
   [[nodiscard]] double cachedEntryKb() const { return cachedEntryKb_; }
 
  private:
+  /// The share of the memory that may be reserved; the rest is the margin.
   static constexpr double usableShare = 0.94;
 
   const double capacityKb_;
--- a/src/decision/overload_detector.h
+++ b/src/decision/overload_detector.h
@@ -6,14 +6,14 @@
 
 namespace rainhook {
 
-/// Derives the severity of an overload from two signs: the wait that a request arriving now would have, and
-/// the share of recent requests that were shed. The second sign is needed if the queue holds only one or two
-/// requests, when the wait does not show the overload.
+/// Derives the severity of an overload from two signs: a level that rises while a request that arrives now
+/// would wait too long, and the share of recent requests that were shed. The second sign is needed if the
+/// queue holds only one or two requests, when the wait does not show the overload.
 class OverloadDetector {
  public:
   /// Accounts for elapsed time during which a new request would have waited `waitSeconds`. The level rises in
-  /// proportion to the excess over half of `tolerableSeconds`, up to a maximum rate; without an excess it
-  /// falls at a constant rate.
+  /// proportion to the excess of the wait over half of `tolerableSeconds`, up to a maximum rate; without an
+  /// excess it falls at a constant rate.
   void update(Duration elapsed, double waitSeconds, double tolerableSeconds);
 
   /// Records a request that was read, which lowers the share of shed requests.
--- a/src/decision/read_delay_estimator.h
+++ b/src/decision/read_delay_estimator.h
@@ -7,10 +7,11 @@
 namespace rainhook {
 
 /// Averages the time between the arrival of a request and its reading, and reports by how much the average
-/// exceeds the usual time. Unread requests can't be shed, and reading shares the cores with executions.
+/// exceeds the usual delay, which is up to twice the minimum. The excess matters because unread requests
+/// can't be shed and reading shares the cores with executions.
 class ReadDelayEstimator {
  public:
-  /// Records the delay of one request. In the average, the delay counts at most as the client timeout.
+  /// Records the delay of one request. In the average, the delay counts as at most `clientTimeout`.
   void recordArrival(Duration readDelay, Duration clientTimeout);
 
   /// Accounts for elapsed time: the minimum delay rises slowly, so that an outdated minimum is replaced.
--- a/src/decision/request_record.h
+++ b/src/decision/request_record.h
@@ -17,7 +17,7 @@
   calling,           ///< Off the cores; its downstream call is open.
 };
 
-/// One request, from its arrival until its response is settled and its execution has ended.
+/// One request, from its arrival until it needs no response any more and its execution has ended.
 struct RequestRecord {
   RequestArrived arrival;  ///< The request as it was reported when it was read.
   /// When it reached the machine, before it was read.
@@ -30,13 +30,13 @@
   Duration startedAt{};                        ///< When its last execution started; 0 before the first.
   /// When it last left the cores for a downstream call.
   Duration leftCoresAt{};
-  /// Time that it has spent off the cores since its start.
+  /// Time that it has spent off the cores for downstream calls, in all its executions.
   Duration offCoreTime{};
   int completedCalls = 0;           ///< Downstream calls that completed, in all its executions.
   int consecutiveCallFailures = 0;  ///< Downstream calls that failed since the last completed one.
   Outcome lastCallOutcome = Outcome::completed;  ///< Outcome of the last call that ended; `completed` before.
   bool isResponsePending = true;                 ///< Whether it still needs a response.
-  bool hasStarted = false;  ///< Whether it was ever started, including cancelled executions.
+  bool wasEverStarted = false;  ///< Whether it was ever started, including cancelled executions.
   /// Whether it is a duplicate of a request that may have been executed.
   bool isDuplicate = false;
 };
--- a/src/decision/request_timing.cpp
+++ b/src/decision/request_timing.cpp
@@ -14,6 +14,7 @@
 
 /// The share of the slack that requests may spend in the queue.
 constexpr double queueShareOfSlack = 0.3;
+/// The tolerable wait is at least this long.
 constexpr double minTolerableSeconds = 0.05;
 /// More slack than any handler has.
 constexpr double unlimitedSlackSeconds = 1e9;
--- a/src/decision/request_timing.h
+++ b/src/decision/request_timing.h
@@ -31,7 +31,7 @@
   [[nodiscard]] bool isTooLate(const RequestRecord& request, Duration now, bool isUnderPressure) const;
 
   /// How long requests may wait in the queue: a share of the slack (the latency objective less the estimated
-  /// execution and call times) of the handler with the least slack.
+  /// execution and call times) of the handler with the least slack, but at least 0.05 s.
   [[nodiscard]] double tolerableQueueSeconds() const;
 
  private:
--- a/src/decision/service_time_estimator.cpp
+++ b/src/decision/service_time_estimator.cpp
@@ -16,11 +16,13 @@
 constexpr Duration halfLife = 1500ms;
 /// Relative growth of the minimum latency per second.
 constexpr double minLatencyGrowth = 0.02;
-constexpr double minLatencySeconds = 0.001;
+/// A minimum latency is never set below this.
+constexpr double smallestMinLatencySeconds = 0.001;
 /// A call that takes this many times as long as usual is an outlier.
 constexpr double outlierFactor = 8;
 constexpr double minCallSamplesForOutliers = 10;
-/// A long-term mean gives a new sample a weight of one over the number of samples, which is capped.
+/// A long-term mean gives a new sample a weight of one over the number of samples, which is capped. In the
+/// execution time, the initial estimate counts as one more sample.
 constexpr double maxExecutionSamples = 50;
 constexpr double maxCallSamples = 200;
 /// Weight of the expected value in the measured rates, in units of completed work.
@@ -110,7 +112,7 @@
 double ServiceTimeEstimator::normalizeLatency(HandlerId handler, double latencySeconds) {
   HandlerStatistics& statistics = handlers_[indexOf(handler)];
   if (statistics.minLatencySeconds == 0 || latencySeconds < statistics.minLatencySeconds)
-    statistics.minLatencySeconds = std::max(latencySeconds, minLatencySeconds);
+    statistics.minLatencySeconds = std::max(latencySeconds, smallestMinLatencySeconds);
   return latencySeconds / statistics.minLatencySeconds;
 }
 
--- a/src/decision/settings.h
+++ b/src/decision/settings.h
@@ -54,7 +54,7 @@
   Duration warmUpDuration{};
   /// Concurrent executions, for each core, that a warm server can sustain.
   double maxExecutionsPerCore = 1;
-  /// How long the server can sustain more executions than that. Not used by the policy.
+  /// How long the server can sustain more executions than `maxExecutionsPerCore`. Not used by the policy.
   Duration overcommitWindow{};
   CancellationMode cancellation = CancellationMode::none;  ///< The effect of a cancellation.
 };
@@ -67,13 +67,14 @@
   double objectiveWorkFactor = 0;
   /// How long a client waits if the request does not state it.
   Duration clientTimeout{};
-  /// Weight of a response within the latency objective, relative to other handlers.
+  /// Weight of a response within the latency objective, relative to other handlers. Not used by the policy.
   double priorityWeight = 1;
   /// Weight of a response after the latency objective.
   double lateWeight = 0;
   /// Share of the weight that a response earns if the downstream call was skipped; 0 if it can't be skipped.
   double degradedWeight = 0;
-  bool callsDownstream = false;                       ///< Whether executions may make downstream calls.
+  /// Whether executions may make downstream calls. Not used by the policy, which measures the calls.
+  bool callsDownstream = false;
   Idempotency idempotency = Idempotency::idempotent;  ///< Whether requests may be executed more than once.
   /// How long after the arrival of a keyed request duplicates may arrive.
   Duration deduplicationWindow{};
@@ -81,8 +82,8 @@
 
 /// The downstream service and this server's quota of it.
 struct DownstreamProfile {
-  DownstreamKind kind = DownstreamKind::none;  ///< The kind of service.
-  /// Mean number of concurrent calls that this server may have open; 0 for no limit.
+  DownstreamKind kind = DownstreamKind::none;  ///< The kind of service. Not used by the policy.
+  /// The quota: the mean number of concurrent calls that this server may have open; 0 for no limit.
   double concurrentCallQuota = 0;
   /// The window over which that mean is taken.
   Duration quotaWindow{};
@@ -92,7 +93,7 @@
 
 /// The limits that the protocol sets.
 struct ProtocolLimits {
-  /// How long after the client's deadline a response may still be sent.
+  /// How long after the client's deadline a response may still be sent. Not used by the policy.
   Duration answerSlack{};
   /// How long after a shutdown notice requests that arrive may still be executed.
   Duration drainGrace{};
@@ -101,9 +102,9 @@
 /// How this server informs its clients about its load.
 struct SignalingProfile {
   LoadSignalKind signalKind = LoadSignalKind::none;  ///< The kind of the load signal.
-  /// How long a client uses a load signal that it has received.
+  /// How long a client uses a load signal that it has received. Not used by the policy.
   Duration signalLifetime{};
-  /// Whether the endpoint registry follows the published health.
+  /// Whether the endpoint registry follows the published health. Not used by the policy.
   bool registryFollowsHealth = false;
   /// Longest retry-after advice; 0 if clients do not receive such advice.
   Duration maxRetryAfter{};
@@ -112,6 +113,7 @@
 /// How results are weighted, and whether requests may share them.
 struct ResultSharing {
   /// Whether a response counts in proportion to the work of its request; otherwise each response counts 1.
+  /// Not used by the policy.
   bool weightByWork = false;
   /// How long the result of a read may answer other reads of the same resource; 0 for never.
   Duration sharingDuration{};
--- a/src/pools/pool_limiter.cpp
+++ b/src/pools/pool_limiter.cpp
@@ -20,29 +20,29 @@
 
 }  // namespace
 
-void PoolLimiter::onResponse(double latencyRatio) {
-  latencyRatioSum_ += latencyRatio;
+void PoolLimiter::recordLatency(double relativeLatency) {
+  latencySum_ += relativeLatency;
   ++responses_;
 }
 
 double PoolLimiter::endInterval() {
   if (responses_ < minResponses) return 0;
-  const double mean = latencyRatioSum_ / responses_;
+  const double mean = latencySum_ / responses_;
   double change = 0;
   if (isLimitReached_) {
     change = nextStep(mean);
     lastStep_ = change;
-    lastMeanLatencyRatio_ = mean;
+    previousMeanLatency_ = mean;
   }
-  latencyRatioSum_ = 0;
+  latencySum_ = 0;
   responses_ = 0;
   isLimitReached_ = false;
   return change;
 }
 
-double PoolLimiter::nextStep(double meanLatencyRatio) const {
-  if (lastMeanLatencyRatio_ == 0) return firstStep;
-  const double latencyChange = meanLatencyRatio - lastMeanLatencyRatio_;
+double PoolLimiter::nextStep(double meanLatency) const {
+  if (previousMeanLatency_ == 0) return firstStep;
+  const double latencyChange = meanLatency - previousMeanLatency_;
   const double step = fuzzyStep(lastStep_ * stepGain, latencyChange * latencyGain) / stepGain;
   if (std::abs(step) >= minStep) return step;
   return step > 0 ? minStep : -minStep;
--- a/src/pools/pool_limiter.h
+++ b/src/pools/pool_limiter.h
@@ -9,10 +9,10 @@
 /// differences from the paper. The object has a constant size and is not thread-safe.
 class PoolLimiter {
  public:
-  /// Records a response; `latencyRatio` is its latency over the minimum latency of its handler.
-  void onResponse(double latencyRatio);
+  /// Records the latency of a response relative to the minimum latency of its handler.
+  void recordLatency(double relativeLatency);
   /// Records that the limit made a request of the pool wait in this interval.
-  void onLimitReached() { isLimitReached_ = true; }
+  void recordLimitReached() { isLimitReached_ = true; }
   /// Whether the limit made a request of the pool wait in this interval.
   [[nodiscard]] bool isLimitReached() const { return isLimitReached_; }
 
@@ -22,13 +22,13 @@
   [[nodiscard]] double endInterval();
 
  private:
-  [[nodiscard]] double nextStep(double meanLatencyRatio) const;
+  [[nodiscard]] double nextStep(double meanLatency) const;
 
-  double lastStep_ = 0;              ///< the previous change of the limit, in executions
-  double lastMeanLatencyRatio_ = 0;  ///< the mean that led to that change; 0 before the first change
-  double latencyRatioSum_ = 0;       ///< sum over the responses of this interval
-  int responses_ = 0;                ///< number of responses in this interval
-  bool isLimitReached_ = false;      ///< whether the limit was reached in this interval
+  double lastStep_ = 0;             ///< the previous change of the limit, in executions
+  double previousMeanLatency_ = 0;  ///< the mean that led to that change; 0 before the first change
+  double latencySum_ = 0;           ///< sum over the responses of this interval
+  int responses_ = 0;               ///< number of responses in this interval
+  bool isLimitReached_ = false;     ///< whether the limit was reached in this interval
 };
 
 }  // namespace rainhook::pools
--- a/src/pools/pool_settings.h
+++ b/src/pools/pool_settings.h
@@ -29,9 +29,10 @@
 
 /// The measurements of an execution at its end.
 struct ExecutionReport {
-  double coreSeconds = 0;   ///< time on the cores
-  double latencyRatio = 0;  ///< its latency over the minimum latency of its handler
-  double earnedWeight = 0;  ///< 0 if it ended after its latency objective or its client no longer waits
+  double coreSeconds = 0;      ///< time on the cores
+  double relativeLatency = 0;  ///< its latency over the minimum latency of its handler
+  /// Weight of its response; 0 if it ended after its latency objective or its client no longer waits.
+  double earnedWeight = 0;
 };
 
 }  // namespace rainhook::pools
--- a/src/pools/pool_statistics.cpp
+++ b/src/pools/pool_statistics.cpp
@@ -10,7 +10,8 @@
 constexpr double arrivalHalfLifeSeconds = 0.1;
 /// Long enough that a few executions hardly change the weight per core second.
 constexpr double weightHalfLifeSeconds = 4;
-/// The share of the difference that each execution adds to the service time.
+/// The share of the difference between the measured and the estimated service time by which each execution
+/// changes the estimate.
 constexpr double serviceTimeGain = 0.05;
 /// In the weight per core second, the settings count like this many executions.
 constexpr double priorExecutions = 4;
--- a/src/pools/work_pools.cpp
+++ b/src/pools/work_pools.cpp
@@ -21,7 +21,7 @@
 /// executions gains or loses credit.
 constexpr double minCreditSeconds = 1e-3;
 
-double toSeconds(Duration span) { return std::chrono::duration<double>(span).count(); }
+double toSeconds(Duration duration) { return std::chrono::duration<double>(duration).count(); }
 
 int roundDown(double limit) { return static_cast<int>(limit + roundingTolerance); }
 
@@ -37,7 +37,7 @@
 
 void WorkPools::onExecutionEnded(PoolId pool, const ExecutionReport& report) {
   at(pool).statistics.onExecutionEnded(report);
-  if (report.earnedWeight > 0) at(pool).limiter.onResponse(report.latencyRatio);
+  if (report.earnedWeight > 0) at(pool).limiter.recordLatency(report.relativeLatency);
 }
 
 std::span<const int> WorkPools::concurrencyLimits(Duration now, double total,
@@ -79,7 +79,7 @@
 /// weight per core second, down to their reserves. Gives an unused rest to the pool that earns the most among
 /// those whose limit was reached, or among all pools if no limit was reached.
 void WorkPools::fitToTotal(double total) {
-  const std::vector<std::size_t> byWeight = poolsByWeight();
+  const std::vector<std::size_t> byWeight = poolsByWeightPerCoreSecond();
   double excess = clampLimits(total);
   for (const std::size_t index : byWeight) {
     if (excess <= 0) break;
@@ -107,7 +107,7 @@
 }
 
 /// Returns the indices of the pools in ascending order of their weight per core second.
-std::vector<std::size_t> WorkPools::poolsByWeight() const {
+std::vector<std::size_t> WorkPools::poolsByWeightPerCoreSecond() const {
   std::vector<std::size_t> indices(pools_.size());
   std::iota(indices.begin(), indices.end(), std::size_t{0});
   std::stable_sort(indices.begin(), indices.end(), [this](std::size_t left, std::size_t right) {
@@ -127,33 +127,33 @@
   return remainder;
 }
 
-/// Grants the remaining executions one by one to the pool with the highest credit that needs more. In this
-/// way a pool that needs less than its limit lends the rest.
+/// Grants the remaining executions one by one, each to the pool with the largest shortfall. In this way a
+/// pool that needs less than its limit lends the rest.
 void WorkPools::grantRemainder(int remainder, std::span<const PoolLoad> loads) {
   for (; remainder > 0; --remainder) {
-    const std::optional<std::size_t> pool = poolWithHighestCredit(loads);
+    const std::optional<std::size_t> pool = poolWithLargestShortfall(loads);
     if (!pool) return;
     ++limits_[*pool];
   }
 }
 
-/// Returns, among the pools that need more than they were granted, the one whose limit plus rounding credit
-/// exceeds its grant the most; none if no pool needs more.
-std::optional<std::size_t> WorkPools::poolWithHighestCredit(std::span<const PoolLoad> loads) const {
+/// Returns, among the pools that need more than they were granted, the one with the largest shortfall: its
+/// limit plus its rounding credit, less its grant. Returns none if no pool needs more.
+std::optional<std::size_t> WorkPools::poolWithLargestShortfall(std::span<const PoolLoad> loads) const {
   std::optional<std::size_t> best;
-  double highestCredit = 0;
+  double largestShortfall = 0;
   for (std::size_t i = 0; i < pools_.size(); ++i) {
-    const double credit = pools_[i].limit + pools_[i].roundingCredit - limits_[i];
-    if (!needsMore(i, loads) || (best && credit <= highestCredit)) continue;
+    const double shortfall = pools_[i].limit + pools_[i].roundingCredit - limits_[i];
+    if (!needsMore(i, loads) || (best && shortfall <= largestShortfall)) continue;
     best = i;
-    highestCredit = credit;
+    largestShortfall = shortfall;
   }
   return best;
 }
 
-/// Updates the rounding credits. A pool that needs more gains credit while it executes less than its limit
-/// and loses credit while it executes more. A pool that needs no more loses positive credit immediately, and
-/// its negative credit decays with a half-life of one second.
+/// Updates the rounding credits and records which limits were reached. A pool that needs more gains credit
+/// while it executes less than its limit and loses credit while it executes more. A pool that needs no more
+/// loses positive credit immediately, and its negative credit decays with a half-life of one second.
 void WorkPools::updateCredits(double elapsedSeconds, std::span<const PoolLoad> loads) {
   for (std::size_t i = 0; i < pools_.size(); ++i) {
     Pool& pool = pools_[i];
@@ -161,7 +161,7 @@
       pool.roundingCredit = std::min(pool.roundingCredit, 0.0) * std::exp2(-elapsedSeconds);
       continue;
     }
-    pool.limiter.onLimitReached();
+    pool.limiter.recordLimitReached();
     const double serviceSeconds = std::max(pool.statistics.serviceSeconds(), minCreditSeconds);
     const double gained = (pool.limit - loads[i].executing) * elapsedSeconds / serviceSeconds;
     pool.roundingCredit = std::clamp(pool.roundingCredit + gained, -1.0, 1.0);
--- a/src/pools/work_pools.h
+++ b/src/pools/work_pools.h
@@ -20,7 +20,8 @@
 ///
 /// Invariants:
 /// - The pools' limits add up to at most the total, and to all of it while enough requests are queued.
-/// - A pool with requests never gets less than its reserve.
+/// - `limit` never falls below the pool's reserve. A fraction of an execution is granted as one
+///   execution for part of the time.
 /// - A pool lends the part of its limit that it does not use. It regains that part when the borrower's
 ///   executions end, because no further requests of the borrower start.
 ///
@@ -41,8 +42,8 @@
   [[nodiscard]] std::span<const int> concurrencyLimits(Duration now, double total,
                                                        std::span<const PoolLoad> loads);
 
-  /// The pool's share of the total, in executions including fractions, if all pools needed more than they
-  /// get.
+  /// The pool's share of the total, in executions including fractions. The whole limits that
+  /// `concurrencyLimits` returns differ from it by rounding and lending.
   [[nodiscard]] double limit(PoolId pool) const { return at(pool).limit; }
   /// The recent weight of the pool for each core second, by which the total is divided.
   [[nodiscard]] double weightPerCoreSecond(PoolId pool) const {
@@ -57,7 +58,7 @@
     double reservedRatio = 0;
     PoolLimiter limiter;
     double limit = 0;           ///< in executions, including fractions
-    double roundingCredit = 0;  ///< executions, -1 to 1, that the pool lost to rounding
+    double roundingCredit = 0;  ///< executions, -1 to 1, that the pool lost to rounding; negative: gained
   };
 
   [[nodiscard]] Pool& at(PoolId pool) { return pools_[static_cast<std::size_t>(pool)]; }
@@ -67,14 +68,15 @@
   void followDemand(double total, std::span<const PoolLoad> loads);
   void fitToTotal(double total);
   double clampLimits(double total);
-  [[nodiscard]] std::vector<std::size_t> poolsByWeight() const;
+  [[nodiscard]] std::vector<std::size_t> poolsByWeightPerCoreSecond() const;
   [[nodiscard]] int grantWholeLimits(double total, std::span<const PoolLoad> loads);
   void grantRemainder(int remainder, std::span<const PoolLoad> loads);
-  [[nodiscard]] std::optional<std::size_t> poolWithHighestCredit(std::span<const PoolLoad> loads) const;
+  [[nodiscard]] std::optional<std::size_t> poolWithLargestShortfall(std::span<const PoolLoad> loads) const;
   void updateCredits(double elapsedSeconds, std::span<const PoolLoad> loads);
   [[nodiscard]] bool needsMore(std::size_t pool, std::span<const PoolLoad> loads) const;
 
   std::vector<Pool> pools_;
+  /// The whole limits that `concurrencyLimits` returns.
   std::vector<int> limits_;
   Duration now_{};
   Duration nextAdjustment_{};
--- a/tests/decision/downstream_call_budget_test.cpp
+++ b/tests/decision/downstream_call_budget_test.cpp
@@ -14,7 +14,7 @@
           .maxAbandonedCallDuration = 200ms};
 }
 
-constexpr double usualSpeed = 1;
+constexpr double usualSlowdown = 1;
 
 TEST(DownstreamCallBudgetTest, HasNoLimitsWhenNoQuotaIsConfigured) {
   DownstreamCallBudget budget{DownstreamProfile{}};
@@ -34,9 +34,9 @@
 
 TEST(DownstreamCallBudgetTest, UsesLessButAtLeastThreeTenthsOfQuotaWhenCallsAreSlow) {
   DownstreamCallBudget budget{sharedWithQuota(10)};
-  budget.advance(1ms, 4 * usualSpeed);
+  budget.advance(1ms, 4 * usualSlowdown);
   EXPECT_DOUBLE_EQ(budget.callLimit(), 4);
-  budget.advance(1ms, 100 * usualSpeed);
+  budget.advance(1ms, 100 * usualSlowdown);
   EXPECT_DOUBLE_EQ(budget.callLimit(), 3);
 }
 
@@ -57,14 +57,14 @@
 
 TEST(DownstreamCallBudgetTest, LimitsCallDurationWhenQuotaIsBelowOneCall) {
   DownstreamCallBudget budget{sharedWithQuota(0.5)};
-  // The bucket holds 0.1 calls over 5 s and fills at 0.6 calls after draining; 0.2 s are for an abandoned
-  // call.
+  // The bucket holds 0.1 calls over 5 s, that is, 0.5 call-seconds. An open call adds 1 per second and 0.4
+  // drain (the call limit), so the bucket fills at 0.6 per second. 0.2 s are left for an abandoned call.
   EXPECT_NEAR(static_cast<double>(budget.maxCallDuration().count()), 0.5e9 / 0.6 - 0.2e9, 1e3);
   budget.recordCallStart();
-  budget.advance(500ms, usualSpeed);
+  budget.advance(500ms, usualSlowdown);
   budget.recordCallEnd(500ms, CallEnd::finished);
   EXPECT_FALSE(budget.hasRoom(500ms));  // The bucket is more than half full.
-  budget.advance(500ms, usualSpeed);
+  budget.advance(500ms, usualSlowdown);
   EXPECT_TRUE(budget.hasRoom(1s));
 }
 
--- a/tests/decision_recording_test.cpp
+++ b/tests/decision_recording_test.cpp
@@ -43,7 +43,7 @@
 
 const std::string recordingFile = RAINHOOK_SOURCES "/tests/data/decision_recording.txt";
 
-constexpr int seeds = 40;
+constexpr int seedCount = 40;
 constexpr int batchesPerHash = 10;
 
 /// SplitMix64 with draws that need no library. Durations are multiples of a grain: a coarse grain produces
@@ -710,6 +710,7 @@
   RandomSource random_;
   const PolicySettings settings_;
   const int batches_;
+  /// Whether a shutdown notice is reported after four fifths of the batches.
   const bool drains_;
   const bool reportsGauges_;
   /// The two frequent shares of the client timeout for which clients wait.
@@ -744,7 +745,7 @@
 std::vector<std::string> simulateAllHistories(ActionCounts& counts) {
   std::vector<std::string> lines;
   for (std::size_t variant = 0; variant < variantNames.size(); ++variant)
-    for (int seed = 1; seed <= seeds; ++seed) {
+    for (int seed = 1; seed <= seedCount; ++seed) {
       const auto which = static_cast<Variant>(variant);
       History history(which, seed);
       lines.push_back(recordingLine(historyName(which, seed), history.run(counts)));
--- a/tests/decision_test.cpp
+++ b/tests/decision_test.cpp
@@ -39,15 +39,15 @@
     model.advance(0ms);
   }
 
-  /// Simulates a load in which the cores together complete one request every `each` / cores and `queued`
-  /// requests always wait.
-  void loadFor(Duration duration, Duration each, int queued) {
+  /// Simulates a load in which each core completes one request every `executionTime` and `queued` requests
+  /// always wait.
+  void loadFor(Duration duration, Duration executionTime, int queued) {
     const Duration until = model.now + duration;
     while (model.now < until) {
       for (int i = model.countIn(RequestState::queued); i < queued; ++i) model.arrive();
       model.advance(0ms);
       const std::vector<RequestId> ids = model.idsIn(RequestState::executing);
-      model.advance(each / cores());
+      model.advance(executionTime / cores());
       if (!ids.empty() && stateOf(ids.front()) == RequestState::executing) model.endExecution(ids.front());
       model.advance(0ms);
     }
@@ -283,7 +283,7 @@
 
 // Guards against executions that only wait for a downstream call while the dependency is slow: requests that
 // usually call stay queued, others start.
-TEST_F(DownstreamCallTest, KeepsCallingRequestsQueuedWhenCallsWaitForQuota) {
+TEST_F(DownstreamCallTest, KeepsRequestsThatUsuallyCallQueuedWhenCallsWaitForQuota) {
   model.settings.downstream = {.kind = DownstreamKind::shared,
                                .concurrentCallQuota = 2,
                                .quotaWindow = 5s,
@@ -307,11 +307,11 @@
   startCall();
   startCall();
   ASSERT_EQ(model.countIn(RequestState::awaitingCall), 1);
-  const RequestId calling = model.arrive(1);
-  const RequestId plain = model.arrive(0);
+  const RequestId withCall = model.arrive(1);
+  const RequestId withoutCall = model.arrive(0);
   model.advance(0ms);
-  EXPECT_EQ(stateOf(calling), RequestState::queued);
-  EXPECT_EQ(stateOf(plain), RequestState::executing);
+  EXPECT_EQ(stateOf(withCall), RequestState::queued);
+  EXPECT_EQ(stateOf(withoutCall), RequestState::executing);
 }
 
 // Guards against exceeding a quota below one call per server, as with hundreds of servers: it must hold over
@@ -471,7 +471,7 @@
 
 // Guards against executing requests that arrive after the drain grace, and against requests that have no
 // response when the server stops.
-TEST_F(GracefulShutdownTest, StartsNothingAfterGracePeriodAndAnswersAllBeforeStop) {
+TEST_F(GracefulShutdownTest, StartsNothingAfterDrainGraceAndAnswersAllBeforeStop) {
   model.open();
   const RequestId before = arriveNow(0, 9s);
   model.announceShutdown(3s);
--- a/tests/pool_limiter_test.cpp
+++ b/tests/pool_limiter_test.cpp
@@ -11,9 +11,9 @@
 
 class PoolLimiterTest : public testing::Test {
  protected:
-  double runInterval(int responses, double latencyRatio, bool isLimitReached) {
-    for (int response = 0; response < responses; ++response) limiter_.onResponse(latencyRatio);
-    if (isLimitReached) limiter_.onLimitReached();
+  double runInterval(int responses, double relativeLatency, bool isLimitReached) {
+    for (int response = 0; response < responses; ++response) limiter_.recordLatency(relativeLatency);
+    if (isLimitReached) limiter_.recordLimitReached();
     return limiter_.endInterval();
   }
 
--- a/tests/work_pools_recording_test.cpp
+++ b/tests/work_pools_recording_test.cpp
@@ -87,8 +87,8 @@
 
   void drawWorkload(SimulatedPool& pool) {
     pool.serviceMillis = random_.between(5, 150);
-    const double atCapacity = total_ * 1000 / static_cast<double>(pool.serviceMillis);
-    const auto maxArrivals = static_cast<std::int64_t>(atCapacity * 1.5) + 1;
+    const double capacityPerSecond = total_ * 1000 / static_cast<double>(pool.serviceMillis);
+    const auto maxArrivals = static_cast<std::int64_t>(capacityPerSecond * 1.5) + 1;
     pool.arrivalsPerSecond = random_.percent(15) ? 0 : random_.between(0, maxArrivals);
   }
 
@@ -108,9 +108,9 @@
     for (std::int64_t i = 0; i < completed; ++i) {
       --pool.load.executing;
       const double coreSeconds = random_.thousandths(pool.serviceMillis / 2, pool.serviceMillis * 2);
-      const double latencyRatio = random_.thousandths(1000, 1500 + 100 * pool.load.queued);
+      const double relativeLatency = random_.thousandths(1000, 1500 + 100 * pool.load.queued);
       const double weight = random_.percent(20) ? 0 : settings_[index].priorityWeight;
-      workPools_.onExecutionEnded(PoolId(index), {coreSeconds, latencyRatio, weight});
+      workPools_.onExecutionEnded(PoolId(index), {coreSeconds, relativeLatency, weight});
       ++tally.completions;
     }
   }
@@ -130,6 +130,7 @@
     return workPools_.concurrencyLimits(now_, total_, loads_);
   }
 
+  /// Adds the limits to the hash and the step to the tally.
   void addStep(std::span<const int> limits, Tally& tally) {
     bool isAtLimit = false;
     bool hasChanged = false;
--- a/tests/work_pools_test.cpp
+++ b/tests/work_pools_test.cpp
@@ -21,8 +21,8 @@
 constexpr double valuableWeight = 2;
 constexpr double bulkWeight = 1;
 
-std::vector<PoolSettings> twoPools(double reservedForBulk) {
-  return {{"valuable", valuableWeight, 0, 0.1}, {"bulk", bulkWeight, reservedForBulk, 0.1}};
+std::vector<PoolSettings> twoPools(double reservedRatioOfBulk) {
+  return {{"valuable", valuableWeight, 0, 0.1}, {"bulk", bulkWeight, reservedRatioOfBulk, 0.1}};
 }
 
 int sumOfExecuting(const std::vector<PoolLoad>& loads) {
@@ -188,7 +188,8 @@
   server.run(5s);
   server.startArrivals(valuable, 15ms);  // needs nearly seven
   server.run(500ms);
-  EXPECT_GE(server.limit(valuable), 15.0 / 2.7) << "the demand, less the part that does not count as a jump";
+  EXPECT_GE(server.limit(valuable), 15.0 / 2.7)
+      << "the demand of 100 / 15 executions, divided by the jump factor of 1.2";
   server.changeArrivals(valuable, 50ms);
   server.run(2s);
   EXPECT_GE(server.executing(bulk), 5) << "the bulk pool regains its cores when the demand falls";
@@ -220,9 +221,9 @@
   for (int i = 0; i < variation % 4; ++i) workPools.onRequestArrived(PoolId(index));
   if (load.executing > 0 && variation % 2 == 0) {
     --load.executing;
-    const double latencyRatio = 1 + variation % 3;
+    const double relativeLatency = 1 + variation % 3;
     const double earnedWeight = variation % 5 == 0 ? 0 : 1;
-    workPools.onExecutionEnded(PoolId(index), {0.05, latencyRatio, earnedWeight});
+    workPools.onExecutionEnded(PoolId(index), {0.05, relativeLatency, earnedWeight});
   }
 }
 
