--- a/src/peers/client_connections.cpp
+++ b/src/peers/client_connections.cpp
@@ -10,23 +10,25 @@
 
 using namespace std::chrono_literals;
 
-/// The amount of pending output above which the connection is no longer read.
-constexpr std::size_t maxBacklogBytes = 32 * 1024;
+/// The amount of pending output above which the server does not read from the connection.
+constexpr std::size_t maxPendingBytes = 32 * 1024;
 /// How long a client may keep an idle connection open after it was asked to close it.
 constexpr Duration closeRequestTimeout = 1s;
-/// The same for a connection that never sent a message: the protocol requires its client to react within 50
-/// ms.
+/// How long a client may do so if it never sent a message. The protocol requires such a client to react
+/// within 50 ms.
 constexpr Duration closeRequestTimeoutWhenNeverUsed = 150ms;
 /// How long the server waits for the client to close its side after it has shut down its own.
 constexpr Duration peerCloseTimeout = 500ms;
-/// How long a new connection may send no message, and a partial message may receive no further bytes.
+/// How long a client may send no message after it has connected, and no further bytes of a partial message.
 constexpr Duration inactivityTimeout = 2s;
 
 }  // namespace
 
 bool ClientConnection::isIdle() const { return openRequests.empty() && connection->pendingBytes() == 0; }
 
-bool ClientConnection::hasFullBacklog() const { return connection->pendingBytes() > maxBacklogBytes; }
+bool ClientConnection::hasExcessivePendingOutput() const {
+  return connection->pendingBytes() > maxPendingBytes;
+}
 
 ClientConnections::ClientConnections(logging::Log& log, Listener& listener, Limits limits,
                                      std::optional<Duration> longestClientTimeout)
@@ -71,7 +73,7 @@
 
 void ClientConnections::resumeReading(ConnectionId id) {
   const ClientConnection* client = find(id);
-  if (client && !client->hasFullBacklog() && !client->hasViolatedProtocol)
+  if (client && !client->hasExcessivePendingOutput() && !client->hasViolatedProtocol)
     client->connection->resumeReading();
 }
 
@@ -92,12 +94,12 @@
 bool ClientConnections::evictIdleFrom(LeastRecentlyUsedList& candidates) {
   for (std::size_t remaining = candidates.size(); remaining > 0 && !candidates.empty(); --remaining) {
     const ConnectionId id = candidates.front();
-    ++entriesScanned_;
-    // Reads what the client has already sent before deciding. The eviction does not wait for the client to
-    // close its side, because a new connection needs the place now.
+    ++connectionsScanned_;
+    // Before the decision, reads what the client has already sent. The eviction does not wait for the client
+    // to close its side, because a new connection needs the descriptor now.
     if (const auto& client = connections_.at(id); client.isIdle()) client.connection->readNow();
     const ClientConnection* client = find(id);
-    if (!client) return true;
+    if (!client) return true;  // the connection ended during the read
     if (client->isIdle()) {
       remove(id);
       return true;
@@ -123,8 +125,8 @@
   for (const ConnectionId id : allIds()) closeGracefully(id);
 }
 
-// The regular way to close a connection that the client has not closed and that is not broken; only an
-// eviction and the output limit close such a connection at once. The server first reads everything that the
+// Connections that the client has not closed and that are not broken are closed in this way; only an eviction
+// and the output limit close such a connection immediately. The server first reads everything that the
 // client has sent, because closing a socket with unread input resets the connection and drops responses that
 // are in transit. If this input contains a request, the request is served and the connection stays open.
 // Otherwise the server shuts down its sending side and serves no further requests. The socket is closed when
@@ -150,12 +152,12 @@
         std::max_element(connections_.begin(), connections_.end(), [](const auto& left, const auto& right) {
           return left.second.connection->pendingBytes() < right.second.connection->pendingBytes();
         });
-    const std::size_t backlogBytes = slowest->second.connection->pendingBytes();
-    pendingBytes -= backlogBytes;
+    const std::size_t connectionBytes = slowest->second.connection->pendingBytes();
+    pendingBytes -= connectionBytes;
     log_.message(logging::LogCategory::listener,
                  "client connection closed: the client does not read its responses, {} bytes of output are "
                  "pending; the limit for all clients is {} bytes",
-                 backlogBytes, limits_.pendingOutputBytes);
+                 connectionBytes, limits_.pendingOutputBytes);
     remove(slowest->first);
   }
 }
--- a/src/peers/client_connections.h
+++ b/src/peers/client_connections.h
@@ -48,15 +48,15 @@
   /// The position of the connection in its list of least recently used connections.
   std::list<ConnectionId>::iterator leastRecentlyUsedPosition;
 
-  /// Returns whether no request is open and no output waits to be sent.
+  /// Returns whether no request is open and no output is pending.
   [[nodiscard]] bool isIdle() const;
-  /// Returns whether so much output waits to be sent that reading is paused until the client has read some of
-  /// it.
-  [[nodiscard]] bool hasFullBacklog() const;
+  /// Returns whether so much output is pending that the server does not read from the connection until the
+  /// client has read some of the output.
+  [[nodiscard]] bool hasExcessivePendingOutput() const;
 };
 
 /// Owns the client connections and decides which of them are asked to close, closed or evicted. Must be used
-/// on the reactor's thread only.
+/// on the event-loop thread only.
 class ClientConnections {
  public:
   /// Receives a notification of every connection that ends, whatever the reason.
@@ -70,12 +70,12 @@
   struct Limits {
     /// The number of connections that may be open at the same time.
     std::size_t connections = 0;
-    /// The number of bytes that may wait to be sent, over all connections.
+    /// The number of bytes of output that may be pending, over all connections.
     std::size_t pendingOutputBytes = 0;
   };
 
-  /// A message may take only slightly longer than `longestClientTimeout` to arrive, because after that time
-  /// its client no longer waits for a response; none if no handler is known. The log and the listener must
+  /// `longestClientTimeout` is none if no handler is known. A message may take only slightly longer than this
+  /// time to arrive, because its client then no longer waits for a response. The log and the listener must
   /// outlive this object.
   ClientConnections(logging::Log& log, Listener& listener, Limits limits,
                     std::optional<Duration> longestClientTimeout);
@@ -99,7 +99,7 @@
   /// Records that the client has shut down its sending side. An idle connection is closed; on any other the
   /// client may still read responses.
   void onHalfClosed(ConnectionId id);
-  /// Resumes reading if it was paused because of a full backlog and the backlog has been sent.
+  /// Resumes reading if it was paused because of pending output, enough of which has been sent since.
   void resumeReading(ConnectionId id);
   /// Closes the connection and notifies the listener. Does nothing if the connection has ended.
   void remove(ConnectionId id);
@@ -110,18 +110,19 @@
   bool evictIdle();
   /// Asks every client, including those that connect later, to close its connection after its last response.
   void startDraining();
-  /// Closes idle connections without waiting for the clients to close them.
+  /// Starts to close all idle connections gracefully, even if their clients have not been asked to close
+  /// them.
   void closeIdle();
   /// Sets how long a connection may be idle; without a timeout, idle connections stay open.
   void setIdleTimeout(std::optional<Duration> timeout) { idleTimeout_ = timeout; }
-  /// Closes overdue connections, asks idle clients to close, enforces the output limit and resumes paused
-  /// connections. Must be called every `sweepInterval`.
+  /// Closes connections that have exceeded a time limit, asks idle clients to close theirs, enforces the
+  /// output limit and resumes reading. Must be called every `sweepInterval`.
   void sweep();
   /// The time between two calls of sweep().
   static constexpr Duration sweepInterval = std::chrono::milliseconds(100);
 
   /// @return how many connections evictIdle() has visited so far.
-  [[nodiscard]] std::uint64_t entriesScanned() const { return entriesScanned_; }
+  [[nodiscard]] std::uint64_t connectionsScanned() const { return connectionsScanned_; }
 
  private:
   using LeastRecentlyUsedList = std::list<ConnectionId>;
@@ -145,7 +146,7 @@
   LeastRecentlyUsedList neverUsed_, used_;
   bool isDraining_ = false;
   std::optional<Duration> idleTimeout_;
-  std::uint64_t entriesScanned_ = 0;
+  std::uint64_t connectionsScanned_ = 0;
 };
 
 }  // namespace rainhook::peers
--- a/src/peers/downstream_client.cpp
+++ b/src/peers/downstream_client.cpp
@@ -106,7 +106,8 @@
 }
 
 // Reads once more before the call times out: a reply that arrived in time may be unread because the machine
-// was paused or the current iteration of the event loop is long.
+// was paused or the current iteration of the event loop is long. If the read ends the call, `finish` does
+// nothing.
 void DownstreamClient::onTimeout(RequestId id) {
   const auto connection = calls_.at(id).connection;
   connection->readNow();
--- a/src/peers/downstream_client.h
+++ b/src/peers/downstream_client.h
@@ -17,10 +17,10 @@
 namespace rainhook::peers {
 
 /// Opens a separate connection for each call and closes it when the call ends. On a reused connection, late
-/// bytes of the previous reply may arrive, or the peer may have dropped the connection while it was idle; the
-/// latter cannot be distinguished from a call that was executed. Neither can happen on a new connection. Must
-/// be used on the reactor's thread only. The reactor, the pool, the log and the listener must outlive this
-/// object.
+/// bytes of the previous reply could arrive. The peer could also have dropped it while it was idle, which
+/// cannot be distinguished from a connection that is lost after the peer executed the call. Neither can
+/// happen on a new connection. Must be used on the event-loop thread only. The reactor, the pool, the log and
+/// the listener must outlive this object.
 class DownstreamClient {
  public:
   /// Receives the outcomes of calls.
--- a/src/peers/execution_engine_client.cpp
+++ b/src/peers/execution_engine_client.cpp
@@ -39,8 +39,8 @@
   callbacks.onClosed = [this](net::CloseReason, const std::string& detail) { onConnectionLost(detail); };
   isHandshakeDone_ = false;
   unansweredSince_.reset();
-  // A connection whose other end is no longer served never receives a handshake, so it is replaced by a new
-  // one.
+  // The process at the other end may have ended although the connection was established. In that case no
+  // handshake arrives, and a new connection replaces this one.
   handshakeTimer_ = reactor_.after(responseTimeout, [this] {
     if (isTrueAfterReading([this] { return !isHandshakeDone_; }))
       reconnect(fmt::format("no handshake within {} ms", milliseconds(responseTimeout)));
@@ -118,6 +118,7 @@
   return connection == connection_ && condition();
 }
 
+/// Records the notification as processed; the next subscription acknowledges it to the engine.
 /// @return false if the notification has been processed before.
 bool ExecutionEngineClient::acknowledge(NotificationNumber number) {
   if (!number) throw codec::ProtocolError("notification of the execution engine without a valid number");
@@ -163,6 +164,7 @@
 
 void ExecutionEngineClient::handle(EngineDownstreamCallRequested& message) {
   if (!acknowledge(message.number)) return;
+  // A call with an unreadable body cannot be made, so its request ends like one with a rejected command.
   if (message.body)
     listener_.onDownstreamCallRequested(message.requestName, lastNotification_, std::move(*message.body));
   else
--- a/src/peers/execution_engine_client.h
+++ b/src/peers/execution_engine_client.h
@@ -19,7 +19,7 @@
 namespace rainhook::peers {
 
 /// Sends commands to the engine and processes its notifications, each of them once, identified by their
-/// numbers. Reconnects whenever the connection is lost. Must be used on the reactor's thread only. The
+/// numbers. Reconnects whenever the connection is lost. Must be used on the event-loop thread only. The
 /// reactor, the pool, the log and the listener must outlive this object.
 class ExecutionEngineClient {
  public:
@@ -42,7 +42,8 @@
     /// the gauges in the settings.
     virtual void onGauges(std::uint64_t requestId, const std::vector<double>& values) = 0;
     /// Called when the engine did not execute a command, because it does not know the request or does not
-    /// allow the command.
+    /// allow the command. Also called, with the kind `unknown`, when an execution requested a downstream call
+    /// with an unreadable body.
     virtual void onCommandRejected(const std::string& name, EngineCommandKind command) = 0;
   };
 
@@ -60,7 +61,7 @@
   /// The caller sends it again after onNotificationsCaughtUp() if it is still needed.
   /// @{
 
-  /// Makes the engine execute the request with the body as input.
+  /// Starts the execution of the request with the body as input.
   [[nodiscard]] bool startExecution(const std::string& name, const std::string& handler,
                                     std::string_view body);
   /// Continues an execution that waits for this reply.
--- a/src/peers/registry_client.cpp
+++ b/src/peers/registry_client.cpp
@@ -12,12 +12,13 @@
 using namespace std::chrono_literals;
 
 constexpr net::Reactor::Wait reportInterval = 800ms;
-/// The interval after a failed report, and while the registry may still read an older report after the newest
-/// one.
+/// The interval after a failed report, and while the registry may still process an older report after the
+/// newest one.
 constexpr net::Reactor::Wait retryInterval = 250ms;
 constexpr net::Reactor::Wait reportTimeout = 2500ms;
-/// A registry that accepts connections but never responds must not exhaust the reserved descriptors. At the
-/// regular interval, no more reports than this are open at the same time.
+/// The number of reports that may be open at the same time. A registry that accepts connections but never
+/// responds must not exhaust the reserved descriptors. At the regular interval, a report times out before
+/// more are open.
 constexpr std::size_t maxOpenReports = 5;
 /// Jitter shortens an interval by at most the interval divided by `jitterDivisor`, in `jitterSteps` steps.
 constexpr int jitterDivisor = 4;
@@ -33,13 +34,13 @@
 
 RegistryClient::RegistryClient(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log,
                                const net::Connection::Address& address, std::string serverName,
-                               std::uint64_t randomSeed)
+                               std::uint64_t jitterSeed)
     : reactor_(reactor),
       pool_(pool),
       log_(log),
       address_(address),
       serverName_(std::move(serverName)),
-      randomSource_(randomSeed) {}
+      randomSource_(jitterSeed) {}
 
 void RegistryClient::setInService(bool isInService) {
   const bool hasChanged = std::exchange(isInService_, isInService) != isInService;
@@ -107,12 +108,12 @@
   if (it == openReports_.end()) return;
   it->second.connection->close();
   openReports_.erase(it);
-  if (failure && isReachable_)
+  if (failure && wasLastReportAccepted_)
     log_.message(logging::LogCategory::registry,
                  "endpoint registry did not accept a report: {}; reporting continues", *failure);
-  if (!failure && !isReachable_)
+  if (!failure && !wasLastReportAccepted_)
     log_.message(logging::LogCategory::registry, "endpoint registry accepts reports again");
-  isReachable_ = !failure;
+  wasLastReportAccepted_ = !failure;
   isAcknowledged_ = isAcknowledged_ || !failure;
   // Repeats a failed report at the shorter interval if it is the newest. An older report that got no response
   // may have been accepted, and a newer report has been sent already.
--- a/src/peers/registry_client.h
+++ b/src/peers/registry_client.h
@@ -16,17 +16,17 @@
 namespace rainhook::peers {
 
 /// Sends reports periodically, and immediately after a change. Each report uses a separate connection, so
-/// that a late or missing response does not delay the next report. Must be used on the reactor's thread only.
-/// The reactor, the pool and the log must outlive this object.
+/// that a late or missing response does not delay the next report. Must be used on the event-loop thread
+/// only. The reactor, the pool and the log must outlive this object.
 class RegistryClient {
  public:
-  /// `serverName` identifies this server in the registry. `randomSeed` determines the jitter between reports,
+  /// `serverName` identifies this server in the registry. `jitterSeed` determines the jitter between reports,
   /// so that servers that started or lost the registry at the same time do not report at the same time.
   RegistryClient(net::Reactor& reactor, net::BufferPool& pool, logging::Log& log,
-                 const net::Connection::Address& address, std::string serverName, std::uint64_t randomSeed);
+                 const net::Connection::Address& address, std::string serverName, std::uint64_t jitterSeed);
 
-  /// Sets the service state, reports it immediately if it changed or was never reported, and then reports it
-  /// periodically.
+  /// Sets whether the server is in service. Reports this immediately if it changed or was never reported, and
+  /// then periodically.
   void setInService(bool isInService);
   /// Sets the address of the registry. If it changed, reports to the new address immediately.
   void setAddress(const net::Connection::Address& address);
@@ -53,7 +53,7 @@
   const std::string serverName_;
   bool isInService_ = true;
   /// Whether the last report that ended was accepted.
-  bool isReachable_ = true;
+  bool wasLastReportAccepted_ = true;
   bool isAcknowledged_ = false;
   /// The open reports by number. A report is removed when it is answered, fails or times out.
   std::map<std::uint64_t, Report> openReports_;
--- a/src/peers/request_listener.cpp
+++ b/src/peers/request_listener.cpp
@@ -52,8 +52,8 @@
     reactor_.removeEventHandler(serverSocket_, acceptObserver_);
 }
 
-// When the descriptors are exhausted, evicts an idle connection. If none is idle, pauses accepting until a
-// connection ends or a sweep finds an idle one.
+// Evicts an idle connection when the connection limit is reached or an accept fails. If none is idle, pauses
+// accepting until a connection ends or a sweep finds an idle one.
 void RequestListener::acceptPending() {
   try {
     for (int i = 0; i < maxAcceptsPerIteration; ++i) {
@@ -143,7 +143,7 @@
 std::size_t RequestListener::handleFrame(ConnectionId id, std::string_view bytes) {
   ClientConnection& client = connections_.at(id);
   // Pauses reading from a client that does not read its responses.
-  if (client.hasFullBacklog()) {
+  if (client.hasExcessivePendingOutput()) {
     client.connection->pauseReading();
     return 0;
   }
@@ -180,8 +180,8 @@
 void RequestListener::handle(ConnectionId id, const CallMessage& message) {
   ClientConnection& client = connections_.at(id);
   // The client would interpret any response with this number as the response to the open request, so the
-  // connection is closed without one. This is not a ProtocolError, after which open requests would still be
-  // answered.
+  // connection must be closed without one. Throws another type than ProtocolError, because the connection
+  // stays open for the responses to open requests after a ProtocolError.
   if (client.openRequests.contains(message.sequenceNumber))
     throw std::invalid_argument("sequence number " + std::to_string(message.sequenceNumber) +
                                 " belongs to a request that is still open");
--- a/src/peers/request_listener.h
+++ b/src/peers/request_listener.h
@@ -25,7 +25,7 @@
 /// The id of an admitted request, or the reason why it was not admitted.
 using AdmitResult = std::variant<RequestId, FailureReason>;
 
-/// Accepts connections and requests. Must be used on the reactor's thread only. The reactor, the pool, the
+/// Accepts connections and requests. Must be used on the event-loop thread only. The reactor, the pool, the
 /// log and the listener must outlive this object.
 class RequestListener : private ClientConnections::Listener {
  public:
@@ -33,7 +33,7 @@
   struct Listener {
     virtual ~Listener() = default;
     /// Called when a valid request has arrived. The listener may send the response during this call. If it
-    /// returns a reason, the request is answered as failed for that reason.
+    /// returns a reason, RequestListener sends a failure with that reason to the client.
     virtual AdmitResult onRequest(IncomingRequest&& request) = 0;
     /// Called when the client has cancelled the request or its connection has ended. A response to the
     /// request would be dropped.
@@ -83,13 +83,13 @@
   /// when the queue is empty.
   /// @return false if the queue may not be empty; the function must then be called again.
   [[nodiscard]] bool stopListening();
-  /// Closes connections without open requests or pending output, without waiting for the clients to close
-  /// them.
+  /// Starts to close all connections without open requests or pending output, even if their clients have not
+  /// been asked to close them.
   void closeIdleConnections() { connections_.closeIdle(); }
   /// Returns the number of open client connections.
   std::size_t openConnections() const { return connections_.size(); }
   /// Returns how many connections have been visited so far to find idle ones to evict.
-  std::uint64_t entriesScanned() const { return connections_.entriesScanned(); }
+  std::uint64_t connectionsScanned() const { return connections_.connectionsScanned(); }
 
  private:
   void onAcceptable(const Poco::AutoPtr<Poco::Net::ReadableNotification>&) { acceptPending(); }
@@ -121,7 +121,7 @@
   bool isAccepting_ = false;
   ClientConnections connections_;
   const RequestDecoder decoder_;
-  ServerStatus status_;
+  ReportedStatus status_;
   std::uint32_t lastConnectionId_ = 0;
   net::Reactor::Timer sweepTimer_;
 };
--- a/src/peers/response_encoder.cpp
+++ b/src/peers/response_encoder.cpp
@@ -16,13 +16,13 @@
 using codec::thrift::Type;
 using codec::thrift::Writer;
 
-Fields commonFields(const ServerStatus& status) {
+Fields commonFields(const ReportedStatus& status) {
   if (!status.loadSignal) return {};
   return {{std::string(protocol::loadSignal), fmt::format("{:.4f}", *status.loadSignal)}};
 }
 
 std::string encodeSuccess(std::string_view method, std::int32_t sequenceNumber, std::string_view result,
-                          const ServerStatus& status) {
+                          const ReportedStatus& status) {
   return Writer(Kind::reply, method, sequenceNumber)
       .field(protocol::replySuccess, Type::structure)
       .field(protocol::successResult, Type::text)
@@ -72,7 +72,7 @@
       return "its key came with another content";
     case FailureReason::executionFailed:
       return "failed";
-    case FailureReason::abandoned:
+    case FailureReason::failedByPolicy:
       return "given up";
     case FailureReason::originalFailed:
       return "the first try failed";
@@ -94,16 +94,16 @@
   return {};
 }
 
-std::string encodeHealth(std::int32_t sequenceNumber, const ServerStatus& status) {
+std::string encodeHealth(std::int32_t sequenceNumber, const ReportedStatus& status) {
   return encodeSuccess(protocol::healthMethod, sequenceNumber, {}, status);
 }
 
-std::string encodeResult(std::int32_t sequenceNumber, std::string_view result, const ServerStatus& status) {
+std::string encodeResult(std::int32_t sequenceNumber, std::string_view result, const ReportedStatus& status) {
   return encodeSuccess(protocol::callMethod, sequenceNumber, result, status);
 }
 
 std::string encodeShed(std::int32_t sequenceNumber, Duration retryAfter, bool discourageRetry,
-                       const ServerStatus& status) {
+                       const ReportedStatus& status) {
   auto fields = commonFields(status);
   if (const auto millis = std::chrono::round<std::chrono::milliseconds>(retryAfter); millis > 0ms)
     fields.emplace(protocol::retryAfter, std::to_string(millis.count()));
@@ -111,7 +111,7 @@
   return encodeDeclaredException(sequenceNumber, protocol::replyOverloaded, fields);
 }
 
-std::string encodeFailure(std::int32_t sequenceNumber, FailureReason reason, const ServerStatus& status) {
+std::string encodeFailure(std::int32_t sequenceNumber, FailureReason reason, const ReportedStatus& status) {
   auto fields = commonFields(status);
   fields.emplace(protocol::failureReason, describe(reason));
   return encodeDeclaredException(sequenceNumber, protocol::replyInternalError, fields);
--- a/src/peers/response_encoder.h
+++ b/src/peers/response_encoder.h
@@ -13,10 +13,10 @@
 namespace rainhook::peers {
 
 /// The server status that each response includes.
-struct ServerStatus {
+struct ReportedStatus {
   /// Whether the client should continue to send requests.
   bool isHealthy = true;
-  /// The load signal; none until the decision module publishes the first one.
+  /// The load signal; none until the admission policy publishes the first one.
   std::optional<double> loadSignal;
 };
 
@@ -26,7 +26,7 @@
   duplicateName,       ///< A request with this name is already in flight.
   conflictingPayload,  ///< The original of its idempotency key has another payload.
   executionFailed,     ///< The execution failed, or may have run although its end is not known.
-  abandoned,           ///< The decision module abandoned the request.
+  failedByPolicy,      ///< The admission policy decided that the request fails.
   originalFailed,      ///< The request awaited the original of its idempotency key, which failed.
 };
 
@@ -36,16 +36,16 @@
 std::string describe(const InvalidRequest& fault);
 
 /// Encodes the response to a health check.
-std::string encodeHealth(std::int32_t sequenceNumber, const ServerStatus& status);
+std::string encodeHealth(std::int32_t sequenceNumber, const ReportedStatus& status);
 /// Encodes the response to a completed request.
-std::string encodeResult(std::int32_t sequenceNumber, std::string_view result, const ServerStatus& status);
+std::string encodeResult(std::int32_t sequenceNumber, std::string_view result, const ReportedStatus& status);
 /// Encodes the response to a request that was shed. The client should send no requests for `retryAfter`,
 /// which is omitted if it rounds to 0 ms, and should make no further attempt for this request if
 /// `discourageRetry` is set.
 std::string encodeShed(std::int32_t sequenceNumber, Duration retryAfter, bool discourageRetry,
-                       const ServerStatus& status);
+                       const ReportedStatus& status);
 /// Encodes the response to a failed request.
-std::string encodeFailure(std::int32_t sequenceNumber, FailureReason reason, const ServerStatus& status);
+std::string encodeFailure(std::int32_t sequenceNumber, FailureReason reason, const ReportedStatus& status);
 /// Encodes the response to a call that is not a valid request.
 std::string encodeInvalidRequest(std::int32_t sequenceNumber, const InvalidRequest& fault);
 /// Encodes the response to a call of a method that the service does not have.
--- a/src/server/deduplication_cache.cpp
+++ b/src/server/deduplication_cache.cpp
@@ -58,7 +58,7 @@
       return;
     }
     keysById_.erase(entry.original);
-    dropResult(entry);
+    clearResult(entry);
     earlierRetainedUntil = std::max(entry.retainedUntil, entry.earlierRetainedUntil);
   }
   CachedResult entry;
@@ -75,7 +75,7 @@
   const auto it = keysById_.find(id);
   if (it == keysById_.end()) return;
   CachedResult& entry = entries_.at(it->second);
-  dropResult(entry);
+  clearResult(entry);
   removeFromExpiryQueue(entry);
   // This request was never executed, but an earlier one with the same key may have been. A duplicate of the
   // earlier one that is read late must not be executed.
@@ -89,12 +89,13 @@
   keysById_.erase(it);
 }
 
+// An entry is queued for the end of its retention or, after that, for the removal of its key.
 void DeduplicationCache::removeFromExpiryQueue(const CachedResult& entry) {
   expiryQueue_.erase({entry.retainedUntil, entry.original});
   expiryQueue_.erase({entry.retainedUntil + limits_.maxReadDelay, entry.original});
 }
 
-void DeduplicationCache::dropResult(CachedResult& entry) {
+void DeduplicationCache::clearResult(CachedResult& entry) {
   resultBytes_ -= entry.result.size();
   entry.result.clear();
 }
@@ -104,7 +105,7 @@
   const auto it = keysById_.find(id);
   if (it == keysById_.end()) return;
   CachedResult& entry = entries_.at(it->second);
-  dropResult(entry);
+  clearResult(entry);
   entry.state = state;
   entry.endedAt = at;
   const bool isTooLate = at >= entry.retainedUntil;
@@ -126,18 +127,20 @@
   }
 }
 
+// Called first when the retention ends, which removes the result, and again `maxReadDelay` later, which
+// removes the key.
 void DeduplicationCache::expireEntry(RequestId id, Time now) {
   CachedResult& entry = entries_.at(keysById_.at(id));
   if (entry.state == OriginalState::completed) {
     entry.state = OriginalState::failed;
-    dropResult(entry);
+    clearResult(entry);
   }
   const Time keyExpiresAt = entry.retainedUntil + limits_.maxReadDelay;
   if (keyExpiresAt > now) {
     expiryQueue_.emplace(keyExpiresAt, id);
     return;
   }
-  entry.earlierRetainedUntil = {};
+  entry.earlierRetainedUntil = {};  // otherwise drop() would keep the key for the earlier request
   drop(id);
 }
 
--- a/src/server/deduplication_cache.h
+++ b/src/server/deduplication_cache.h
@@ -18,8 +18,10 @@
 
 namespace rainhook::server {
 
-/// Maps the key of a retained request (its idempotency key, or the resource of a shared read) to the
-/// original, which is the request that was executed for this key, and to the result of the original.
+/// Maps the key of a retained request to the original, which is the request that is executed for this key,
+/// and to the result of the original. Requests to a keyed handler are deduplicated by their idempotency key.
+/// A shared read, which is a request to an idempotent handler that names a resource, is deduplicated by that
+/// resource.
 ///
 /// Bounds: the results occupy at most `Limits::maxResultBytes`. The policy bounds the number of entries: it
 /// accounts for the memory of each retained key and requests a `drop`. The number of requests in flight
@@ -31,7 +33,8 @@
 /// Must be used on the event-loop thread only.
 class DeduplicationCache {
  public:
-  /// Identifies a keyed request by its idempotency key and a shared read by its resource.
+  /// Identifies a keyed request by its handler and idempotency key, and a shared read by its handler and
+  /// resource.
   struct Key {
     HandlerId handler{};         ///< The handler; keys of different handlers never match.
     std::string idempotencyKey;  ///< The idempotency key; empty for shared reads.
@@ -63,7 +66,7 @@
 
   /// The limits of the cache, fixed at its construction.
   struct Limits {
-    std::size_t maxResultBytes = 0;  ///< Bytes of all results; duplicates of a result beyond them are failed.
+    std::size_t maxResultBytes = 0;  ///< Bytes of all results; a result that exceeds them is not cached.
     Duration maxReadDelay{};         ///< The longest time from the arrival of a duplicate until it is read.
     Duration sharingDuration{};      ///< How long after its end the result of a read may serve other reads.
   };
@@ -71,7 +74,7 @@
   /// One arrival of a request.
   struct Arrival {
     RequestId id{};    ///< The request that arrived.
-    Time arrivedAt{};  ///< The time at which it reached the machine.
+    Time arrivedAt{};  ///< The time at which its transmission to this server started.
     Time readAt{};     ///< The time at which the server read it.
   };
 
@@ -115,8 +118,8 @@
   /// Retains the request under its key until the given time. If it is retained already, changes that time.
   void retain(const Key& key, const PayloadFingerprint& fingerprint, RequestId id, Time until);
 
-  /// Removes a request that had no effect. Its key becomes free unless an earlier request with this key may
-  /// have been executed.
+  /// Removes a request that was never executed. Its key becomes free unless an earlier request with this key
+  /// may have been executed.
   void drop(RequestId id);
 
   /// Records the end of a retained request and its result. Does nothing for other requests.
@@ -139,7 +142,7 @@
     PayloadFingerprint fingerprint;
   };
 
-  void dropResult(CachedResult& entry);
+  void clearResult(CachedResult& entry);
   void removeFromExpiryQueue(const CachedResult& entry);
   void expireEntry(RequestId id, Time now);
   bool isResultUsable(const CachedResult& entry, Time now) const;
--- a/src/server/endpoint_registration.h
+++ b/src/server/endpoint_registration.h
@@ -14,8 +14,8 @@
 
 namespace rainhook::server {
 
-/// Owns the registry client and keeps the service state across reloads of the configuration, which may
-/// change, add or remove the address of the registry. Must be used on the event-loop thread only.
+/// Owns the registry client. Remembers whether the server is in service when a reload of the configuration
+/// changes, adds or removes the address of the registry. Must be used on the event-loop thread only.
 class EndpointRegistration {
  public:
   /// The referenced objects must outlive this object. `jitterSeed` spreads the reports of servers that start
@@ -24,7 +24,8 @@
                        std::string serverName, std::uint64_t jitterSeed,
                        const std::optional<net::Connection::Address>& address);
 
-  /// Sets the service state, which is reported immediately and then periodically.
+  /// Sets whether the server is in service. The first call and each change are reported immediately; reports
+  /// then follow periodically.
   void setInService(bool isInService);
   /// Sets the address of the registry; without an address, nothing is reported.
   void setAddress(const std::optional<net::Connection::Address>& address);
--- a/src/server/engine_command_dispatcher.cpp
+++ b/src/server/engine_command_dispatcher.cpp
@@ -9,16 +9,16 @@
 }
 
 bool EngineCommandDispatcher::transmit(const InFlightRequest& request, EngineCommand command) {
-  const std::string& name = request.request.name;
+  const std::string& name = request.incoming.name;
   switch (command) {
     case EngineCommand::startExecution:
       return engine_.startExecution(
-          name, deployment_.handlerNames[static_cast<std::size_t>(request.request.handler)],
-          request.request.body);
+          name, deployment_.handlerNames[static_cast<std::size_t>(request.incoming.handler)],
+          request.incoming.body);
     case EngineCommand::deliverReply:
       return engine_.deliverReply(name, request.downstreamPayload);
     case EngineCommand::continueWithoutReply:
-      return engine_.continueWithoutReply(name, request.callNotificationId);
+      return engine_.continueWithoutReply(name, request.callNotification);
     case EngineCommand::none:
       break;
   }
@@ -36,7 +36,7 @@
 
 bool EngineCommandDispatcher::resend(InFlightRequest& request) {
   const HandlerPolicy& handler =
-      deployment_.handlerPolicies[static_cast<std::size_t>(request.request.handler)];
+      deployment_.handlerPolicies[static_cast<std::size_t>(request.incoming.handler)];
   const bool isRepeatable = request.lastCommand != EngineCommand::startExecution ||
                             handler.idempotency == Idempotency::idempotent || !request.wasCommandSent;
   if (isRepeatable) send(request, request.lastCommand);
--- a/src/server/graceful_shutdown.cpp
+++ b/src/server/graceful_shutdown.cpp
@@ -21,8 +21,8 @@
     listener_.startDraining();
   }
   const bool isListening = !isDraining_ || !listener_.stopListening();
-  // At this point the policy has answered all requests. The remaining connections belong to clients that have
-  // not closed them.
+  // The policy has answered the requests by now, or is about to. The idle connections that remain belong to
+  // clients that have not closed them although they were asked to.
   const bool isNearEnd = remaining <= closeIdleThreshold;
   if (isNearEnd) listener_.closeIdleConnections();
   // The server waits for the registry's acknowledgement unless the timeout is about to expire.
--- a/src/server/graceful_shutdown.h
+++ b/src/server/graceful_shutdown.h
@@ -50,7 +50,7 @@
   peers::RequestListener& listener_;
   const EndpointRegistration& registration_;
   const RequestTable& requests_;
-  std::optional<Moment> stopAt_;
+  std::optional<TimePoint> stopAt_;
   bool isDraining_ = false;
   net::Reactor::Timer stepTimer_;
 };
--- a/src/server/policy_timers.h
+++ b/src/server/policy_timers.h
@@ -28,7 +28,7 @@
   PolicyTimers(net::Reactor& reactor, peers::ExecutionEngineClient& engine,
                const DeploymentSettings& deployment, std::function<void(const TimerFired&)> onFired);
 
-  /// Starts a timer that fires once, after `delay` and the wait for the gauges.
+  /// Starts a timer that fires once: after `delay`, plus the time until the gauges arrive.
   void start(TimerId timer, Duration delay);
   /// Processes the engine's response to a gauge request; a response after `maxGaugeWait` is ignored.
   void onGauges(std::uint64_t gaugeRequest, const std::vector<double>& values);
--- a/src/server/request_server.cpp
+++ b/src/server/request_server.cpp
@@ -129,8 +129,8 @@
   if (downstreamQuota_ < 1) addEvent(DownstreamQuotaChanged{downstreamQuota_});
 }
 
-// The timer wakes the event loop, so that an event added after the batch of this iteration does not wait for
-// the next socket event or timer.
+// The timer wakes the event loop. Without it, an event that is added after the policy received the batch of
+// this iteration would wait for the next socket event or timer.
 void RequestServer::addEvent(const Event& event) {
   if (pendingEvents_.empty()) wakeUpTimer_ = reactor_.after(0s, [] {});
   pendingEvents_.push_back(event);
@@ -163,7 +163,7 @@
     return peers::FailureReason::duplicateName;
   }
   const RequestId id{++lastRequestId_};
-  const DeduplicationCache::Lookup lookup = findOriginal(id, incoming);
+  const DeduplicationCache::Lookup lookup = findOriginalOrRegister(id, incoming);
   if (lookup.hasConflictingPayload) {
     log_.message(logging::LogCategory::listener,
                  "request {} rejected: its idempotency key is in use for a request with another payload",
@@ -179,7 +179,7 @@
 }
 
 void RequestServer::addArrivalEvent(RequestId id, const InFlightRequest& request) {
-  const peers::IncomingRequest& incoming = request.request;
+  const peers::IncomingRequest& incoming = request.incoming;
   RequestArrived event;
   event.id = id;
   event.handler = incoming.handler;
@@ -211,7 +211,7 @@
 }
 
 // After a reconnect, sends the commands again that the engine may not have read. An execution that must not
-// run twice and may have started is failed instead, which tells its client that it may have run.
+// run twice and may have started is failed instead; for its client, this failure means that it may have run.
 void RequestServer::onNotificationsCaughtUp() {
   const std::vector<RequestId> unconfirmed = engineCommands_.findUnconfirmed(requests_);
   for (const RequestId id : unconfirmed) {
@@ -239,7 +239,7 @@
   if (!request.hasOpenExecution()) return;
   request.state = RequestState::downstreamCallRequested;
   request.lastCommand = EngineCommand::none;
-  request.callNotificationId = notification;
+  request.callNotification = notification;
   request.downstreamPayload = std::move(body);
   addEvent(DownstreamCallRequested{*id});
 }
@@ -282,6 +282,8 @@
 
 // End of executions and responses.
 
+// Sends the response and removes the request. If the execution was cancelled by the engine while its response
+// is pending, the request returns to the admission queue instead.
 void RequestServer::endExecution(RequestId id, InFlightRequest& request, Outcome outcome, Duration duration,
                                  const std::string& result) {
   if (!request.hasOpenExecution()) return;
@@ -295,7 +297,7 @@
     const bool isCompleted = outcome == Outcome::completed;
     endOriginal(id, isCompleted ? OriginalState::completed : OriginalState::failed, result);
   }
-  if (isCancelled && request.isResponsePending) {  // the request returns to the admission queue
+  if (isCancelled && request.isResponsePending) {
     request.state = RequestState::queued;
     request.lastCommand = EngineCommand::none;
     return;
@@ -307,21 +309,22 @@
   endExecution(id, request, Outcome::failed, net::Reactor::Clock::now() - request.stateSince, {});
 }
 
-// Sends the response of an execution that has ended, unless no response is pending. An execution that was
-// superseded never ran, and the engine considers its request finished; the additional response does no harm.
+// Sends the response of an execution that has ended, if one is pending. The outcome `superseded` means that
+// the execution never ran and that the engine considers its request finished; the failure that is then sent
+// to the client does no harm.
 void RequestServer::respond(InFlightRequest& request, Outcome outcome, const std::string& result) {
   if (!std::exchange(request.isResponsePending, false)) return;
   if (outcome == Outcome::completed) {
     statistics_.onRequestCompleted();
-    requestListener_.sendResult(request.request.response, result);
+    requestListener_.sendResult(request.incoming.response, result);
   } else {
     statistics_.onRequestFailed();
-    requestListener_.sendFailure(request.request.response, peers::FailureReason::executionFailed);
+    requestListener_.sendFailure(request.incoming.response, peers::FailureReason::executionFailed);
   }
 }
 
-// Called when no response is pending any longer. A request without an open execution is removed. An execution
-// that waits for a downstream call ends at that call, which is cancelled here.
+// Called after the response was sent or the client disconnected. Removes a request without an open execution.
+// Cancels an open downstream call, so that the execution that waits for it does not continue.
 void RequestServer::endResponse(RequestId id, InFlightRequest& request) {
   request.isResponsePending = false;
   downstreamClient_.cancel(id);
@@ -333,7 +336,8 @@
 
 // Duplicates and their originals.
 
-DeduplicationCache::Lookup RequestServer::findOriginal(RequestId id, const peers::IncomingRequest& request) {
+DeduplicationCache::Lookup RequestServer::findOriginalOrRegister(RequestId id,
+                                                                 const peers::IncomingRequest& request) {
   const auto key = DeduplicationCache::keyOf(request, deployment_.handlerPolicies);
   if (!key) return {};
   return deduplicationCache_.findOriginalOrRegister(
@@ -341,8 +345,8 @@
       {.id = id, .arrivedAt = request.readAt - request.readDelay, .readAt = request.readAt});
 }
 
-// A request that provably had no effect cannot be an original: its key becomes free, and the duplicates that
-// waited for it go through admission again. The first of them that is executed becomes the original of the
+// A request that was never executed cannot be an original: its key becomes free, and the duplicates that
+// awaited it go through admission again. The first of them that is executed becomes the original of the
 // others.
 void RequestServer::releaseDuplicates(RequestId original) {
   if (!neverExecuted_.insert(original).second) return;
@@ -356,7 +360,7 @@
   addEvent(ExecutionEnded{id, Outcome::failed, net::Reactor::Clock::now() - request.stateSince});
   requests_.stopAwaitingOriginal(id, request);
 
-  peers::IncomingRequest& incoming = request.request;
+  peers::IncomingRequest& incoming = request.incoming;
   const auto now = std::chrono::system_clock::now();
   const Duration waited = std::max<Duration>(now - incoming.readAt, 0s);
   incoming.readAt = now;
@@ -364,7 +368,7 @@
   if (incoming.timeRemaining)
     incoming.timeRemaining = std::max<Duration>(*incoming.timeRemaining - waited, 0s);
 
-  const DeduplicationCache::Lookup lookup = findOriginal(id, incoming);
+  const DeduplicationCache::Lookup lookup = findOriginalOrRegister(id, incoming);
   request.duplicateOf = lookup.original;
   if (!lookup.hasConflictingPayload) {
     addArrivalEvent(id, request);
@@ -375,6 +379,7 @@
   requests_.remove(id);
 }
 
+// Records the end of a request and answers the duplicates that await it.
 void RequestServer::endOriginal(RequestId original, OriginalState state, const std::string& result) {
   deduplicationCache_.onOriginalEnded(original, state, std::chrono::system_clock::now(), result);
   for (const RequestId id : requests_.duplicatesAwaiting(original))
@@ -385,10 +390,10 @@
                                     const std::string& result) {
   const bool isCompleted = state == OriginalState::completed;
   if (request.isResponsePending && isCompleted) {
-    requestListener_.sendResult(request.request.response, result);
+    requestListener_.sendResult(request.incoming.response, result);
     statistics_.onRequestCompleted();
   } else if (request.isResponsePending) {
-    requestListener_.sendFailure(request.request.response, peers::FailureReason::originalFailed);
+    requestListener_.sendFailure(request.incoming.response, peers::FailureReason::originalFailed);
     statistics_.onRequestFailed();
   }
   addEvent(ExecutionEnded{id, isCompleted ? Outcome::completed : Outcome::failed,
--- a/src/server/request_server.h
+++ b/src/server/request_server.h
@@ -33,12 +33,12 @@
 
 /// The status of a server, for the other members of its fleet.
 struct ServerStatus {
-  bool isShuttingDown = false;          ///< True after the shutdown notice.
+  bool isShuttingDown = false;          ///< Whether a graceful shutdown has started.
   bool isEngineResponsive = false;      ///< Whether the engine is connected and answers in time.
   double warmUpProgress = 1;            ///< The share of its warm-up time that has passed, 0 to 1.
   double concurrencyLimit = 0;          ///< How many requests may execute at the same time.
   std::size_t executing = 0;            ///< Executing requests, including those in downstream calls.
-  std::size_t queued = 0;               ///< Requests in the queue or awaiting their originals.
+  std::size_t queued = 0;               ///< Requests in the queue, and duplicates that await their originals.
   std::uint64_t requestsRead = 0;       ///< Requests read since the start.
   std::uint64_t requestsCompleted = 0;  ///< Requests completed since the start.
 };
@@ -83,7 +83,7 @@
   /// Returns the current status.
   ServerStatus status() const;
   /// Returns how many connections have been visited so far to find idle ones to evict.
-  std::uint64_t connectionsScanned() const { return requestListener_.entriesScanned(); }
+  std::uint64_t connectionsScanned() const { return requestListener_.connectionsScanned(); }
 
  private:
   // Callbacks of the peers.
@@ -130,7 +130,7 @@
   void endResponse(RequestId id, InFlightRequest& request);
 
   // Duplicates and their originals.
-  DeduplicationCache::Lookup findOriginal(RequestId id, const peers::IncomingRequest& request);
+  DeduplicationCache::Lookup findOriginalOrRegister(RequestId id, const peers::IncomingRequest& request);
   void releaseDuplicates(RequestId original);
   void readmit(RequestId id);
   void endOriginal(RequestId original, DeduplicationCache::OriginalState state, const std::string& result);
@@ -161,14 +161,14 @@
   GracefulShutdown shutdown_;
 
   std::unique_ptr<AdmissionPolicy> policy_;
-  Moment policyEpoch_{};        // the start of the engine, which is time zero of the policy
+  TimePoint policyEpoch_{};     // the start of the engine, which is time zero of the policy
   bool isPolicyNew_ = false;    // makes the next iteration call the policy even without events
   double downstreamQuota_ = 1;  // share of the configured quota
   std::vector<Event> pendingEvents_;
-  std::set<RequestId> neverExecuted_;  // requests of this iteration that cannot be originals of others
+  std::set<RequestId> neverExecuted_;  // found in this iteration not to have been executed
   net::Reactor::Timer wakeUpTimer_;
   std::uint32_t lastRequestId_ = 0;
-  std::optional<Moment> coldStartedAt_;        // the engine's start, if it was a cold start
+  std::optional<TimePoint> coldStartedAt_;     // the engine's start, if it was a cold start
   std::optional<double> engineRunnableTasks_;  // from the last sample of gauges that contained it
 };
 
--- a/src/server/request_server_actions.cpp
+++ b/src/server/request_server_actions.cpp
@@ -21,7 +21,7 @@
   InFlightRequest* request = requests_.find(action.id);
   if (request == nullptr || !request->isResponsePending) return;
   statistics_.onRequestShed();
-  requestListener_.sendShed(request->request.response, action.retryAfter, action.discourageRetry);
+  requestListener_.sendShed(request->incoming.response, action.retryAfter, action.discourageRetry);
   endResponse(action.id, *request);
 }
 
@@ -29,7 +29,7 @@
   InFlightRequest* request = requests_.find(action.id);
   if (request == nullptr || !request->isResponsePending) return;
   statistics_.onRequestFailed();
-  requestListener_.sendFailure(request->request.response, peers::FailureReason::abandoned);
+  requestListener_.sendFailure(request->incoming.response, peers::FailureReason::failedByPolicy);
   endResponse(action.id, *request);
 }
 
@@ -42,7 +42,7 @@
   if (request == nullptr || request->state != RequestState::downstreamCallRequested) return;
   request->state = RequestState::callingDownstream;
   statistics_.onDownstreamCallStarted();
-  downstreamClient_.call(action.id, request->request.name, action.timeout, request->downstreamPayload);
+  downstreamClient_.call(action.id, request->incoming.name, action.timeout, request->downstreamPayload);
 }
 
 void RequestServer::perform(const SkipDownstreamCall& action) {
@@ -55,7 +55,7 @@
 void RequestServer::perform(const RetainResult& action) {
   const InFlightRequest* request = requests_.find(action.id);
   if (request == nullptr) return;
-  const peers::IncomingRequest& incoming = request->request;
+  const peers::IncomingRequest& incoming = request->incoming;
   const auto key = DeduplicationCache::keyOf(incoming, deployment_.handlerPolicies);
   if (!key) return;
   deduplicationCache_.retain(*key, DeduplicationCache::fingerprintOf(incoming), action.id,
--- a/src/server/request_statistics.cpp
+++ b/src/server/request_statistics.cpp
@@ -47,7 +47,7 @@
   log_.message(
       logging::LogCategory::start,
       "statistics of the last {} s: requests read {} (mean read delay {} ms), completed {}, shed {}, "
-      "failed {}, client disconnected {}; downstream calls started {}, completed {}; "
+      "failed {}, cancelled or disconnected by the client {}; downstream calls started {}, completed {}; "
       "requests in flight now: queued {}, executing {} (runnable tasks at the engine {:.0f}), "
       "in downstream calls {}, abandoned {}; open client connections {}",
       reportInterval.count(), counts.read, meanDelayMs, counts.completed, counts.shed, counts.failed,
--- a/src/server/request_statistics.h
+++ b/src/server/request_statistics.h
@@ -18,7 +18,7 @@
 
 /// Numbers of requests in flight by state, for comparison with the gauges of the engine.
 struct InFlightCounts {
-  std::size_t queued = 0;               ///< Requests in the queue or awaiting their originals.
+  std::size_t queued = 0;               ///< Requests in the queue, and duplicates that await their originals.
   std::size_t executing = 0;            ///< Requests that are executing, outside downstream calls.
   std::size_t inDownstreamCalls = 0;    ///< Requests whose downstream call is requested or open.
   std::size_t abandoned = 0;            ///< Requests without a pending response that are still executing.
@@ -31,8 +31,8 @@
 /// Counts the requests of the table by their state.
 InFlightCounts countInFlight(const RequestTable& requests, std::size_t openDownstreamCalls);
 
-/// Counts the events of requests and logs the counts of each interval that has any. Must be used on the
-/// event-loop thread only.
+/// Counts the events of requests. Logs the counts of each interval in which a request was read, shed or
+/// failed. Must be used on the event-loop thread only.
 class RequestStatistics {
  public:
   /// The current values that are logged with the counts.
@@ -56,7 +56,7 @@
   void onRequestShed() { ++interval_.shed; }
   /// Counts a request that was answered with a failure.
   void onRequestFailed() { ++interval_.failed; }
-  /// Counts a request whose client disconnected before the response.
+  /// Counts a request whose client cancelled it or disconnected before the response.
   void onClientDisconnected() { ++interval_.clientsDisconnected; }
   /// Counts an attempt of a downstream call, including retries.
   void onDownstreamCallStarted() { ++interval_.downstreamCalls; }
--- a/src/server/request_table.cpp
+++ b/src/server/request_table.cpp
@@ -5,7 +5,7 @@
 InFlightRequest& RequestTable::add(RequestId id, peers::IncomingRequest&& request) {
   idsByName_.insert_or_assign(request.name, id);
   InFlightRequest& entry = requests_[id];
-  entry.request = std::move(request);
+  entry.incoming = std::move(request);
   return entry;
 }
 
@@ -22,7 +22,7 @@
 void RequestTable::remove(RequestId id) {
   const auto it = requests_.find(id);
   if (it == requests_.end()) return;
-  idsByName_.erase(it->second.request.name);
+  idsByName_.erase(it->second.incoming.name);
   stopAwaitingOriginal(id, it->second);
   requests_.erase(it);
 }
--- a/src/server/request_table.h
+++ b/src/server/request_table.h
@@ -19,7 +19,7 @@
 namespace rainhook::server {
 
 /// A point in time on the steady clock.
-using Moment = net::Reactor::Clock::time_point;
+using TimePoint = net::Reactor::Clock::time_point;
 
 /// The state of a request. The order matters: in `executing` and all later states, the engine executes it.
 enum class RequestState {
@@ -30,24 +30,24 @@
   callingDownstream         ///< Executing; its downstream call is open.
 };
 
-/// A command to the execution engine for one request.
+/// A command to the execution engine for one request; `none` if no command needs to be sent again.
 enum class EngineCommand { none, startExecution, deliverReply, continueWithoutReply };
 
 /// A request from its arrival until it has been answered and its execution has ended.
 struct InFlightRequest {
-  peers::IncomingRequest request;  ///< The request as it was read.
-  bool isResponsePending = true;   ///< False after the response was sent or the client disconnected.
-  bool wasStarted = false;         ///< Whether a start command was issued, so that the engine may execute it.
+  peers::IncomingRequest incoming;  ///< The request as it was read; changed when it is readmitted.
+  bool isResponsePending = true;    ///< False after the response was sent or the client disconnected.
+  bool wasStarted = false;  ///< Whether a start command was issued, so that the engine may execute it.
   RequestState state = RequestState::queued;  ///< The current state.
-  Moment stateSince{};                        ///< Start of the execution, or of the wait for the original.
+  TimePoint stateSince{};                     ///< Start of the execution, or of the wait for the original.
 
   EngineCommand lastCommand = EngineCommand::none;  ///< The command to send again after a reconnect, if any.
-  Moment lastCommandAt{};                           ///< When the last command was sent or could not be sent.
+  TimePoint lastCommandAt{};                        ///< When the last command was sent or could not be sent.
   bool wasCommandSent = false;                      ///< False if there was no connection to the engine.
 
   std::optional<RequestId> duplicateOf;  ///< The original, if the request is a duplicate.
   std::string downstreamPayload;         ///< The body of the requested downstream call, later its reply.
-  std::uint64_t callNotificationId = 0;  ///< The engine's notification that requested the call.
+  std::uint64_t callNotification = 0;    ///< The number of the notification that requested the call.
 
   /// Returns whether its execution was started and has not ended.
   bool hasOpenExecution() const { return state >= RequestState::executing; }
@@ -55,8 +55,8 @@
 
 /// All requests in flight, by id and by name, and the duplicates that await their originals.
 ///
-/// Bounds: RequestServer limits the requests in flight to a quarter of the memory limit. Duplicates are
-/// requests in flight too.
+/// Bounds: RequestServer limits the number of requests in flight, including duplicates, so that they fit in a
+/// quarter of the memory limit.
 ///
 /// Removal: `remove` is called when a request has been answered and its execution has ended.
 ///
--- a/src/server/resource_budget.cpp
+++ b/src/server/resource_budget.cpp
@@ -7,7 +7,7 @@
 
 constexpr std::size_t reservedDescriptors = 14;
 constexpr std::size_t minDownstreamCalls = 2;
-// A body of at most 2 kB, a downstream reply of at most 4 kB, and the entries of the tables.
+// A body of at most 2 KiB, a downstream reply of at most 4 kB, and the entries of the tables.
 constexpr std::size_t bytesPerRequestInFlight = 8 * 1024;
 constexpr int bytesPerMegabyteShift = 20;
 
--- a/src/server/resource_budget.h
+++ b/src/server/resource_budget.h
@@ -17,9 +17,9 @@
 
 /// Divides the limits of the process.
 ///
-/// Descriptors: clients may open half of them; another sixteenth is for connections that a client has closed
-/// and the server has not yet closed. Some are for the listener, the connections to other peers, signals and
-/// the log. The rest is for downstream calls.
+/// Descriptors: half of them are for client connections, and another sixteenth is for connections that a
+/// client has closed and the server has not yet closed. Some are reserved for the listener, the connections
+/// to other peers, signals and the log. The rest is for downstream calls.
 ///
 /// Memory: a quarter is for requests in flight, an eighth for output that waits to be sent, and an eighth for
 /// cached results.
--- a/src/test_doubles/fake_engine.cpp
+++ b/src/test_doubles/fake_engine.cpp
@@ -12,7 +12,8 @@
 using namespace std::chrono_literals;
 using nlohmann::json;
 
-// Far longer than the clients' timeouts, so that no client waits any longer for an execution that reaches it.
+// How long an execution waits for its downstream call. This is far longer than the timeouts of the clients,
+// so that the client of an execution that waits this long has stopped waiting.
 constexpr auto maxCallWait = 5s;
 constexpr auto hangingPause = 1ms;
 constexpr int idlePollTimeoutMs = 10;
@@ -93,6 +94,7 @@
   }
 }
 
+// Requests the downstream call. An execution without one continues immediately.
 void FakeEngine::startCall(const Step& step) {
   if (!behavior_.callsDownstream) {
     steps_.push({step.dueAt + behavior_.workDuration / 2, step.execution, StepKind::finish});
--- a/src/test_doubles/fake_engine.h
+++ b/src/test_doubles/fake_engine.h
@@ -19,10 +19,10 @@
 
 namespace rainhook::testDoubles {
 
-/// An execution engine that runs each execution for a fixed time, half of it before and half after the only
-/// downstream call, and that can hang. It records how often each execution was started and how many
-/// executions were open at which time. It runs on a separate thread; its public members may be used on any
-/// thread.
+/// An execution engine that runs each execution for a fixed time and that can hang. Half of the time precedes
+/// the only downstream call of the execution, and half follows it. It records how often each execution was
+/// started and how many executions were open at which time. It runs on a separate thread; its public members
+/// may be used on any thread.
 class FakeEngine {
  public:
   /// The configuration of the engine.
--- a/src/test_doubles/socket_helpers.h
+++ b/src/test_doubles/socket_helpers.h
@@ -49,7 +49,7 @@
   FileDescriptor& operator=(const FileDescriptor&) = delete;
   /// Takes ownership of the other object's descriptor.
   FileDescriptor(FileDescriptor&& other) noexcept : fd_(std::exchange(other.fd_, -1)) {}
-  /// Closes the own descriptor and takes ownership of the other object's descriptor.
+  /// Closes the current descriptor and takes ownership of the other object's descriptor.
   FileDescriptor& operator=(FileDescriptor&& other) noexcept {
     if (this != &other) reset(std::exchange(other.fd_, -1));
     return *this;
--- a/tests/server_client_test.cpp
+++ b/tests/server_client_test.cpp
@@ -136,9 +136,9 @@
   EXPECT_EQ(rejected.front(), 33);
 }
 
-// Guards against a second request with the sequence number of an open one: the client could not tell which of
-// them a response belongs to.
-TEST_F(ServerClientConnection, IsClosedWhenItReusesAnOpenSequenceNumber) {
+// Guards against a second request with the sequence number of an open one: the client could not determine to
+// which of them a response belongs.
+TEST_F(ServerClientConnection, IsClosedWhenItReusesSequenceNumberOfOpenRequest) {
   server.start();
   auto client = server.connectBalancer();
   auto other = server.connectBalancer();
@@ -152,8 +152,8 @@
   EXPECT_EQ(other.receiveResponse().kind, ResponseKind::completed);
 }
 
-// Guards against the loss of a request that a client sent before it read `closing`: the server answers it
-// before the connection ends.
+// Guards against the loss of a request that a client sent before it read the `closing` message, which asks it
+// to close the connection: the server answers the request before the connection ends.
 TEST_F(ServerClientConnection, IsStillServedWhenAskedToCloseBecauseIdle) {
   server.start();
   std::thread engineThread([&] {
@@ -293,7 +293,7 @@
 // Guards against output beyond the memory budget for clients that read nothing: the connections with the most
 // pending output are closed, while a client that reads still gets its responses.
 TEST_F(ServerClientConnection, IsClosedWhenUnreadOutputExceedsMemoryBudget) {
-  // 128 kB of this memory are for pending output; reading from a connection pauses at 32 kB of pending
+  // 128 KiB of this memory are for pending output; reading from a connection pauses at 32 KiB of pending
   // output.
   server.endpoints.memoryMb = 1;
   server.start();
--- a/tests/server_deduplication_test.cpp
+++ b/tests/server_deduplication_test.cpp
@@ -14,21 +14,21 @@
 TEST_F(ServerDeduplication, AnswersDuplicatesFromOriginalWhenKeyedRequestIsRepeated) {
   server.start();
   auto client = server.connectBalancer();
-  const auto pay = [&](std::int32_t number, const std::string& name) {
+  const auto sendPayment = [&](std::int32_t number, const std::string& name) {
     auto fields = FakeBalancer::requestFields(name, "pay");
     fields["token"] = "t1";
     client.sendRequest(number, fields);
   };
-  pay(1, requestA);
+  sendPayment(1, requestA);
   EXPECT_EQ(engine.nextStartedRequest(), requestA);
-  pay(2, requestB);  // a duplicate while the original is executing
+  sendPayment(2, requestB);  // a duplicate while the original is executing
   engine.endExecution(requestA, "ok", "paid");
   std::map<std::int32_t, std::string> results;
   for (int i = 0; i < 2; ++i) {
     const auto response = client.receiveResponse();
     results[response.sequenceNumber] = response.body;
   }
-  pay(3, requestC);  // a duplicate after the original has ended
+  sendPayment(3, requestC);  // a duplicate after the original has ended
   results[client.receiveResponse().sequenceNumber] += "paid";
   EXPECT_EQ(results, (std::map<std::int32_t, std::string>{{1, "paid"}, {2, "paid"}, {3, "paid"}}));
   client.sendRequest(4, FakeBalancer::requestFields("00000000000000a4"));
@@ -36,7 +36,8 @@
 }
 
 // Guards against the execution of a duplicate that is read in the same iteration of the event loop as its
-// original, and against the execution or shedding of one that arrived within the window but is read after it.
+// original. Also guards against the execution or shedding of a duplicate that arrived within the
+// deduplication window but is read after its end.
 TEST_F(ServerDeduplication, ExecutesKeyedRequestOnceWhenDuplicateIsReadVeryEarlyOrLate) {
   server.settings["classes"][1]["windowNs"] = 100000000;
   server.start();
@@ -110,8 +111,8 @@
   EXPECT_EQ(server.stopAndCountInFlight().executing, 1u);
 }
 
-// Guards against a window whose end is off by a millisecond. The duplicates arrive in the last millisecond of
-// a short window and in the first one after it, by the client's clock.
+// Guards against a deduplication window whose end is off by a millisecond. The duplicates arrive in the last
+// millisecond of a short window and in the first one after it, by the client's clock.
 TEST(ServerDeduplicationWindow, EndsAtExactMillisecondWhenWindowIsShort) {
   for (int round = 0; round < 20; ++round) {
     TestServer server;
@@ -223,7 +224,7 @@
   FakeBalancer client;
 };
 
-TEST_F(ServerOriginalRace, DuplicatesAreExecutedOnceWhenOriginalIsCancelledInQueue) {
+TEST_F(ServerOriginalRace, OnlyOneDuplicateIsExecutedWhenOriginalIsCancelledInQueue) {
   client.sendRequest(originalNumber, FakeBalancer::keyedRequestFields(requestA));
   sendBothDuplicates();
   client.sendCancellation(originalNumber);
@@ -232,7 +233,7 @@
   expectOneExecutionForBothDuplicates();
 }
 
-TEST_F(ServerOriginalRace, DuplicatesAreExecutedOnceWhenOriginalIsCancelledInSameIteration) {
+TEST_F(ServerOriginalRace, OnlyOneDuplicateIsExecutedWhenOriginalIsCancelledInSameIteration) {
   client.send(
       FakeBalancer::encodeRequest(originalNumber, FakeBalancer::keyedRequestFields(requestA), "body") +
       FakeBalancer::encodeRequest(duplicateNumbers[0], FakeBalancer::keyedRequestFields(requestB), "body") +
@@ -243,7 +244,7 @@
   expectOneExecutionForBothDuplicates();
 }
 
-TEST_F(ServerOriginalRace, DuplicatesAreExecutedOnceWhenOriginalIsShed) {
+TEST_F(ServerOriginalRace, OnlyOneDuplicateIsExecutedWhenOriginalIsShed) {
   auto fields = FakeBalancer::keyedRequestFields(requestA);
   fields["budget"] = "250";
   client.sendRequest(originalNumber, fields);
@@ -255,14 +256,14 @@
   expectOneExecutionForBothDuplicates();
 }
 
-TEST_F(ServerOriginalRace, DuplicatesAreExecutedOnceWhenEngineRejectsOriginal) {
+TEST_F(ServerOriginalRace, OnlyOneDuplicateIsExecutedWhenEngineRejectsOriginal) {
   startOriginal();
   engine.rejectStart(requestA);
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::failed);
   expectOneExecutionForBothDuplicates();
 }
 
-TEST_F(ServerOriginalRace, DuplicatesAreExecutedOnceWhenOriginalIsSuperseded) {
+TEST_F(ServerOriginalRace, OnlyOneDuplicateIsExecutedWhenOriginalIsSuperseded) {
   startOriginal();
   client.sendCancellation(originalNumber);
   waitUntilAllMessagesAreRead();
--- a/tests/server_downstream_test.cpp
+++ b/tests/server_downstream_test.cpp
@@ -12,7 +12,7 @@
 
 // Guards against a wrong reaction to the outcomes of a call: a reply is delivered, a call that did not run is
 // retried, and two failures end the request.
-TEST_F(ServerDownstreamCall, IsDeliveredRetriedOrAbandonedWhenItEnds) {
+TEST_F(ServerDownstreamCall, DeliversReplyOrIsRetriedOnceWhenItEnds) {
   server.start();
   auto client = server.connectBalancer();
   client.sendRequest(1, FakeBalancer::requestFields(requestA));
--- a/tests/server_engine_test.cpp
+++ b/tests/server_engine_test.cpp
@@ -11,7 +11,7 @@
 class ServerEngineConnection : public ServerTest {};
 
 // Guards against lost commands and duplicate responses after the connection to the engine breaks.
-TEST_F(ServerEngineConnection, LosesAndRepeatsNoMessageWhenItBreaks) {
+TEST_F(ServerEngineConnection, LosesNoCommandAndCausesNoSecondResponseWhenItBreaks) {
   server.start();
   auto client = server.connectBalancer();
   client.sendRequest(1, FakeBalancer::requestFields(requestA));
@@ -22,7 +22,7 @@
   EXPECT_EQ(engine.nextStartedRequest(), requestB);
   engine.connection.closeWithReset();
   EXPECT_EQ(engine.acceptConnection(), 1u);  // the number of the last notification that the server read
-  --engine.lastNotificationId;
+  --engine.lastNotificationNumber;
   engine.endExecution(requestA);                     // a repeated notification causes no second response
   EXPECT_EQ(engine.nextStartedRequest(), requestB);  // repeated, because the engine may not have read it
   engine.endExecution(requestB);
@@ -66,7 +66,7 @@
   EXPECT_TRUE(engine.connection.waitUntilClosed());
   EXPECT_EQ(engine.acceptConnection(), 1u);
   engine.send({{"msg", "refusal"}, {"how", "launch"}, {"call", "?"}});
-  engine.send({{"msg", "aside"}, {"serial", ++engine.lastNotificationId}, {"how", "hello"}});
+  engine.send({{"msg", "aside"}, {"serial", ++engine.lastNotificationNumber}, {"how", "hello"}});
   engine.endExecution("0000000000000000");  // this request is not in flight
   client.sendRequest(1, FakeBalancer::requestFields(requestA));
   EXPECT_EQ(engine.nextStartedRequest(), requestA);
@@ -146,17 +146,19 @@
   auto client = server.connectBalancer();
   client.sendRequest(1, FakeBalancer::requestFields(requestA));
   EXPECT_EQ(engine.nextStartedRequest(), requestA);
-  engine.send({{"msg", "remark"}, {"serial", ++engine.lastNotificationId}});
+  engine.send({{"msg", "remark"}, {"serial", ++engine.lastNotificationNumber}});
   engine.send({{"msg", "outcome"},
-               {"serial", ++engine.lastNotificationId},
+               {"serial", ++engine.lastNotificationNumber},
                {"call", requestA},
                {"how", "ok"},
                {"blob", "%%%%"}});
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::failed);
   client.sendRequest(2, FakeBalancer::requestFields(requestB));
   EXPECT_EQ(engine.nextStartedRequest(), requestB);
-  engine.send(
-      {{"msg", "request"}, {"serial", ++engine.lastNotificationId}, {"call", requestB}, {"blob", "%%%%"}});
+  engine.send({{"msg", "request"},
+               {"serial", ++engine.lastNotificationNumber},
+               {"call", requestB},
+               {"blob", "%%%%"}});
   EXPECT_EQ(client.receiveResponse().kind, ResponseKind::failed);
   client.sendRequest(3, FakeBalancer::requestFields(requestC));
   EXPECT_EQ(engine.nextStartedRequest(), requestC);
--- a/tests/server_registry_test.cpp
+++ b/tests/server_registry_test.cpp
@@ -47,7 +47,7 @@
 
 // The registry may process an older report after a newer one. Guards against an outdated state that stays at
 // the registry: a changed state is reported again after a short interval.
-TEST_F(ServerRegistry, GetsStateTwiceWhenItChanges) {
+TEST_F(ServerRegistry, GetsStateTwiceWhenStateChanges) {
   server.start();
   const auto receiveReport = [&] {
     auto connection = TestConnection::accept(peers.registrySocket);
--- a/tests/server_shutdown_test.cpp
+++ b/tests/server_shutdown_test.cpp
@@ -9,8 +9,8 @@
 
 class ServerShutdown : public ServerTest {};
 
-// Guards against requests that are lost in a shutdown: requests in flight are completed, and requests after
-// the grace period are shed.
+// Guards against requests that are lost in a shutdown: requests in flight are completed. Requests that arrive
+// after the grace period (`stopSendingWithinNs`), in which clients stop sending, are shed.
 TEST_F(ServerShutdown, AnswersAllRequestsAndStartsNoneWhenGracePeriodHasEnded) {
   server.start();
   auto report = TestConnection::accept(peers.registrySocket);
--- a/tests/support/fake_peers.cpp
+++ b/tests/support/fake_peers.cpp
@@ -38,7 +38,7 @@
 void ScriptedEngine::endExecution(const std::string& requestName, const char* outcome,
                                   std::string_view result) {
   send({{"msg", "outcome"},
-        {"serial", ++lastNotificationId},
+        {"serial", ++lastNotificationNumber},
         {"call", requestName},
         {"how", outcome},
         {"duration", 12.5},
@@ -51,7 +51,7 @@
 
 void ScriptedEngine::requestDownstreamCall(const std::string& requestName, std::string_view body) {
   send({{"msg", "request"},
-        {"serial", ++lastNotificationId},
+        {"serial", ++lastNotificationNumber},
         {"call", requestName},
         {"blob", codec::jsonLines::toBase64(body)}});
 }
--- a/tests/support/fake_peers.h
+++ b/tests/support/fake_peers.h
@@ -18,10 +18,10 @@
  public:
   Poco::Net::ServerSocket socket = listenOnAnyPort();
   TestConnection connection;
-  std::uint64_t lastNotificationId = 0;
+  std::uint64_t lastNotificationNumber = 0;
 
   /// Accepts a connection and sends a handshake with the start state `startState`. Returns the number of the
-  /// last notification that the server has read, as stated in its subscription.
+  /// last notification that the server has read, as stated in its subscription, or 99 if none arrives.
   std::uint64_t acceptConnection(const char* startState = "warm");
   void send(const nlohmann::json& message);
 
--- a/tests/support/test_server.h
+++ b/tests/support/test_server.h
@@ -31,7 +31,7 @@
 class TestServer {
  public:
   nlohmann::json settings = exampleSettings();
-  ServerEndpoints endpoints;  ///< Tests may change the limits before the start; the peers set the addresses.
+  ServerEndpoints endpoints;      ///< Tests may set the limits before the start; start() sets the addresses.
   std::string configurationFile;  ///< The file that a reload reads; if empty, a reload applies `endpoints`.
   FakePeers peers;
 
--- a/tests/system_call_failure_test.cpp
+++ b/tests/system_call_failure_test.cpp
@@ -1,6 +1,6 @@
 // Tests failures of the system calls that configure an accepted socket, such as those caused by a lack of
-// memory. This file replaces these calls for the whole test program; they forward to the system except when a
-// test lets one fail.
+// memory. This file replaces these calls for the whole test program; they forward to the system unless a test
+// makes one fail.
 #include <gtest/gtest.h>
 #include <sys/epoll.h>
 #include <sys/socket.h>
