--- a/src/membership/dependency_quota.h
+++ b/src/membership/dependency_quota.h
@@ -27,10 +27,10 @@
 
 /// Numbers of members in the view of one member; each count includes that member.
 struct FleetView {
-  std::size_t quotaHolders =
-      1;  ///< members that may be calling: present, or dead or left with a possibly valid lease
+  /// Members that may be calling: present members, and dead or left ones whose lease may still be valid.
+  std::size_t quotaHolders = 1;
   std::size_t aliveMembers = 1;       ///< members that are alive, including observers
-  std::size_t fleetSize = 1;          ///< members that are present, or dead with a possibly valid lease
+  std::size_t fleetSize = 1;          ///< present members, and dead ones whose lease may still be valid
   bool isUncertain = false;           ///< whether the view may be wrong, see Membership::isViewUncertain
   std::size_t largestAdvertised = 0;  ///< largest fleet size that another member advertises
   /// Smallest fleet size that a member advertises which is alive and may call.
@@ -46,8 +46,8 @@
   struct Settings {
     int servers = 1;  ///< number of servers for which the quota of each is configured
     Duration lease = std::chrono::seconds(30);  ///< calls stop after this time without half of the fleet
-    Duration stabilizationPeriod =
-        std::chrono::seconds(5);  ///< how long a view has to last before it takes effect
+    /// How long a view has to last before it takes effect.
+    Duration stabilizationPeriod = std::chrono::seconds(5);
   };
   /// Starts as an instance that has not reached other members yet.
   explicit DependencyQuota(const Settings& settings) : settings_(settings) {}
--- a/src/membership/gossip_queue.h
+++ b/src/membership/gossip_queue.h
@@ -38,8 +38,7 @@
   struct Key {
     Topic topic{};
     std::string name;
-    // NOLINTNEXTLINE(modernize-use-nullptr): the check mistakes the zero in a defaulted comparison for a
-    // pointer
+    // NOLINTNEXTLINE(modernize-use-nullptr): false positive for a defaulted comparison, which contains a zero
     auto operator<=>(const Key&) const = default;
   };
   struct Entry {
@@ -52,8 +51,7 @@
     std::size_t timesSent = 0;
     std::int64_t number = 0;
     Key key;
-    // NOLINTNEXTLINE(modernize-use-nullptr): the check mistakes the zero in a defaulted comparison for a
-    // pointer
+    // NOLINTNEXTLINE(modernize-use-nullptr): false positive for a defaulted comparison, which contains a zero
     auto operator<=>(const Rank&) const = default;
   };
   static Key keyOf(const GossipUpdate& update);
--- a/src/membership/member.h
+++ b/src/membership/member.h
@@ -46,8 +46,8 @@
   MemberState state = MemberState::alive;  ///< its state in the view of this member
   Duration stateSince{};                   ///< when the state last changed
   Duration lastReceived{-1};               ///< when a message arrived directly from it
-  Duration lastEvidence{
-      -1};  ///< when this member last had evidence, direct or through others, that it is alive
+  /// When this member last had evidence, directly or through others, that the member is alive.
+  Duration lastEvidence{-1};
   Duration lastCorroborated{-1};         ///< when any member, including this one, received a message from it
   int missedProbes = 0;                  ///< consecutive probes without a direct answer
   std::optional<Suspicion> suspicion;    ///< set while the state is `suspect`
--- a/src/membership/membership_settings.h
+++ b/src/membership/membership_settings.h
@@ -26,8 +26,8 @@
   std::string regionSource;      ///< where the region is configured: file, line and key
   std::vector<Address> seeds;    ///< addresses that the instance asks for the fleet's state when it joins
   std::vector<MessageKey> keys;  ///< the first key signs, all keys verify
-  std::map<MemberName, Address>
-      addressOverrides;  ///< members that this instance reaches at other addresses than advertised
+  /// The addresses of members that this instance reaches at other addresses than advertised.
+  std::map<MemberName, Address> addressOverrides;
   Duration probeInterval = std::chrono::seconds(1);  ///< time between two probes
   std::string stateFolder;  ///< folder of the persisted identity; if empty, nothing is persisted
 
@@ -44,10 +44,10 @@
   double maxDeclaredShare = 0.5;  ///< maximum share of the fleet declared dead within the declaration window
   int declarationWindowPeriods = 60;          ///< length of the declaration window in periods
   std::size_t maxDeclarationsPerSecond = 10;  ///< maximum number of declarations of death per second
-  Duration tombstoneRetention =
-      std::chrono::minutes(10);  ///< how long dead and left members stay in the table
-  std::size_t maxMembers =
-      2048;  ///< maximum number of other members in the table, including dead and left ones
+  /// How long dead and left members stay in the table.
+  Duration tombstoneRetention = std::chrono::minutes(10);
+  /// The maximum number of other members in the table, including dead and left ones.
+  std::size_t maxMembers = 2048;
 
   // Extensions of SWIM. Instances enable all of them; measurements disable them one by one to determine the
   // effect of each.
--- a/src/membership/types.h
+++ b/src/membership/types.h
@@ -19,8 +19,7 @@
 struct Identifier {
   std::string text;  ///< the identifier's text
   /// Compares the texts.
-  // NOLINTNEXTLINE(modernize-use-nullptr): the check mistakes the zero in a defaulted comparison for a
-  // pointer
+  // NOLINTNEXTLINE(modernize-use-nullptr): false positive for a defaulted comparison, which contains a zero
   auto operator<=>(const Identifier&) const = default;
 };
 /// The name of a member, unique in the fleet.
@@ -88,8 +87,7 @@
   MemberName name;  ///< the reporter's name
   ZoneName zone;    ///< the reporter's zone
   /// Compares the names, then the zones.
-  // NOLINTNEXTLINE(modernize-use-nullptr): the check mistakes the zero in a defaulted comparison for a
-  // pointer
+  // NOLINTNEXTLINE(modernize-use-nullptr): false positive for a defaulted comparison, which contains a zero
   auto operator<=>(const Reporter&) const = default;
 };
 /// The maximum number of reporters that an update names and that a suspicion counts.
--- a/tests/dependency_quota_test.cpp
+++ b/tests/dependency_quota_test.cpp
@@ -45,8 +45,8 @@
   EXPECT_EQ(shareAfter(unknownMembers, now, 20s, {4, 4, 4, false, 6, 4}), 0);  // another member knows of six
   EXPECT_EQ(shareAfter(unknownMembers, now, 1s, {6, 6, 6, false, 6, 6}), 4.0 / 6);
   auto withoutAdvertisement = newQuota();
-  EXPECT_EQ(shareAfter(withoutAdvertisement, now, 29s, {4, 4, 4, false, 0, 0}),
-            0);  // an older release does not advertise a fleet size
+  // An older release does not advertise a fleet size.
+  EXPECT_EQ(shareAfter(withoutAdvertisement, now, 29s, {4, 4, 4, false, 0, 0}), 0);
   EXPECT_EQ(shareAfter(withoutAdvertisement, now, 2s, {4, 4, 4, false, 0, 0}), 1);
 }
 
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -316,8 +316,8 @@
   ASSERT_EQ(effects.messages.size(), 1u);
   const auto state = exchange(0, effects.messages[0].bytes, false);
   ASSERT_EQ(state.messages.size(), 1u);
-  const auto requests =
-      exchange(0, state.messages[0].bytes, true);  // finds its name in use and probes the holder
+  // The second instance finds its name in use and probes the holder.
+  const auto requests = exchange(0, state.messages[0].bytes, true);
   ASSERT_EQ(requests.messages.size(), 1u);
   EXPECT_EQ(requests.messages[0].address, SimulatedFleet::address(1));
   EXPECT_FALSE(second.hasJoined());
@@ -396,8 +396,8 @@
   earlier.processId = ProcessId{9}, earlier.address = {"n9:1"}, earlier.incarnation = Incarnation{500};
   fleet.receive(3s, {{GossipUpdate::Kind::dead, earlier, {{{"n1"}, {"z1"}}}}});
   EXPECT_EQ(fleet.incarnation(), 100u);
-  EXPECT_EQ(fleet.member.requiredIncarnation(),
-            Incarnation{501});  // the next reservation has to cover it in one step
+  // The next reservation has to cover this incarnation in one step.
+  EXPECT_EQ(fleet.member.requiredIncarnation(), Incarnation{501});
 }
 
 /// Guards against wrong sums by zone or region when an operator configures a zone with two regions.
--- a/tests/simulated_fleet.h
+++ b/tests/simulated_fleet.h
@@ -30,8 +30,8 @@
   struct Node {
     std::unique_ptr<Membership> member;  ///< null while the process does not run
     Duration pausedUntil{-1};
-    std::vector<std::pair<std::string, std::size_t>>
-        buffered;  ///< messages in the socket buffer of a paused process
+    /// The messages, with their senders, in the socket buffer of a paused process.
+    std::vector<std::pair<std::string, std::size_t>> buffered;
     std::vector<std::pair<Duration, MembershipEvent>> events;
     std::vector<std::uint64_t> processes;  ///< for each event, the number of the process that reported it
     std::uint64_t datagrams = 0;
