--- a/Makefile
+++ b/Makefile
@@ -75,6 +75,8 @@
 FINISHED_HEADERS := $(filter-out $(UNFINISHED),$(filter src/%.h,$(SOURCES)))
 # The largest files come first, since they tend to take longest.
 TIDY := $(addprefix tidy@,$(shell git ls-files 'src/*.cpp' | xargs ls -S))
+# oneof: a regular expression that matches any of the given words. strict: the options of clang-tidy for the strict
+# checks, which report defects in the given headers only.
 empty :=
 oneof = ($(subst $(empty) $(empty),|,$(strip $(1))))
 strict = --config-file=.clang-tidy-strict --header-filter='/$(call oneof,$(or $(1),none))$$'
--- a/deploy/sites/make.py
+++ b/deploy/sites/make.py
@@ -1,7 +1,8 @@
 #!/usr/bin/env python3
 """Generates two unusual deployments for the operators' bench: `crowded` has many handlers and tenants and little memory,
-`plain` has one handler and no optional parts. Both are copies of a site file of the kit with the values below replaced.
-The script writes them to deploy/sites/made, which git ignores. It exits with status 2 if the kit does not exist."""
+`plain` has one handler and no optional parts. Both are copies of a site file of the operators' kit, the folder KIT_FOLDER,
+with the values below replaced. The script writes them to deploy/sites/made, which git ignores. It exits with status 2 if
+the kit does not exist."""
 
 import copy
 import json
@@ -102,7 +103,7 @@
 
 def main():
     if not KIT_FOLDER.is_dir():
-        print(f"make sites: {KIT_FOLDER} is not there, so there is nothing to make them from", file=sys.stderr)
+        print(f"make sites: the kit folder {KIT_FOLDER} does not exist; no deployment was generated", file=sys.stderr)
         return EXIT_NO_KIT
     base = tomllib.loads(next(KIT_FOLDER.glob("*.toml")).read_text())
     base.pop("stock", None)  # the generated sites use their own days
--- a/examples/toy.py
+++ b/examples/toy.py
@@ -87,7 +87,7 @@
         self.send_lock = threading.Lock()
         self.notifications = 0
         self.cores = threading.Semaphore(CORES)
-        self.resumed = {}  # by execution: the event that its downstream call has ended
+        self.resumed = {}  # by execution: an event that is set when its downstream call has ended
         self.executing = 0
 
     def send(self, is_notification=False, **message):
--- a/src/commands/commands.h
+++ b/src/commands/commands.h
@@ -1,5 +1,7 @@
 /// @file
-/// The sub-commands of `rainhook`, implemented in one file per group, and the exit statuses.
+/// The sub-commands of `rainhook`, implemented in one file per group, and the exit statuses. Every command
+/// throws UsageError if the command line is invalid, and options::OptionsError if a YAML file that it reads
+/// is invalid. serve() and check() also throw ConfigurationError.
 #pragma once
 
 #include <stdexcept>
@@ -29,8 +31,6 @@
 };
 
 /// Runs a server until SIGTERM or SIGINT.
-/// @throws ConfigurationError, options::OptionsError (check() throws them as well) and UsageError (all
-/// commands throw it).
 int serve(const Arguments& arguments);
 /// Validates a configuration and the options and prints a summary of them.
 int check(const Arguments& arguments);
--- a/src/commands/members_command.cpp
+++ b/src/commands/members_command.cpp
@@ -187,7 +187,7 @@
                "rainhook: members: cannot decode the answer from {}; the instance may run another release\n",
                address);
   }
-  return exitNotFound;
+  return exitFailure;
 }
 
 }  // namespace rainhook::commands
--- a/src/configuration/deployment_settings.cpp
+++ b/src/configuration/deployment_settings.cpp
@@ -32,7 +32,8 @@
 Duration readLatencyObjective(const SettingsReader& reader, const std::string& prefix) {
   const std::string path = prefix + "aimNs";
   const Duration objective = reader.duration(path, reader.duration(prefix + "hardLimitNs"));
-  // An explicit objective of 0 is an error; an absent one defaults to 0, as other absent values do.
+  // An explicit objective of 0 is an error. An absent one defaults to the client timeout; if both are absent,
+  // both are 0.
   const std::string_view stated = reader.text(path);
   if (!stated.empty() && objective <= Duration::zero()) reader.reject(path, stated, "a duration above 0 ns");
   return objective;
--- a/src/configuration/deployment_settings.h
+++ b/src/configuration/deployment_settings.h
@@ -42,8 +42,8 @@
 
 /// Creates the event of a timer with the measurements taken when it fired.
 /// @param timer the timer that has fired
-/// @param gauges the gauge of each value
 /// @param values the measurements in the order of `gauges`; there may be fewer of them, or none
+/// @param gauges the gauge of each value
 [[nodiscard]] TimerFired timerFired(TimerId timer, std::span<const double> values,
                                     const std::vector<LoadGauge>& gauges);
 
--- a/src/failover/failover_planner.h
+++ b/src/failover/failover_planner.h
@@ -22,7 +22,7 @@
 ///
 /// Invariants:
 /// - The load that all origins together hand to a zone, including the load that plans in use still grant, is
-///   within its available capacity, less a margin that grows with the age of its data.
+///   within its available capacity. A margin that grows with the age of its data is already deducted from it.
 /// - A zone that is out of service or draining gets no traffic.
 /// - An origin's shares, including its own, sum up to 1.
 ///
--- a/src/failover/zone_state_machine.cpp
+++ b/src/failover/zone_state_machine.cpp
@@ -12,7 +12,7 @@
 /// rate with `saturatedRateRetained`.
 constexpr double saturatedRateWeight = 0.3;
 constexpr double saturatedRateRetained = 0.7;
-/// Factor that lowers the proven rate after each step in which the zone completes fewer requests.
+/// Factor that lowers the proven rate after each step in which the completion rate is below it.
 constexpr double provenRateRetained = 0.999;
 
 /// The delay before a recovery; doubles with each failed recovery.
--- a/src/net/connection.h
+++ b/src/net/connection.h
@@ -47,9 +47,9 @@
   std::function<void()> onHalfClosed;
 };
 
-/// A TCP connection on a reactor. Its owner holds the shared pointer. Only close() closes the socket, and the
-/// destructor calls close(). A connection may be used on the reactor's thread only; the reactor and the pool
-/// must outlive it.
+/// A TCP connection on a reactor. Its owner holds the shared pointer. The socket is closed by close(), by the
+/// destructor, or when the connection ends for a CloseReason. A connection may be used on the reactor's
+/// thread only; the reactor and the pool must outlive it.
 class Connection : public std::enable_shared_from_this<Connection> {
  public:
   /// A host address and a port.
--- a/src/net/reactor.h
+++ b/src/net/reactor.h
@@ -60,8 +60,8 @@
   void retire(std::shared_ptr<void> eventHandler) { retired_.push_back(std::move(eventHandler)); }
   /// Drops the references to retired event handlers. Must not be called while run() executes.
   void releaseRetired() { retired_.clear(); }
-  /// Blocks the given signals for the process and, from now on, calls `handler` on the reactor's thread for
-  /// each of them that arrives.
+  /// Blocks the given signals for the calling thread and the threads that it creates later. From now on, the
+  /// reactor calls `handler` on its thread for each of these signals that arrives.
   void onSignals(std::initializer_list<int> signals, std::function<void(int)> handler);
 
  private:
--- a/src/options/membership_options.h
+++ b/src/options/membership_options.h
@@ -12,8 +12,7 @@
 /// Reads the section, loads the cryptographic keys from the files that it names and rejects unknown options.
 /// @param section the section `membership`
 /// @param settingsFile the file that contains the section; relative paths of key files and of the state
-/// folder
-///     are resolved against the folder of this file
+///     folder are resolved against the folder of this file
 /// @throws OptionsError if an option is invalid, or if a key file is unreadable, is readable by all users or
 ///     does not contain a key.
 [[nodiscard]] membership::MembershipSettings readMembershipOptions(YamlSection section,
--- a/src/options/options.cpp
+++ b/src/options/options.cpp
@@ -22,8 +22,8 @@
 
 std::string describe(const StoreOptions& store) {
   return fmt::format(
-      "store: folder {}, at most {} kB on disk and {} kB of index (only the command store opens it, not "
-      "serve)",
+      "store: folder {}, at most {} kB on disk and {} kB of index (the command store opens it, "
+      "serve does not)",
       store.folder, store.bounds.maxDiskBytes / bytesPerKb, store.bounds.maxIndexBytes / bytesPerKb);
 }
 
--- a/src/options/options.h
+++ b/src/options/options.h
@@ -1,7 +1,6 @@
 /// @file
-/// rainhook's options: the file deploy/rainhook.yaml, or another file that --options or RAINHOOK_OPTIONS
-/// names. A feature whose section is absent is off. The whole file is validated before any option takes
-/// effect.
+/// rainhook's options: the YAML file that --options or RAINHOOK_OPTIONS names, such as deploy/rainhook.yaml.
+/// A feature whose section is absent is off. The whole file is validated before any option takes effect.
 #pragma once
 
 #include <optional>
@@ -14,7 +13,7 @@
 
 namespace rainhook::options {
 
-/// The form of log lines.
+/// The format of log lines.
 enum class LogFormat { text, json };
 
 /// The section `log`.
@@ -34,7 +33,7 @@
   /// Whether all sections are equal.
   bool operator==(const Options&) const = default;
 
-  /// The form of log lines; text if the section is absent.
+  /// The format of log lines; text if the section is absent.
   [[nodiscard]] LogFormat logFormat() const { return log ? log->format : LogFormat::text; }
 };
 
--- a/src/options/store_options.cpp
+++ b/src/options/store_options.cpp
@@ -16,7 +16,8 @@
 constexpr std::uint64_t maxOpenFiles = 4096;
 constexpr std::uint64_t maxCommitWrites = 65536;
 
-// The least number of parts that must fit into their container.
+// The disk must have room for at least this many segments, and a segment and the queue for at least this many
+// of the largest entries.
 constexpr std::uint64_t minSegmentsOnDisk = 8;
 constexpr std::uint64_t minEntriesInSegment = 4;
 constexpr std::uint64_t minEntriesInQueue = 2;
--- a/src/options/yaml_section.h
+++ b/src/options/yaml_section.h
@@ -63,7 +63,7 @@
                                                   std::chrono::nanoseconds min, std::chrono::nanoseconds max);
   /// A number from `min` to `max`.
   [[nodiscard]] double number(const std::string& key, double fallback, double min, double max);
-  /// Parses a text from below the key as a number from `min` to `max`.
+  /// Parses a text, such as a value of textMap(), as a number from `min` to `max`. An error names the key.
   [[nodiscard]] double parseNumber(const std::string& key, const std::string& text, double min,
                                    double max) const;
   /// A list of distinct scalars; empty if the key is absent.
--- a/src/simulator_adapter/simulator_protocol.h
+++ b/src/simulator_adapter/simulator_protocol.h
@@ -56,8 +56,8 @@
   std::vector<float> gaugeValues;  ///< in the order of the gauges in the instance's settings
 };
 
-/// An event of an instance in a batch. The remaining time of an arrived request has the value of the wire.
-/// The host removes it if clients do not send it according to the instance's settings.
+/// An event of an instance in a batch. The decoder sets the remaining time of every arrived request. The
+/// host clears it if the instance's settings state that clients do not send it.
 using SimulatorEvent = std::variant<AttachInstance, DetachInstance, TimerExpired, Event>;
 
 /// An event and its instance.
--- a/tests/failover_planner_test.cpp
+++ b/tests/failover_planner_test.cpp
@@ -212,7 +212,7 @@
   EXPECT_EQ(fleet_.stateOf(north3), ZoneState::draining) << describe(fleet_.plan.zones.at(north3).reason);
 }
 
-TEST_F(FailoverPlannerTest, ReportsAnOverloadWhenAZoneIsOverloadedAndNotAGrayFailure) {
+TEST_F(FailoverPlannerTest, ReportsAnOverloadInsteadOfAGrayFailureWhenAZoneIsOverloaded) {
   fleet_.localLoads[north3] = 140;
   fleet_.run(60s);
   EXPECT_EQ(fleet_.stateOf(north3), ZoneState::overloaded);
--- a/tests/minimum_cost_flow_test.cpp
+++ b/tests/minimum_cost_flow_test.cpp
@@ -22,7 +22,7 @@
   EXPECT_EQ(network.flow(toFar), 20);
 }
 
-TEST(FlowNetwork, GivesACheapTargetToAnotherOriginWhenThatOneHasNoAlternative) {
+TEST(FlowNetwork, GivesASharedTargetToTheOriginWithoutAlternativeWhenTwoOriginsCompete) {
   FlowNetwork network;
   const auto flexible = network.addNode();
   const auto bound = network.addNode();
--- a/tests/zone_state_machine_test.cpp
+++ b/tests/zone_state_machine_test.cpp
@@ -131,7 +131,7 @@
   EXPECT_EQ(plan_.usableRatio, 0.5);
 }
 
-TEST_F(ZoneStateMachineTest, DiscountsAFailedRecoveryWhenItHasServedForTheLongestDelay) {
+TEST_F(ZoneStateMachineTest, DecrementsFailedRecoveriesWhenItHasServedForTheLongestDelay) {
   plan_.failedRecoveries = 2;
   advanceTo(0s);
   advanceTo(256 * 5s - 1s);
