--- a/src/commands/store_command.cpp
+++ b/src/commands/store_command.cpp
@@ -27,7 +27,7 @@
   list          print the keys in key order, or the oldest first with --by-age
   stats         print the size and the counters of the store as lines NAME=VALUE
   verify        read all files and list damaged ranges; exit status 3 if there are any
-  compact       rewrite every segment that contains dead entries
+  compact       rewrite every segment that contains overwritten, erased or expired entries
   snapshot      copy the store to an empty folder (--to)
   dump          write all entries as JSON lines, with keys and values in base64
   load          store entries in the format of dump from standard input
@@ -46,7 +46,8 @@
       "by-age", po::bool_switch(), "list: print the oldest keys first")(
       "long", po::bool_switch(),
       "list: also print the expiry in milliseconds of Unix time and the size on disk in bytes")(
-      "to", po::value<std::string>(), "snapshot: the folder to create")("help", "print this help");
+      "to", po::value<std::string>(), "snapshot: the destination folder, which must be empty or not exist")(
+      "help", "print this help");
   return out;
 }
 
--- a/src/commands/store_dump_commands.cpp
+++ b/src/commands/store_dump_commands.cpp
@@ -22,9 +22,9 @@
 using store::StoreStatus;
 
 /// The names of the JSON members of a line.
-constexpr const char* keyField = "key";
-constexpr const char* valueField = "value";
-constexpr const char* expiryField = "good_until_ms";
+constexpr const char* keyMember = "key";
+constexpr const char* valueMember = "value";
+constexpr const char* expiryMember = "good_until_ms";
 
 std::string encodeBase64(const std::string& bytes) {
   std::ostringstream out;
@@ -35,11 +35,11 @@
   return out.str();
 }
 
-std::string decodeBase64Field(const nlohmann::json& line, const char* field, std::uint64_t lineNumber) {
-  const auto found = line.find(field);
+std::string decodeBase64Member(const nlohmann::json& line, const char* member, std::uint64_t lineNumber) {
+  const auto found = line.find(member);
   if (found == line.end() || !found->is_string())
     throw StoreCommandError(
-        fmt::format("line {}: member '{}' is missing or not a string", lineNumber, field));
+        fmt::format("line {}: member '{}' is missing or not a string", lineNumber, member));
   const auto text = found->get<std::string>();
   std::istringstream in(text);
   Poco::Base64Decoder decoder(in);
@@ -47,11 +47,11 @@
   try {
     out = readAllInput(decoder);
   } catch (const Poco::Exception&) {
-    throw StoreCommandError(fmt::format("line {}: member '{}' is not valid base64", lineNumber, field));
+    throw StoreCommandError(fmt::format("line {}: member '{}' is not valid base64", lineNumber, member));
   }
   // The decoder ignores invalid characters, so the result is encoded again and compared.
   if (encodeBase64(out) != text)
-    throw StoreCommandError(fmt::format("line {}: member '{}' is not valid base64", lineNumber, field));
+    throw StoreCommandError(fmt::format("line {}: member '{}' is not valid base64", lineNumber, member));
   return out;
 }
 
@@ -59,10 +59,10 @@
 store::WriteRequest parseEntry(const std::string& text, std::uint64_t lineNumber) {
   const auto line = nlohmann::json::parse(text, nullptr, false);
   if (!line.is_object()) throw StoreCommandError(fmt::format("line {}: not a JSON object", lineNumber));
-  const std::string key = decodeBase64Field(line, keyField, lineNumber);
-  const std::string value = decodeBase64Field(line, valueField, lineNumber);
+  const std::string key = decodeBase64Member(line, keyMember, lineNumber);
+  const std::string value = decodeBase64Member(line, valueMember, lineNumber);
   auto out = store::WriteRequest::put(key, value);
-  const auto expiry = line.find(expiryField);
+  const auto expiry = line.find(expiryMember);
   if (expiry == line.end()) return out;
   if (!expiry->is_number_integer())
     throw StoreCommandError(fmt::format("line {}: member 'good_until_ms' is not an integer", lineNumber));
@@ -83,8 +83,8 @@
       status = exitDamaged;
       return;
     }
-    nlohmann::json line{{keyField, encodeBase64(row.key)}, {valueField, encodeBase64(*read.value)}};
-    if (row.expiry != store::neverExpires) line[expiryField] = row.expiry.time_since_epoch().count();
+    nlohmann::json line{{keyMember, encodeBase64(row.key)}, {valueMember, encodeBase64(*read.value)}};
+    if (row.expiry != store::neverExpires) line[expiryMember] = row.expiry.time_since_epoch().count();
     std::cout << line.dump() << '\n';
   });
   std::cout << std::flush;
@@ -105,7 +105,7 @@
   std::string text;
   while (lastFailure.isOk() && std::getline(std::cin, text)) {
     const store::WriteRequest entry = parseEntry(text, ++lineNumber);
-    session.acceptWhenQueueHasRoom([&] { return store.put(entry.key, entry.value, entry.expiry, onDone); });
+    session.retryWhileQueueIsFull([&] { return store.put(entry.key, entry.value, entry.expiry, onDone); });
     store.dispatchCompletions();
   }
   store.waitUntilIdle();
--- a/src/commands/store_entry_commands.cpp
+++ b/src/commands/store_entry_commands.cpp
@@ -26,7 +26,7 @@
                               ": expected KEY<TAB>VALUE with a non-empty key");
     const std::string key = line.substr(0, tab);
     const std::string value = line.substr(tab + 1);
-    session.acceptWhenQueueHasRoom([&] {
+    session.retryWhileQueueIsFull([&] {
       return store.put(key, value, expiry, [&lastFailure, key](const StoreStatus& status) {
         if (status.isOk())
           std::cout << key << '\n' << std::flush;
@@ -65,7 +65,7 @@
     putLines(session, store, expiry, lastFailure);
   } else {
     const std::string value = readAllInput(std::cin);
-    session.acceptWhenQueueHasRoom([&] {
+    session.retryWhileQueueIsFull([&] {
       return store.put(key, value, expiry, [&lastFailure](const StoreStatus& status) {
         if (!status.isOk()) lastFailure = status;
       });
@@ -89,7 +89,7 @@
   const std::string key = session.key();
   store::Store& store = session.openStore();
   StoreStatus outcome;
-  session.acceptWhenQueueHasRoom(
+  session.retryWhileQueueIsFull(
       [&] { return store.erase(key, [&](const StoreStatus& status) { outcome = status; }); });
   store.waitUntilIdle();
   requireSuccess(outcome);
--- a/src/commands/store_session.cpp
+++ b/src/commands/store_session.cpp
@@ -14,7 +14,7 @@
 namespace rainhook::commands {
 namespace {
 
-constexpr std::uint64_t maxExpirySeconds = std::uint64_t{100} * 366 * 24 * 3600;
+constexpr std::uint64_t maxLifetimeSeconds = std::uint64_t{100} * 366 * 24 * 3600;
 
 store::UnixTime systemTime() {
   return std::chrono::floor<std::chrono::milliseconds>(std::chrono::system_clock::now());
@@ -35,10 +35,10 @@
 std::string readAllInput(std::istream& in) { return {std::istreambuf_iterator<char>(in), {}}; }
 
 StoreSession::StoreSession(const boost::program_options::variables_map& options) : options_(options) {
-  const auto ownOptions = options::readOptionsFile(options["options"].as<std::string>());
-  if (ownOptions.store) {
-    folder_ = ownOptions.store->folder;
-    settings_ = ownOptions.store->bounds;
+  const auto fileOptions = options::readOptionsFile(options["options"].as<std::string>());
+  if (fileOptions.store) {
+    folder_ = fileOptions.store->folder;
+    settings_ = fileOptions.store->bounds;
   }
   if (options.count("dir")) folder_ = options["dir"].as<std::string>();
   if (folder_.empty())
@@ -63,13 +63,13 @@
 store::UnixTime StoreSession::expiry() const {
   if (!options_.count("for")) return store::neverExpires;
   const auto seconds = options_["for"].as<std::uint64_t>();
-  if (seconds == 0 || seconds > maxExpirySeconds)
+  if (seconds == 0 || seconds > maxLifetimeSeconds)
     throw UsageError(
-        fmt::format("store: --for must be from 1 to {} seconds, but is {}", maxExpirySeconds, seconds));
+        fmt::format("store: --for must be from 1 to {} seconds, but is {}", maxLifetimeSeconds, seconds));
   return systemTime() + std::chrono::seconds(seconds);
 }
 
-void StoreSession::acceptWhenQueueHasRoom(const std::function<store::StoreStatus()>& call) {
+void StoreSession::retryWhileQueueIsFull(const std::function<store::StoreStatus()>& call) {
   for (auto status = call(); !status.isOk(); status = call()) {
     if (status.code != store::StoreErrorCode::queueFull) throw StoreCommandError(status.message);
     store_->waitUntilIdle();
--- a/src/commands/store_session.h
+++ b/src/commands/store_session.h
@@ -43,7 +43,7 @@
 
   /// Repeats a call while the queue is full; unlike a server, a command may block. Throws StoreCommandError
   /// on other errors.
-  void acceptWhenQueueHasRoom(const std::function<store::StoreStatus()>& call);
+  void retryWhileQueueIsFull(const std::function<store::StoreStatus()>& call);
 
  private:
   const boost::program_options::variables_map& options_;
--- a/src/store/batch_writer.cpp
+++ b/src/store/batch_writer.cpp
@@ -9,7 +9,7 @@
 namespace rainhook::store {
 namespace {
 
-std::uint64_t bytesOfWrite(const WriteRequest& write) {
+std::uint64_t maxBytesOfWrite(const WriteRequest& write) {
   return recordBytes(write.key.size(), write.value.size()) + hintEntryBytes(write.key.size());
 }
 
@@ -19,21 +19,21 @@
                          SegmentCatalog& catalog, StoreState& state, const LogCallback& log)
     : settings_(settings), policy_(policy), catalog_(catalog), state_(state), log_(log) {}
 
-std::uint64_t BatchWriter::bytesOf(std::span<const WriteRequest> writes) {
+std::uint64_t BatchWriter::maxBytesOf(std::span<const WriteRequest> writes) {
   std::uint64_t sum = 0;
-  for (const WriteRequest& write : writes) sum += bytesOfWrite(write);
+  for (const WriteRequest& write : writes) sum += maxBytesOfWrite(write);
   return sum;
 }
 
 std::size_t BatchWriter::batchSize(std::span<const WriteRequest> writes) const {
   const SegmentWriter* active = catalog_.writer(SegmentRole::commits);
   std::uint64_t segmentBytes = active ? active->projectedBytes() : 2 * fileHeaderBytes;
-  segmentBytes += bytesOfWrite(writes.front());
+  segmentBytes += maxBytesOfWrite(writes.front());
   std::size_t size = 1;
   while (size < writes.size() && size < settings_.maxCommitWrites) {
     const WriteRequest& next = writes[size];
-    if (!validateWrite(next, settings_).isOk() || policy_.isFull(segmentBytes, bytesOfWrite(next))) break;
-    segmentBytes += bytesOfWrite(next);
+    if (!validateWrite(next, settings_).isOk() || policy_.isFull(segmentBytes, maxBytesOfWrite(next))) break;
+    segmentBytes += maxBytesOfWrite(next);
     ++size;
   }
   return size;
@@ -81,7 +81,7 @@
 bool BatchWriter::isErasureNeeded(std::string_view key, std::span<const WriteRequest> earlierWrites) const {
   const bool isInBatch = std::any_of(earlierWrites.begin(), earlierWrites.end(),
                                      [&](const WriteRequest& earlier) { return earlier.key == key; });
-  if (isInBatch || mayContainFailedWrite_) return true;
+  if (isInBatch || hasFailedWrite_) return true;
   const std::lock_guard lock(state_.mutex);
   const IndexEntry* entry = state_.index.find(key);
   return entry && entry->state != EntryState::deleted;
@@ -105,7 +105,7 @@
 DiskError BatchWriter::makeDurable() {
   SegmentWriter& active = *segment();
   if (const DiskError error = active.flush()) {
-    mayContainFailedWrite_ = true;
+    hasFailedWrite_ = true;
     if (active.isBroken()) catalog_.seal(SegmentRole::commits, SegmentTrust::untrusted);
     return error;
   }
@@ -113,7 +113,7 @@
     if (log_)
       log_("sync failed: " + describeError(segmentFileName(active.number()), error) +
            "; the segment is untrusted and its live records will be rewritten");
-    mayContainFailedWrite_ = true;
+    hasFailedWrite_ = true;
     active.rollBack();
     catalog_.seal(SegmentRole::commits, SegmentTrust::untrusted);
     const std::lock_guard lock(state_.mutex);
@@ -132,7 +132,7 @@
   StoreStatistics& statistics = state_.statistics;
   ++statistics.commits;
   for (const WriteRequest& write : writes) ++(write.isErase() ? statistics.erases : statistics.puts);
-  statistics.writtenBytes += bytesOf(writes);
+  statistics.writtenBytes += maxBytesOf(writes);
   // A reader may have found an entry with a later expiry since the sweep was appended.
   if (sweep && state_.unrecordedExpiry == sweep->expiredBy) state_.unrecordedExpiry.reset();
 }
--- a/src/store/batch_writer.h
+++ b/src/store/batch_writer.h
@@ -28,8 +28,9 @@
               StoreState& state, const LogCallback& log);
 
   /// An upper bound on the bytes that the writes occupy in the folder.
-  static std::uint64_t bytesOf(std::span<const WriteRequest> writes);
-  /// The number of leading writes that one sync covers: as many valid ones as fit into one segment.
+  static std::uint64_t maxBytesOf(std::span<const WriteRequest> writes);
+  /// The number of leading writes that one sync covers: as many valid ones as fit into the segment, at most
+  /// `maxCommitWrites`. The first write, which the caller has validated, is always included.
   std::size_t batchSize(std::span<const WriteRequest> writes) const;
   /// Makes the writes durable, then visible. On an error none of them takes effect. If the segment can no
   /// longer be trusted, this function seals it, and the catalog then has no open segment for commits.
@@ -59,7 +60,7 @@
   SegmentCatalog& catalog_;
   StoreState& state_;
   const LogCallback& log_;
-  bool mayContainFailedWrite_ = false;  // a write failed, but recovery may still find it in the segment
+  bool hasFailedWrite_ = false;  // a write has failed, and recovery may still find its record on disk
 };
 
 }  // namespace rainhook::store
--- a/src/store/compaction_policy.cpp
+++ b/src/store/compaction_policy.cpp
@@ -8,8 +8,8 @@
 namespace {
 
 // The percentage of a segment's bytes that must be dead before the segment is compacted: half of them while
-// there is room, and in a nearly full folder just enough to free more than the headers of the copy. In
-// between, write amplification stays near 1 / share.
+// there is room, and in a nearly full folder just enough to free more than the headers of the copy. If the
+// share s of the compacted bytes is dead, the write amplification stays near 1 / s.
 constexpr std::uint64_t normalDeadPercent = 50;
 constexpr std::uint64_t lowSpaceDeadPercent = 25;
 constexpr std::uint64_t nearlyFullDeadPercent = 5;
@@ -27,7 +27,7 @@
 constexpr std::uint64_t manifestBytesPerSegment = 128;
 
 /// The reason to compact a segment; the highest value is compacted first.
-enum class Urgency { none, dead, damaged, empty, untrusted };
+enum class Urgency { none, deadShare, damaged, empty, untrusted };
 
 std::uint64_t deadBytes(const SegmentInfo& segment) {
   return segment.bytes - std::min(segment.bytes, segment.liveBytes);
@@ -43,7 +43,7 @@
   if (segment.isUntrusted) return Urgency::untrusted;
   if (segment.liveBytes == 0) return Urgency::empty;
   if (segment.isDamaged) return Urgency::damaged;
-  return deadBytes(segment) * 100 >= requiredDeadPercent * segment.bytes ? Urgency::dead : Urgency::none;
+  return deadBytes(segment) * 100 >= requiredDeadPercent * segment.bytes ? Urgency::deadShare : Urgency::none;
 }
 
 std::uint64_t requiredDeadPercent(std::uint64_t usedPercent) {
@@ -93,7 +93,7 @@
   for (const SegmentInfo& segment : occupancy.segments) {
     const Urgency urgency = urgencyOf(segment, minDeadPercent);
     if (urgency == Urgency::none || urgency < bestUrgency) continue;
-    // Among equal segments, the first one in the list (the older one) is kept.
+    // Among equal segments, the first one in the list, which has the lowest number, is selected.
     if (urgency > bestUrgency || hasLargerDeadShare(segment, *best)) {
       best = &segment;
       bestUrgency = urgency;
--- a/src/store/compaction_policy.h
+++ b/src/store/compaction_policy.h
@@ -16,7 +16,7 @@
 struct SegmentInfo {
   SegmentNumber number{};       ///< Identifies the segment.
   std::uint64_t bytes = 0;      ///< Size including the hint file.
-  std::uint64_t liveBytes = 0;  ///< Bytes that a compaction would have to copy.
+  std::uint64_t liveBytes = 0;  ///< Bytes that a compaction would copy; the other bytes are dead.
   bool isSealed = false;        ///< The segment accepts no more records.
   bool isUntrusted = false;     ///< A sync of the segment failed, so its live records must be rewritten.
   bool isDamaged = false;       ///< Some of its records can't be read.
@@ -26,7 +26,7 @@
 struct StoreOccupancy {
   std::uint64_t folderBytes = 0;      ///< Size of all files in the folder, including foreign ones.
   std::uint64_t indexBytes = 0;       ///< Memory that the index uses.
-  std::vector<SegmentInfo> segments;  ///< All segments, in no particular order.
+  std::vector<SegmentInfo> segments;  ///< Sealed segments by ascending number, then the open ones.
 };
 
 /// Applies the rules for one set of limits.
@@ -34,7 +34,7 @@
  public:
   /// The bytes of live entries by which the limits are exceeded.
   struct Excess {
-    std::uint64_t diskBytes = 0;   ///< Bytes over the limit on disk.
+    std::uint64_t diskBytes = 0;   ///< Bytes over the share of the disk limit that is for live entries.
     std::uint64_t indexBytes = 0;  ///< Bytes over the limit on the index.
     /// Whether any entry has to age out.
     bool isNonZero() const { return diskBytes + indexBytes > 0; }
--- a/src/store/compactor.cpp
+++ b/src/store/compactor.cpp
@@ -67,6 +67,9 @@
 }
 
 bool Compactor::fail(const std::string& reason) {
+  const std::string subject =
+      job_ ? "compaction of " + segmentFileName(job_->input) + " failed; the segment is kept: "
+           : "compaction failed while its output was being sealed: ";
   job_.reset();
   SegmentWriter* output = catalog_.writer(SegmentRole::compaction);
   if (output) {
@@ -74,7 +77,7 @@
     if (output->isBroken()) catalog_.seal(SegmentRole::compaction, SegmentTrust::untrusted);
   }
   hasFailed_ = true;
-  if (log_) log_("compaction failed, its input segment is kept: " + reason);
+  if (log_) log_(subject + reason);
   endRequests({StoreErrorCode::ioError, reason});
   return false;
 }
--- a/src/store/compactor.h
+++ b/src/store/compactor.h
@@ -30,10 +30,10 @@
   };
 
   SegmentNumber input{};                   ///< The segment that is being compacted.
-  std::optional<RecordScanner> scanner;    ///< Absent if the segment file is missing.
+  std::optional<RecordScanner> scanner;    ///< Absent if the segment file is missing or was read to its end.
   Stage stage = Stage::copyingRecords;     ///< The current stage.
   std::vector<RecordId> inputRecords;      ///< All records of the input segment.
-  std::vector<PendingCopy> pendingCopies;  ///< Copies in the current output segment.
+  std::vector<PendingCopy> pendingCopies;  ///< Copies that are not written yet.
   std::size_t unindexedRecords = 0;        ///< The number of `inputRecords` already removed from the index.
 };
 
@@ -93,7 +93,7 @@
   LogCallback log_;
   std::optional<CompactionJob> job_;
   bool hasFailed_ = false;
-  std::vector<SegmentNumber> requested_;  // a segment is removed when its compaction starts
+  std::vector<SegmentNumber> requested_;  // an element is dropped when the compaction of its segment starts
   std::vector<StatusCallback> onRequestsEnded_;
 };
 
--- a/src/store/disk.h
+++ b/src/store/disk.h
@@ -50,9 +50,9 @@
  public:
   /// An entry of the folder.
   struct DirectoryEntry {
-    std::string name;          ///< File name without a path.
-    std::uint64_t bytes = 0;   ///< File size.
-    bool isDirectory = false;  ///< Also true for anything else that is not a regular file.
+    std::string name;               ///< File name without a path.
+    std::uint64_t bytes = 0;        ///< File size.
+    bool isNotRegularFile = false;  ///< True for a directory, a link or a special file.
   };
   /// The result of opening or creating a file.
   struct OpenResult {
@@ -62,7 +62,7 @@
   /// The result of locking the folder.
   struct LockResult {
     DiskError error;     ///< operation_would_block if another process holds the lock.
-    std::string holder;  ///< The id of the process that holds the lock, if known.
+    std::string holder;  ///< The pid of the process that holds the lock, if known.
   };
 
   virtual ~Disk() = default;
--- a/src/store/expiry_sweeps.h
+++ b/src/store/expiry_sweeps.h
@@ -14,7 +14,7 @@
 /// if there are more than `maxSweeps`, the oldest one is dropped.
 class ExpirySweeps {
  public:
-  static constexpr std::size_t maxSweeps = 64;  ///< The number of sweeps that are remembered.
+  static constexpr std::size_t maxSweeps = 64;  ///< The maximum number of sweeps that are remembered.
 
   ExpirySweeps() = default;
   /// Takes the sweeps in the order in which a manifest lists them.
--- a/src/store/folder_inventory.cpp
+++ b/src/store/folder_inventory.cpp
@@ -44,7 +44,7 @@
         "the folder contains an interrupted snapshot (file INCOMPLETE); delete it and create a new snapshot"};
   for (const auto& file : files) {
     names_.insert(file.name);
-    if (!file.isDirectory) addFile(file);
+    if (!file.isNotRegularFile) addFile(file);
   }
   return {};
 }
--- a/src/store/key_index.cpp
+++ b/src/store/key_index.cpp
@@ -218,7 +218,8 @@
     if (visited != entries_.end() && visited->sequence == cursor->sequence) {
       entry = std::next(entries_.project<ByAge>(visited));
     } else {
-      // The entry was rewritten and moved to the end. The old position is found by its sequence number.
+      // The entry was removed, or it was overwritten and moved to the end. The old position is found by its
+      // sequence number.
       entry = std::find_if(entry, byAge.end(), [&](const IndexEntry& candidate) {
         return candidate.sequence > cursor->sequence;
       });
--- a/src/store/little_endian.h
+++ b/src/store/little_endian.h
@@ -9,7 +9,7 @@
 
 namespace rainhook::store {
 
-/// The number of bits by which one byte is shifted.
+/// The number of bits in a byte.
 constexpr unsigned bitsPerByte = 8;
 
 /// Appends the integer's bytes, the least significant first.
--- a/src/store/log_structured_store.cpp
+++ b/src/store/log_structured_store.cpp
@@ -77,7 +77,7 @@
       continue;
     }
     const SegmentWriter* active = activeSegment();
-    if (active && policy_.isFull(active->projectedBytes(), BatchWriter::bytesOf(writes.subspan(begin, 1))))
+    if (active && policy_.isFull(active->projectedBytes(), BatchWriter::maxBytesOf(writes.subspan(begin, 1))))
       catalog_.seal(SegmentRole::commits, SegmentTrust::trusted);
     const auto batch = writes.subspan(begin, batchWriter_.batchSize(writes.subspan(begin)));
     const StoreStatus status = commitBatch(batch, now);
@@ -89,29 +89,30 @@
 
 StoreStatus LogStructuredStore::commitBatch(std::span<const WriteRequest> writes, UnixTime now) {
   const std::uint64_t sweepAndHeaders = recordBytes(0, 0) + 2 * fileHeaderBytes;
-  if (!makeRoom(BatchWriter::bytesOf(writes) + sweepAndHeaders, now))
-    return countRejectedWrites(
+  if (!makeRoom(BatchWriter::maxBytesOf(writes) + sweepAndHeaders, now))
+    return countUnsuccessfulWrites(
         writes.size(),
         {StoreErrorCode::storeFull,
-         fmt::format("the store is full: writes of {} bytes do not fit under disk_bytes ({}), and "
-                     "no space could be freed",
-                     BatchWriter::bytesOf(writes), settings_.maxDiskBytes)});
+         fmt::format(
+             "the store is full: writes of {} bytes do not fit under the disk_bytes limit of {} bytes, "
+             "and no space could be freed",
+             BatchWriter::maxBytesOf(writes), settings_.maxDiskBytes)});
   DiskError error;
   // After a failed sync, earlier writes to the file may be lost, and a later successful sync of the same file
   // proves nothing. Therefore these writes are retried in a new segment.
   for (int attempt = 0; attempt < maxCommitAttempts; ++attempt) {
     auto status = ensureActiveSegment();
-    if (!status.isOk()) return countRejectedWrites(writes.size(), std::move(status));
+    if (!status.isOk()) return countUnsuccessfulWrites(writes.size(), std::move(status));
     error = batchWriter_.write(writes, now);
     if (!error) return {};
     if (activeSegment()) break;  // the sync did not fail, and the file was restored to its previous state
   }
   const SegmentWriter* active = activeSegment();
-  const std::string name = active ? segmentFileName(active->number()) : "a new segment";
-  return countRejectedWrites(writes.size(), {StoreErrorCode::ioError, describeError(name, error)});
+  const std::string name = active ? segmentFileName(active->number()) : "write or sync of a new segment";
+  return countUnsuccessfulWrites(writes.size(), {StoreErrorCode::ioError, describeError(name, error)});
 }
 
-StoreStatus LogStructuredStore::countRejectedWrites(std::size_t writes, StoreStatus status) {
+StoreStatus LogStructuredStore::countUnsuccessfulWrites(std::size_t writes, StoreStatus status) {
   const std::lock_guard lock(state_.mutex);
   StoreStatistics& statistics = state_.statistics;
   (status.code == StoreErrorCode::storeFull ? statistics.rejectedWrites : statistics.failedWrites) += writes;
--- a/src/store/log_structured_store.h
+++ b/src/store/log_structured_store.h
@@ -76,7 +76,7 @@
 
  private:
   StoreStatus commitBatch(std::span<const WriteRequest> writes, UnixTime now);
-  StoreStatus countRejectedWrites(std::size_t writes, StoreStatus status);
+  StoreStatus countUnsuccessfulWrites(std::size_t writes, StoreStatus status);
   StoreStatus ensureActiveSegment();
   bool makeRoom(std::uint64_t bytes, UnixTime now);
   bool expireEntries(UnixTime now);
@@ -93,7 +93,7 @@
   const CompactionPolicy policy_;
   const LogCallback log_;
   FolderUsage usage_;
-  mutable StoreState state_;  // has its own mutex; reads record expired and corrupt entries in it
+  mutable StoreState state_;  // has its own mutex; `get` adds expired and corrupt entries to it
   SegmentCatalog catalog_;
   mutable SegmentFileCache files_;
   mutable RecordReader reader_;
--- a/src/store/posix_disk.cpp
+++ b/src/store/posix_disk.cpp
@@ -17,7 +17,7 @@
 
 constexpr mode_t folderMode = 0700;
 constexpr mode_t fileMode = 0600;
-constexpr std::size_t maxPidText = 31;
+constexpr std::size_t maxPidTextBytes = 31;
 constexpr std::string_view lineEnds{"\n\0", 2};
 
 DiskError lastError() { return diskError(errno); }
@@ -142,7 +142,7 @@
 }
 
 std::string PosixDisk::lockHolder() const {
-  std::array<char, maxPidText> text{};
+  std::array<char, maxPidTextBytes> text{};
   const ssize_t size = ::pread(lockDescriptor_, text.data(), text.size(), 0);
   if (size < 0) return {};
   const std::string_view line(text.data(), static_cast<std::size_t>(size));
--- a/src/store/record_reader.h
+++ b/src/store/record_reader.h
@@ -1,5 +1,6 @@
 /// @file
-/// Reads the value of a key: looks up the key in the index, then reads the disk once.
+/// Reads the value of a key: looks up the key in the index, then reads the record from the disk. Repeats both
+/// if a compaction has moved the record in the meantime.
 #pragma once
 
 #include <string>
--- a/src/store/record_scanner.h
+++ b/src/store/record_scanner.h
@@ -27,7 +27,7 @@
     std::uint64_t bytes = 0;   ///< Size of the record or the corrupt range.
   };
 
-  /// Each record's checksum covers the header.
+  /// `header` must be the file's header, because the checksum of each record covers it.
   RecordScanner(std::shared_ptr<File> file, FileHeader header);
 
   /// Returns the next record or corrupt range. Bytes that the disk can't read count as corrupt.
@@ -46,7 +46,7 @@
   std::uint64_t fileBytes_;
   std::uint64_t position_ = fileHeaderBytes;
   std::uint64_t windowOffset_ = 0;
-  std::string window_;  // grows at most to the size of the longest record of the file
+  std::string window_;  // has a fixed maximum size, except that it grows for a longer record
 };
 
 }  // namespace rainhook::store
--- a/src/store/recovery.cpp
+++ b/src/store/recovery.cpp
@@ -42,7 +42,7 @@
     if (auto status = recoverSegment(number, files); !status.isOk()) return status;
   }
   advanceSequencePast(highestSequence_);
-  hideRecordsOlderThanLost();
+  applyLostRecords();
   reportDamage();
   state_.index.sortByAge();
   if (hasLostSegment_)
@@ -89,7 +89,7 @@
   if (opened.file) {
     recoverPresentSegment(number, opened.file, hints);
   } else {
-    log(describeError(name, opened.error));
+    log(describeError(name, opened.error) + "; records that exist only in this segment are lost");
     recoverMissingSegment(number, files.segmentBytes, hints);
   }
   for (const HintEntry& entry : hints.entries)
@@ -180,7 +180,7 @@
   }
 }
 
-/// Appends the hint entries without a record in the segment to `entries`, which are sorted by offset.
+/// Appends the hint entries whose record is not in the segment. `entries` must be sorted by offset.
 void Recovery::addHintsWithoutRecord(SegmentNumber number, const HintFile& hints,
                                      std::vector<HintEntry>& entries) {
   const auto recordCount = static_cast<std::ptrdiff_t>(entries.size());
@@ -224,11 +224,12 @@
   ++state_.statistics.hintsRebuilt;
 }
 
-void Recovery::hideRecordsOlderThanLost() {
+/// Marks the keys of lost records as lost, so that no older record of them is served, and counts the damage.
+void Recovery::applyLostRecords() {
   for (const LostRecord& lost : lostRecords_) {
     const auto& [key, sequence] = lost.record;
     highestSequence_ = std::max(highestSequence_, sequence);
-    // The record is not missed if a newer one has overwritten it, or if it still exists in the input of a
+    // Nothing is lost if a newer record has overwritten this one, or if it still exists in the input of a
     // compaction that a crash interrupted.
     const IndexEntry* entry = state_.index.find(key);
     if (sequence < state_.index.floor() || (entry && entry->sequence >= sequence)) continue;
--- a/src/store/requests.h
+++ b/src/store/requests.h
@@ -15,7 +15,7 @@
 
 namespace rainhook::store {
 
-/// Receives one log line at a time, on the thread that reports it.
+/// Receives one log line at a time, on the thread that writes the line.
 using LogCallback = std::function<void(const std::string&)>;
 /// Receives the status of a completed operation; called once.
 using StatusCallback = std::function<void(StoreStatus)>;
--- a/src/store/segment_catalog.cpp
+++ b/src/store/segment_catalog.cpp
@@ -78,7 +78,7 @@
   return {};
 }
 
-std::vector<const SegmentWriter*> SegmentCatalog::openWriters() const {
+std::vector<const SegmentWriter*> SegmentCatalog::activeWriters() const {
   std::vector<const SegmentWriter*> out;
   for (const SegmentWriter* writer : {commitWriter_.get(), compactionWriter_.get()})
     if (writer) out.push_back(writer);
@@ -96,7 +96,8 @@
   for (const auto& [number, segment] : contents_.sealed)
     out.segments.push_back({number, !segment.isUntrusted, segment.bytes, segment.lastSequence});
   if (scope == ManifestScope::sealedSegments) return out;
-  for (const SegmentWriter* writer : openWriters()) out.segments.push_back({writer->number(), false, 0, {}});
+  for (const SegmentWriter* writer : activeWriters())
+    out.segments.push_back({writer->number(), false, 0, {}});
   return out;
 }
 
@@ -125,7 +126,7 @@
   for (const auto& [number, segment] : contents_.sealed)
     out.segments.push_back({number, segment.bytes + segment.hintBytes, state_.index.liveBytesIn(number), true,
                             segment.isUntrusted, segment.isDamaged});
-  for (const SegmentWriter* writer : openWriters())
+  for (const SegmentWriter* writer : activeWriters())
     out.segments.push_back({writer->number(), writer->bytes() + writer->hintBytes(),
                             state_.index.liveBytesIn(writer->number()), false, false, false});
   return out;
--- a/src/store/segment_catalog.h
+++ b/src/store/segment_catalog.h
@@ -76,13 +76,13 @@
   const SegmentWriter* writer(SegmentRole role) const {
     return role == SegmentRole::commits ? commitWriter_.get() : compactionWriter_.get();
   }
-  /// Starts a segment for this role, which must have none.
+  /// Starts a segment for this role. The role must not have a segment yet.
   StoreStatus openWriter(SegmentRole role);
   /// Creates the next segment before it is needed.
   StoreStatus prepareSpare();
   /// Whether `openWriter` can start a segment without creating its files.
   bool hasDurableSpare() const { return spare_ && isSpareDurable_; }
-  /// Seals the segment of this role, which must have one.
+  /// Seals the segment of this role. The role must have a segment.
   void seal(SegmentRole role, SegmentTrust trust);
 
   /// The sealed segments by number.
@@ -106,7 +106,7 @@
   std::unique_ptr<SegmentWriter>& writerSlot(SegmentRole role) {
     return role == SegmentRole::commits ? commitWriter_ : compactionWriter_;
   }
-  std::vector<const SegmentWriter*> openWriters() const;
+  std::vector<const SegmentWriter*> activeWriters() const;
 
   Disk& disk_;
   FolderUsage& usage_;
@@ -114,7 +114,7 @@
   Contents contents_;
   std::unique_ptr<SegmentWriter> commitWriter_;
   std::unique_ptr<SegmentWriter> compactionWriter_;
-  std::unique_ptr<SegmentWriter> spare_;  // created early, or its manifest could not be written yet
+  std::unique_ptr<SegmentWriter> spare_;  // created in advance, or left after a failed write of the manifest
   bool isSpareDurable_ = false;           // its directory entries are durable
 };
 
--- a/src/store/statistics.h
+++ b/src/store/statistics.h
@@ -10,12 +10,12 @@
 struct StoreStatistics {
   // Current size.
   std::uint64_t entries = 0;           ///< Live keys.
-  std::uint64_t tombstones = 0;        ///< Deleted keys with older records still on disk.
+  std::uint64_t tombstones = 0;        ///< Deleted and lost keys that the index remembers.
   std::uint64_t indexBytes = 0;        ///< Memory that the index uses.
   std::uint64_t folderBytes = 0;       ///< Size of all files in the folder.
   std::uint64_t peakFolderBytes = 0;   ///< The largest `folderBytes` since the store was opened.
   std::uint64_t liveBytes = 0;         ///< The part of the folder that a full compaction would copy.
-  std::uint64_t quarantinedFiles = 0;  ///< Files that do not belong to the store.
+  std::uint64_t quarantinedFiles = 0;  ///< Quarantined files in the folder.
 
   // Writes.
   std::uint64_t puts = 0;            ///< Committed puts.
@@ -23,7 +23,7 @@
   std::uint64_t commits = 0;         ///< Groups of writes with one sync.
   std::uint64_t rejectedWrites = 0;  ///< Writes rejected for lack of room.
   std::uint64_t failedWrites = 0;    ///< Writes that failed because of a disk error.
-  std::uint64_t writtenBytes = 0;    ///< Records and hint entries written by commits.
+  std::uint64_t writtenBytes = 0;    ///< Upper bound on the size of committed records and hint entries.
   std::uint64_t failedSyncs = 0;     ///< Failed syncs of segments.
 
   // Maintenance.
--- a/src/store/store.cpp
+++ b/src/store/store.cpp
@@ -67,9 +67,9 @@
   const std::uint64_t bytes = 2 * (request.key.size() + request.value.size()) + queueEntryOverhead;
   const std::lock_guard lock(mutex_);
   if (auto status = reserveQueueBytes(bytes); !status.isOk()) return status;
-  const std::uint64_t number = ++lastNumber_;
-  uncommitted_[request.key] = {number, request.kind, request.value, request.expiry};
-  queue_.push_back({std::move(request), std::move(onDone), bytes, number});
+  const std::uint64_t writeNumber = ++lastWriteNumber_;
+  uncommitted_[request.key] = {writeNumber, request.kind, request.value, request.expiry};
+  queue_.push_back({std::move(request), std::move(onDone), bytes, writeNumber});
   wakeWriter_.notify_one();
   return {};
 }
@@ -192,7 +192,8 @@
     const std::lock_guard lock(mutex_);
     for (std::size_t i = 0; i < batch.size(); ++i) {
       const auto found = uncommitted_.find(writes[i].key);
-      if (found != uncommitted_.end() && found->second.number == batch[i].number) uncommitted_.erase(found);
+      if (found != uncommitted_.end() && found->second.writeNumber == batch[i].writeNumber)
+        uncommitted_.erase(found);
     }
   }
   auto nextStatus = statuses.begin();
--- a/src/store/store.h
+++ b/src/store/store.h
@@ -28,8 +28,8 @@
 /// the value is durable. Callbacks run in `dispatchCompletions`, which the owner calls when `eventFd` is
 /// readable, so that a reactor never waits for the disk.
 ///
-/// Bounds: an accepted call counts against `maxQueueBytes` until its callback has run; a read counts with the
-/// longest value that it may return. A call that would exceed the limit is rejected immediately.
+/// Bounds: an accepted call counts against `maxQueueBytes` until its callback has run; `getAsync` counts with
+/// the longest value that it may return. A call that would exceed the limit is rejected immediately.
 class Store {
  public:
   /// Returns the current time. It is called on the writer thread and on the threads that read.
@@ -94,11 +94,11 @@
     WriteRequest request;
     StatusCallback onDone;
     std::uint64_t queueBytes = 0;
-    std::uint64_t number = 0;
+    std::uint64_t writeNumber = 0;  // the position in the order in which writes were accepted
   };
   /// The latest write of a key that has not been committed yet.
   struct UncommittedValue {
-    std::uint64_t number = 0;
+    std::uint64_t writeNumber = 0;
     WriteKind kind = WriteKind::put;
     std::string value;
     UnixTime expiry = neverExpires;
@@ -133,7 +133,7 @@
   std::uint64_t queueBytes_ = 0;
   std::uint64_t peakQueueBytes_ = 0;
   std::uint64_t rejectedCalls_ = 0;
-  std::uint64_t lastNumber_ = 0;
+  std::uint64_t lastWriteNumber_ = 0;
   bool isOpen_ = false;
   bool isStopping_ = false;
   std::thread writer_;
--- a/src/store/store_settings.h
+++ b/src/store/store_settings.h
@@ -15,8 +15,9 @@
   std::uint64_t maxKeyBytes = 1024;         ///< Limit for a key.
   std::uint64_t maxValueBytes = 256 << 10;  ///< Limit for a value before compression.
   std::uint64_t maxOpenFiles = 32;          ///< Limit for segments open for reading at the same time.
-  std::uint64_t maintenanceStepBytes = 128 << 10;  ///< Bytes read by one compaction or snapshot step.
-  std::uint64_t minCompressedValueBytes = 512;     ///< Shorter values are stored uncompressed.
+  std::uint64_t maintenanceStepBytes =
+      128 << 10;  ///< Limit for the bytes that one compaction or snapshot step reads.
+  std::uint64_t minCompressedValueBytes = 512;  ///< Shorter values are stored uncompressed.
   std::uint64_t maxCommitWrites =
       1024;  ///< Limit for the writes in one group commit; with 1, each write has its own sync.
 
--- a/src/store/store_state.h
+++ b/src/store/store_state.h
@@ -26,8 +26,8 @@
   RecordId record;          ///< The corrupt record.
 };
 
-/// Hold `mutex` while accessing any member. As an exception, the writer thread may read the floor of the
-/// index without it, because only that thread raises the floor.
+/// Hold `mutex` while accessing any member. As an exception, the writer thread may call `index.floor()`
+/// without the mutex, because only that thread raises the floor.
 struct StoreState {
   mutable std::mutex mutex;    ///< Guards all members below.
   KeyIndex index;              ///< The index of all keys.
--- a/src/store/verifier.cpp
+++ b/src/store/verifier.cpp
@@ -20,7 +20,7 @@
 /// The sequence numbers of a segment's records by offset.
 using RecordsByOffset = std::map<std::uint64_t, SequenceNumber>;
 
-/// Escapes all characters of a key except printable ASCII characters.
+/// Escapes spaces, backslashes and all bytes of a key that are not printable ASCII characters.
 std::string printable(std::string_view key) {
   std::string out;
   for (const char character : key) {
--- a/tests/fuzz/store_fuzz.cpp
+++ b/tests/fuzz/store_fuzz.cpp
@@ -62,6 +62,7 @@
 }  // namespace
 
 void fuzzStore(const std::uint8_t* data, std::size_t size) {
+  // The first byte selects what the remaining bytes are used as, and the second one where they are split.
   if (size < 2) return;
   const std::string bytes(reinterpret_cast<const char*>(data) + 2, size - 2);
   const auto half = bytes.size() * data[1] / 255;
--- a/tests/store_command_test.cpp
+++ b/tests/store_command_test.cpp
@@ -44,10 +44,10 @@
     std::ifstream in(name, std::ios::binary);
     return {std::istreambuf_iterator<char>(in), {}};
   }
-  pid_t start(std::vector<std::string> words, const std::string& in, const std::string& out) const {
-    words.insert(words.begin(), {RAINHOOK_PROGRAM, "store"});
+  pid_t start(std::vector<std::string> arguments, const std::string& in, const std::string& out) const {
+    arguments.insert(arguments.begin(), {RAINHOOK_PROGRAM, "store"});
     std::vector<char*> argv;
-    for (auto& word : words) argv.push_back(word.data());
+    for (auto& word : arguments) argv.push_back(word.data());
     argv.push_back(nullptr);
     const pid_t pid = ::fork();
     if (pid != 0) return pid;
@@ -60,10 +60,10 @@
     ::execv(RAINHOOK_PROGRAM, argv.data());
     ::_exit(127);
   }
-  CommandResult run(const std::vector<std::string>& words, const std::string& in = "") const {
+  CommandResult run(const std::vector<std::string>& arguments, const std::string& in = "") const {
     const auto out = folder_ + "/out";
     int status = 0;
-    ::waitpid(start(words, writeFile("in", in), out), &status, 0);
+    ::waitpid(start(arguments, writeFile("in", in), out), &status, 0);
     return {WIFEXITED(status) ? WEXITSTATUS(status) : -1, readFile(out), readFile(folder_ + "/err")};
   }
 
@@ -76,9 +76,9 @@
   const auto got = run({"get", "k", "--dir", dir_});
   EXPECT_EQ(got.status, 0);
   EXPECT_EQ(got.out, value);
-  for (const auto& words : std::vector<std::vector<std::string>>{
+  for (const auto& arguments : std::vector<std::vector<std::string>>{
            {"get", "--dir", dir_, "k"}, {"--dir", dir_, "get", "k"}, {"--dir=" + dir_, "--key", "k", "get"}})
-    EXPECT_EQ(run(words).out, value);
+    EXPECT_EQ(run(arguments).out, value);
   EXPECT_EQ(run({"get", "k", "more", "--dir", dir_}).status, 2);
   const auto absent = run({"get", "other", "--dir", dir_});
   EXPECT_EQ(absent.status, 1);
@@ -147,25 +147,25 @@
   settings.maxDiskBytes = 2 << 20;
   settings.maxSegmentBytes = 32 << 10;
   settings.maxValueBytes = 2 << 10;
-  const auto written = [](std::uint64_t round, std::uint64_t i) { return round * lines + i; };
+  const auto writeNumber = [](std::uint64_t round, std::uint64_t i) { return round * lines + i; };
   std::map<std::string, std::uint64_t> lastPrinted;  // the number of the last printed write of each key
-  std::uint64_t killed = 0;
+  std::uint64_t killedProcesses = 0;
   for (std::uint64_t round = 0; round < 12; ++round) {
     std::string all;
     for (std::uint64_t i = 0; i < lines; ++i)
-      all += numbered("k", i % keys) + "\t" + std::to_string(written(round, i)) + "\n";
+      all += numbered("k", i % keys) + "\t" + std::to_string(writeNumber(round, i)) + "\n";
     const pid_t pid =
         start({"put", "--lines", "--dir", dir_, "--options", options}, writeFile("lines", all), out);
     std::this_thread::sleep_for(std::chrono::milliseconds(15 + 17 * round));
     ::kill(pid, SIGKILL);
     int status = 0;
     ::waitpid(pid, &status, 0);
-    killed += WIFSIGNALED(status);
+    killedProcesses += WIFSIGNALED(status);
     std::istringstream printed(readFile(out));
-    std::map<std::string, std::uint64_t> times;
-    for (std::string key; std::getline(printed, key) && !printed.eof();) ++times[key];
-    for (const auto& [key, count] : times)
-      lastPrinted[key] = written(round, (count - 1) * keys + std::stoull(key.substr(1)));
+    std::map<std::string, std::uint64_t> printCounts;
+    for (std::string key; std::getline(printed, key) && !printed.eof();) ++printCounts[key];
+    for (const auto& [key, count] : printCounts)
+      lastPrinted[key] = writeNumber(round, (count - 1) * keys + std::stoull(key.substr(1)));
     PosixDisk disk(dir_);
     LogStructuredStore opened(disk, settings, {});
     const UnixTime now{std::chrono::milliseconds(1)};
@@ -177,13 +177,13 @@
       EXPECT_GE(std::stoull(*read.value), number) << key << ": an older value is served";
       EXPECT_EQ(std::stoull(*read.value) % keys, number % keys) << key << ": the value of another key";
     }
-    std::uint64_t folder = 0;
-    for (const auto& entry : std::filesystem::directory_iterator(dir_)) folder += entry.file_size();
-    EXPECT_LE(folder, settings.maxDiskBytes);
+    std::uint64_t folderBytes = 0;
+    for (const auto& entry : std::filesystem::directory_iterator(dir_)) folderBytes += entry.file_size();
+    EXPECT_LE(folderBytes, settings.maxDiskBytes);
     opened.close();
   }
   EXPECT_FALSE(lastPrinted.empty());
-  EXPECT_GT(killed, 8u) << "the command finished before it could be killed";
+  EXPECT_GT(killedProcesses, 8u) << "the command finished before it could be killed";
 }
 
 TEST(StoreFuzz, RecoversFromAllCorpusFiles) {
--- a/tests/store_crash_test.cpp
+++ b/tests/store_crash_test.cpp
@@ -15,9 +15,9 @@
 constexpr int survivalChoices = 5;  // the number of outcomes of each power loss
 
 /// The number of seeds to try; RAINHOOK_SEEDS overrides it for a longer search.
-std::uint64_t seedCount(std::uint64_t usual) {
+std::uint64_t seedCount(std::uint64_t defaultCount) {
   const char* requested = std::getenv("RAINHOOK_SEEDS");
-  return requested ? std::strtoull(requested, nullptr, 10) : usual;
+  return requested ? std::strtoull(requested, nullptr, 10) : defaultCount;
 }
 
 /// Opens the store on the disk that a crash left, checks its reads, continues writing, and reopens it.
@@ -75,9 +75,9 @@
     if (history.open()) history.run(steps);
     history.kill();
     for (int choice = 0; choice < 3; ++choice) {
-      const auto found = disk.afterPowerLoss(choice);
+      const auto afterCrash = disk.afterPowerLoss(choice);
       for (std::uint64_t secondCrashAt = 0;; ++secondCrashAt) {
-        SimulatedDisk second = found;
+        SimulatedDisk second = afterCrash;
         // A copy of the disk shares its inodes, so the bytes are copied separately.
         second = SimulatedDisk::withFiles(second.image());
         second.crashAt = secondCrashAt;
@@ -195,23 +195,23 @@
 // Guards against lost writes when the disk becomes full during a commit or a compaction.
 TEST(StoreDiskError, LosesNoAcknowledgedWriteWhenTheDiskIsFull) {
   std::uint64_t failed = 0;
-  for (std::uint64_t spare = 0; spare < 3000; spare += 60) {
+  for (std::uint64_t freeBytes = 0; freeBytes < 3000; freeBytes += 60) {
     SimulatedDisk disk;
     OperationHistory history(disk, 9);
     ASSERT_TRUE(history.open());
     history.run(40);
-    disk.capacity = disk.usedBytes() + spare;
+    disk.capacity = disk.usedBytes() + freeBytes;
     history.run(40);
     history.runAllMaintenance();
-    ASSERT_EQ(history.contradictions(), "") << spare;
+    ASSERT_EQ(history.contradictions(), "") << freeBytes;
     failed += history.store().statistics().failedWrites;
-    disk.capacity = SimulatedDisk::never;
+    disk.capacity = SimulatedDisk::unlimited;
     const std::vector<WriteRequest> writes{WriteRequest::put("key2", "room again")};
-    ASSERT_TRUE(history.store().commit(writes, history.now).front().isOk()) << spare;
+    ASSERT_TRUE(history.store().commit(writes, history.now).front().isOk()) << freeBytes;
     history.model.recordWrite(writes[0], true);
     history.kill();
     expectRecoversAndContinues(disk.afterPowerLoss(0), history.model, history.now,
-                               "spare " + std::to_string(spare));
+                               "free bytes " + std::to_string(freeBytes));
     if (HasFatalFailure()) return;
   }
   EXPECT_GT(failed, 100u) << "the disk was never full";
@@ -223,15 +223,15 @@
   std::uint64_t operations = 1;
   for (std::uint64_t at = 0; at <= operations; ++at) {
     SimulatedDisk disk;
-    SimulatedDisk target;
+    SimulatedDisk destination;
     OperationHistory history(disk, 10);
     ASSERT_TRUE(history.open());
     history.run(40);
-    target.crashAt = at;
+    destination.crashAt = at;
     std::optional<StoreStatus> ended;
-    auto copied = history.model;
+    auto modelAtStart = history.model;
     const auto started =
-        history.store().startSnapshot(std::make_unique<CrashSimulatingDisk>(target),
+        history.store().startSnapshot(std::make_unique<CrashSimulatingDisk>(destination),
                                       [&](StoreStatus status) { ended = std::move(status); });
     if (!started.isOk()) ended = started;
     for (int i = 0; i < 2000 && !ended; ++i) {
@@ -242,18 +242,19 @@
     }
     ASSERT_TRUE(ended);
     ASSERT_EQ(history.contradictions(), "");
-    operations = std::max(operations, target.operations);
+    operations = std::max(operations, destination.operations);
     for (int choice = 0; choice < survivalChoices; ++choice) {
-      SimulatedDisk found = target.afterPowerLoss(choice);
-      OperationHistory other(found, 11);
-      other.now = history.now;
+      SimulatedDisk found = destination.afterPowerLoss(choice);
+      OperationHistory openedSnapshot(found, 11);
+      openedSnapshot.now = history.now;
       // An interrupted snapshot is rejected or contains no files of the store. A complete snapshot has the
       // contents that the store had when the snapshot started.
-      const bool opened = other.open();
+      const bool opened = openedSnapshot.open();
       // Opening an empty folder creates one file, the manifest of an empty store.
       const bool hasSnapshotFiles = found.files.size() > 1 || ended->isOk();
       if (opened && hasSnapshotFiles) {
-        ASSERT_EQ(copied.contradictions(other.store(), history.now), "") << at << ", choice " << choice;
+        ASSERT_EQ(modelAtStart.contradictions(openedSnapshot.store(), history.now), "")
+            << at << ", choice " << choice;
       }
       ASSERT_TRUE(opened || !ended->isOk()) << at << ", choice " << choice;
     }
@@ -263,14 +264,14 @@
 // Guards against a failed write that reappears after an acknowledged erasure. Recovery may find the record of
 // a failed write, because its file was not truncated or the truncation was lost in a power loss.
 TEST(StoreDiskError, AcknowledgedErasureOverridesAnEarlierFailedWrite) {
-  for (const bool older : {false, true})
+  for (const bool hasOlderRecord : {false, true})
     for (const bool syncFails : {true, false})
       for (int choice = 0; choice < 40; ++choice) {
         SimulatedDisk disk;
         OperationHistory history(disk, 12);
         ASSERT_TRUE(history.open());
         // The second entry keeps enough of the segment live that it is not compacted first.
-        if (older)
+        if (hasOlderRecord)
           history.commit({WriteRequest::put("key1", "older"),
                           WriteRequest::put("keeper", "0123456789abcdefghijklmnopqrstuvwxyz")});
         ASSERT_TRUE(history.open());  // puts the older record into a separate segment
@@ -295,8 +296,8 @@
         const std::vector<WriteRequest> erasing{WriteRequest::erase("key1")};
         ASSERT_TRUE(history.store().commit(erasing, history.now).front().isOk());
         history.model.recordWrite(erasing[0], true);
-        const auto context = std::string(older ? "older, " : "") + (syncFails ? "sync" : "truncation") +
-                             ", choice " + std::to_string(choice);
+        const auto context = std::string(hasOlderRecord ? "older record, " : "") +
+                             (syncFails ? "sync" : "truncation") + ", choice " + std::to_string(choice);
         expectRecoversAndContinues(disk.afterPowerLoss(choice), history.model, history.now, context);
         if (HasFatalFailure()) return;
         // The power fails after each step of a full compaction.
--- a/tests/store_damage_test.cpp
+++ b/tests/store_damage_test.cpp
@@ -17,7 +17,7 @@
 
 /// The files that a history left, and the values that a store opened on them may return.
 struct RecordedHistory {
-  struct RecordPlace {
+  struct RecordRange {
     std::string file;
     std::uint64_t offset = 0;
     std::uint64_t bytes = 0;
@@ -26,8 +26,9 @@
   std::map<std::string, std::string> image;
   ReferenceModel model;
   UnixTime now;
-  /// The positions of the latest record of each key; there are several after an interrupted compaction.
-  std::map<std::string, std::vector<RecordPlace>> latest;
+  /// The ranges that contain the latest record of each key; there are several after an interrupted
+  /// compaction.
+  std::map<std::string, std::vector<RecordRange>> latest;
   /// Whether the history contained erasures, expiries and compactions and left several segments.
   bool isVaried = false;
 };
@@ -67,10 +68,10 @@
 
 /// Returns the keys for which every copy of the latest record is damaged.
 std::set<std::string> damagedKeys(const RecordedHistory& recorded,
-                                  const std::function<bool(const RecordedHistory::RecordPlace&)>& isDamaged) {
+                                  const std::function<bool(const RecordedHistory::RecordRange&)>& isDamaged) {
   std::set<std::string> out;
-  for (const auto& [key, places] : recorded.latest)
-    if (std::all_of(places.begin(), places.end(), isDamaged)) out.insert(key);
+  for (const auto& [key, ranges] : recorded.latest)
+    if (std::all_of(ranges.begin(), ranges.end(), isDamaged)) out.insert(key);
   return out;
 }
 
@@ -126,8 +127,8 @@
       auto image = recorded.image;
       image[name].resize(at);
       const auto mayBeMissing =
-          damagedKeys(recorded, [&, &file = name](const RecordedHistory::RecordPlace& place) {
-            return place.file == file && place.offset + place.bytes > at;
+          damagedKeys(recorded, [&, &file = name](const RecordedHistory::RecordRange& range) {
+            return range.file == file && range.offset + range.bytes > at;
           });
       missing +=
           checkDamagedImage(image, recorded, mayBeMissing, name + " truncated at " + std::to_string(at));
@@ -147,8 +148,8 @@
       auto image = recorded.image;
       image[name][at] = static_cast<char>(image[name][at] ^ (1 << (at % 8)));
       const auto mayBeMissing =
-          damagedKeys(recorded, [&, &file = name](const RecordedHistory::RecordPlace& place) {
-            return place.file == file && place.offset <= at && at < place.offset + place.bytes;
+          damagedKeys(recorded, [&, &file = name](const RecordedHistory::RecordRange& range) {
+            return range.file == file && range.offset <= at && at < range.offset + range.bytes;
           });
       missing += checkDamagedImage(image, recorded, mayBeMissing, name + " flipped at " + std::to_string(at));
       if (HasFailure()) return;
@@ -164,24 +165,26 @@
   for (const auto& [name, bytes] : recorded.image)
     if (name.ends_with(".seg")) segments.push_back(name);
   ASSERT_GE(segments.size(), 3u);
-  for (std::uint32_t lost = 1; lost < (1u << std::min<std::size_t>(segments.size(), 8)); ++lost)
-    for (const bool hintsToo : {false, true}) {
+  for (std::uint32_t missingMask = 1; missingMask < (1u << std::min<std::size_t>(segments.size(), 8));
+       ++missingMask)
+    for (const bool areHintsMissing : {false, true}) {
       auto image = recorded.image;
       for (std::size_t i = 0; i < segments.size() && i < 8; ++i) {
-        if ((lost >> i & 1) == 0) continue;
+        if ((missingMask >> i & 1) == 0) continue;
         image.erase(segments[i]);
-        if (hintsToo) image.erase(segments[i].substr(0, 10) + ".hint");
+        if (areHintsMissing) image.erase(segments[i].substr(0, 10) + ".hint");
       }
       // Without the hint files, recovery can't know which older records were overwritten, so keys with older
       // records may be missing, too.
       std::set<std::string> mayBeMissing;
-      for (const auto& [key, places] : recorded.latest)
-        if (hintsToo || GetParam() == HistoryEnd::killed ||
-            std::all_of(places.begin(), places.end(),
-                        [&](const auto& place) { return !image.contains(place.file); }))
+      for (const auto& [key, ranges] : recorded.latest)
+        if (areHintsMissing || GetParam() == HistoryEnd::killed ||
+            std::all_of(ranges.begin(), ranges.end(),
+                        [&](const auto& range) { return !image.contains(range.file); }))
           mayBeMissing.insert(key);
       checkDamagedImage(image, recorded, mayBeMissing,
-                        "lost " + std::to_string(lost) + (hintsToo ? " with hints" : ""));
+                        "missing segments " + std::to_string(missingMask) +
+                            (areHintsMissing ? " with their hint files" : ""));
       if (HasFailure()) return;
     }
 }
@@ -305,16 +308,16 @@
 
 TEST(StoreRecovery, LogsFileOffsetAndSizeWhenARecordIsCorrupt) {
   const auto recorded = recordHistory(22, 45, HistoryEnd::closed);
-  const auto& place = recorded.latest.begin()->second.front();
+  const auto& range = recorded.latest.begin()->second.front();
   auto image = recorded.image;
-  image[place.file][place.offset + recordHeaderBytes] ^= 1;
-  image.erase(place.file.substr(0, 10) + ".hint");
+  image[range.file][range.offset + recordHeaderBytes] ^= 1;
+  image.erase(range.file.substr(0, 10) + ".hint");
   SimulatedDisk disk = SimulatedDisk::withFiles(image);
   OperationHistory history(disk, 1);
   history.now = recorded.now;
   ASSERT_TRUE(history.open());
   const auto line =
-      place.file + " at " + std::to_string(place.offset) + ": " + std::to_string(place.bytes) + " bytes";
+      range.file + " at " + std::to_string(range.offset) + ": " + std::to_string(range.bytes) + " bytes";
   EXPECT_EQ(std::count_if(history.logLines.begin(), history.logLines.end(),
                           [&](const auto& logged) { return logged.starts_with(line); }),
             1)
@@ -344,7 +347,7 @@
 // removed a segment, but before the index is updated, must let the index update finish.
 TEST(StoreSnapshot, LetsACompactionInProgressUpdateTheIndex) {
   SimulatedDisk disk;
-  SimulatedDisk target;
+  SimulatedDisk destination;
   OperationHistory history(disk, 1);
   ASSERT_TRUE(history.open());
   history.commit({WriteRequest::put("key1", "v"), WriteRequest::put("key2", "v")});
@@ -354,7 +357,7 @@
     ASSERT_TRUE(history.store().runMaintenance(history.now));
   std::optional<StoreStatus> ended;
   ASSERT_TRUE(history.store()
-                  .startSnapshot(std::make_unique<CrashSimulatingDisk>(target),
+                  .startSnapshot(std::make_unique<CrashSimulatingDisk>(destination),
                                  [&](StoreStatus status) { ended = std::move(status); })
                   .isOk());
   while (!ended) ASSERT_TRUE(history.store().runMaintenance(history.now));
@@ -376,13 +379,13 @@
   history.runAllMaintenance();
   std::optional<StoreStatus> ended;
   history.store().startCompaction([&](StoreStatus status) { ended = std::move(status); });
-  std::uint64_t between = 0;
-  for (; !ended && between < 1000; ++between) {
+  std::uint64_t commitsBetweenSteps = 0;
+  for (; !ended && commitsBetweenSteps < 1000; ++commitsBetweenSteps) {
     history.store().runMaintenance(history.now);
-    history.commit({WriteRequest::put("while", numbered("v", between))});
+    history.commit({WriteRequest::put("while", numbered("v", commitsBetweenSteps))});
   }
   ASSERT_TRUE(ended && ended->isOk());
-  EXPECT_GT(between, 3u) << "the compaction was done in too few steps";
+  EXPECT_GT(commitsBetweenSteps, 3u) << "the compaction was done in too few steps";
   EXPECT_EQ(history.contradictions(), "");
 }
 
--- a/tests/store_simulated_disk.h
+++ b/tests/store_simulated_disk.h
@@ -27,7 +27,8 @@
   /// A fault in which a write stores only half of its bytes without an error; any other operation fails with
   /// EIO.
   static constexpr int shortWrite = -1;
-  static constexpr std::uint64_t never = ~std::uint64_t{0};
+  static constexpr std::uint64_t never = ~std::uint64_t{0};      // for crashAt
+  static constexpr std::uint64_t unlimited = ~std::uint64_t{0};  // for capacity
 
   /// A change of a file's bytes.
   struct Change {
@@ -53,7 +54,7 @@
   std::map<std::string, std::shared_ptr<Inode>> files;
   std::map<std::string, std::shared_ptr<Inode>> durableFiles;
   std::vector<NameChange> unsyncedNames;
-  std::uint64_t capacity = never;
+  std::uint64_t capacity = unlimited;
   std::uint64_t peakBytes = 0;
   std::uint64_t operations = 0;  // the number of operations that change data
   std::uint64_t crashAt = never;
@@ -110,7 +111,8 @@
     return out;
   }
 
-  /// Returns a disk that contains these files durably, so that a test can use one image many times.
+  /// Returns a disk that contains these files durably, so that a test can use one image many times. An image
+  /// maps file names to contents.
   static SimulatedDisk withFiles(const std::map<std::string, std::string>& image) {
     SimulatedDisk out;
     for (const auto& [name, bytes] : image) {
--- a/tests/store_test.cpp
+++ b/tests/store_test.cpp
@@ -37,29 +37,29 @@
 };
 
 TEST_F(StoreTest, PutIsVisibleImmediatelyAndCompletesWhenDurable) {
-  const auto opened = makeStore();
-  ASSERT_TRUE(opened->open(1).isOk());
+  const auto store = makeStore();
+  ASSERT_TRUE(store->open(1).isOk());
   int completed = 0;
   for (int i = 0; i < 500; ++i) {
     const auto key = numbered("k", static_cast<std::uint64_t>(i % 50));
-    ASSERT_TRUE(opened
+    ASSERT_TRUE(store
                     ->put(key, std::to_string(i), neverExpires,
                           [&](const StoreStatus& status) { completed += status.isOk(); })
                     .isOk());
-    ASSERT_EQ(opened->get(key).value, std::to_string(i));
+    ASSERT_EQ(store->get(key).value, std::to_string(i));
   }
-  ASSERT_TRUE(opened->erase("k7", {}).isOk());
-  EXPECT_FALSE(opened->get("k7").value);
+  ASSERT_TRUE(store->erase("k7", {}).isOk());
+  EXPECT_FALSE(store->get("k7").value);
   EXPECT_EQ(completed, 0) << "no callback may run before dispatchCompletions";
-  opened->waitUntilIdle();
+  store->waitUntilIdle();
   EXPECT_EQ(completed, 500);
   std::optional<std::string> fetched;
-  ASSERT_TRUE(opened->getAsync("k8", [&](const ReadResult& got) { fetched = got.value; }).isOk());
-  opened->waitUntilIdle();
+  ASSERT_TRUE(store->getAsync("k8", [&](const ReadResult& result) { fetched = result.value; }).isOk());
+  store->waitUntilIdle();
   EXPECT_EQ(fetched, "458");
-  EXPECT_LT(opened->statistics().log.commits, 500u) << "waiting writes must share commits";
-  opened->close();
-  EXPECT_EQ(opened->put("late", "", neverExpires, {}).code, StoreErrorCode::closed);
+  EXPECT_LT(store->statistics().log.commits, 500u) << "waiting writes must share commits";
+  store->close();
+  EXPECT_EQ(store->put("late", "", neverExpires, {}).code, StoreErrorCode::closed);
   const auto reopened = makeStore();
   ASSERT_TRUE(reopened->open(2).isOk());
   EXPECT_EQ(reopened->get("k8").value, "458");
@@ -69,40 +69,40 @@
 TEST_F(StoreTest, PutIsRejectedWhenTheQueueIsFullAndEventFdSignalsCompletions) {
   StoreSettings settings;
   settings.maxQueueBytes = 8 << 10, settings.maxValueBytes = 1 << 10;
-  const auto opened = makeStore(settings);
-  ASSERT_TRUE(opened->open(1).isOk());
+  const auto store = makeStore(settings);
+  ASSERT_TRUE(store->open(1).isOk());
   std::uint64_t accepted = 0, rejected = 0, completed = 0;
   for (int i = 0; i < 2000; ++i) {
     const auto outcome =
-        opened->put(numbered("k", static_cast<std::uint64_t>(i)), std::string(500, 'x'), neverExpires,
-                    [&](const StoreStatus& status) { completed += status.isOk(); });
+        store->put(numbered("k", static_cast<std::uint64_t>(i)), std::string(500, 'x'), neverExpires,
+                   [&](const StoreStatus& status) { completed += status.isOk(); });
     ++(outcome.isOk() ? accepted : rejected);
     if (!outcome.isOk()) {
       EXPECT_EQ(outcome.code, StoreErrorCode::queueFull);
     }
   }
   EXPECT_GT(rejected, 0u);
-  EXPECT_EQ(opened->statistics().rejectedCalls, rejected);
-  EXPECT_LE(opened->statistics().peakQueueBytes, settings.maxQueueBytes);
-  pollfd ready{opened->eventFd(), POLLIN, 0};
-  EXPECT_EQ(::poll(&ready, 1, 5000), 1);
-  opened->waitUntilIdle();
+  EXPECT_EQ(store->statistics().rejectedCalls, rejected);
+  EXPECT_LE(store->statistics().peakQueueBytes, settings.maxQueueBytes);
+  pollfd readable{store->eventFd(), POLLIN, 0};
+  EXPECT_EQ(::poll(&readable, 1, 5000), 1);
+  store->waitUntilIdle();
   EXPECT_EQ(completed, accepted);
-  EXPECT_EQ(opened->put("", "x", neverExpires, {}).code, StoreErrorCode::invalidArgument);
-  EXPECT_EQ(opened->put("k", std::string(2000, 'x'), neverExpires, {}).code, StoreErrorCode::entryTooLarge);
+  EXPECT_EQ(store->put("", "x", neverExpires, {}).code, StoreErrorCode::invalidArgument);
+  EXPECT_EQ(store->put("k", std::string(2000, 'x'), neverExpires, {}).code, StoreErrorCode::entryTooLarge);
 }
 
 // Guards against an unbounded list of completions when the owner does not call dispatchCompletions.
 TEST_F(StoreTest, CompletionsCountAgainstTheQueueWhenNotDispatched) {
   StoreSettings settings;
   settings.maxQueueBytes = 16 << 10, settings.maxValueBytes = 1 << 10;
-  const auto opened = makeStore(settings);
-  ASSERT_TRUE(opened->open(1).isOk());
+  const auto store = makeStore(settings);
+  ASSERT_TRUE(store->open(1).isOk());
   std::uint64_t accepted = 0, completed = 0;
   StoreStatus last;
-  const auto repeatUntilRejected = [&](const auto& attempt) {
+  const auto repeatUntilRejected = [&](const auto& call) {
     for (int i = 0; i < 4000 && last.isOk(); ++i) {
-      last = attempt();
+      last = call();
       if (last.isOk())
         // The pause lets the writer thread complete the call.
         ++accepted, std::this_thread::sleep_for(std::chrono::microseconds(200));
@@ -110,47 +110,47 @@
     return std::exchange(last, {}).code;
   };
   EXPECT_EQ(repeatUntilRejected([&] {
-              return opened->put("key", "value", neverExpires, [&](const StoreStatus&) { ++completed; });
+              return store->put("key", "value", neverExpires, [&](const StoreStatus&) { ++completed; });
             }),
             StoreErrorCode::queueFull);
   EXPECT_LE(accepted, 64u);
-  opened->waitUntilIdle();
+  store->waitUntilIdle();
   EXPECT_EQ(completed, accepted);
   EXPECT_EQ(
-      repeatUntilRejected([&] { return opened->getAsync("key", [&](const ReadResult&) { ++completed; }); }),
+      repeatUntilRejected([&] { return store->getAsync("key", [&](const ReadResult&) { ++completed; }); }),
       StoreErrorCode::queueFull);
   EXPECT_LE(accepted, 64u + 16u) << "each read must reserve the longest value";
-  opened->waitUntilIdle();
+  store->waitUntilIdle();
   EXPECT_EQ(completed, accepted);
 }
 
 TEST_F(StoreTest, OpenFailsWithTheHoldersPidWhenTheFolderIsLocked) {
-  const auto opened = makeStore();
-  ASSERT_TRUE(opened->open(1).isOk());
+  const auto store = makeStore();
+  ASSERT_TRUE(store->open(1).isOk());
   const auto outcome = makeStore()->open(2);
   EXPECT_EQ(outcome.code, StoreErrorCode::locked);
   EXPECT_NE(outcome.message.find(std::to_string(::getpid())), std::string::npos) << outcome.message;
 }
 
 TEST_F(StoreTest, SnapshotContainsAllEarlierEntriesWhenWritesContinue) {
-  const auto opened = makeStore();
-  ASSERT_TRUE(opened->open(1).isOk());
+  const auto store = makeStore();
+  ASSERT_TRUE(store->open(1).isOk());
   for (int i = 0; i < 300; ++i)
-    ASSERT_TRUE(opened->put(numbered("k", static_cast<std::uint64_t>(i)), "before", neverExpires, {}).isOk());
-  opened->waitUntilIdle();
+    ASSERT_TRUE(store->put(numbered("k", static_cast<std::uint64_t>(i)), "before", neverExpires, {}).isOk());
+  store->waitUntilIdle();
   const auto to = folder_ + "/copy";
   StoreStatus ended{StoreErrorCode::ioError, "not completed"};
   ASSERT_TRUE(
-      opened->snapshot(std::make_unique<PosixDisk>(to), [&](const StoreStatus& status) { ended = status; })
+      store->snapshot(std::make_unique<PosixDisk>(to), [&](const StoreStatus& status) { ended = status; })
           .isOk());
   for (int i = 0; i < 300; ++i)
-    ASSERT_TRUE(opened->put(numbered("k", static_cast<std::uint64_t>(i)), "after", neverExpires, {}).isOk());
-  opened->waitUntilIdle();
+    ASSERT_TRUE(store->put(numbered("k", static_cast<std::uint64_t>(i)), "after", neverExpires, {}).isOk());
+  store->waitUntilIdle();
   ASSERT_TRUE(ended.isOk()) << ended.message;
   PosixDisk disk(to);
   LogStructuredStore copy(disk, StoreSettings{}, {});
   ASSERT_TRUE(copy.open(9).isOk());
-  EXPECT_EQ(copy.id(), opened->id());
+  EXPECT_EQ(copy.id(), store->id());
   EXPECT_EQ(copy.statistics().entries, 300u);
 }
 
@@ -160,29 +160,29 @@
   StoreSettings settings;
   settings.maxSegmentBytes = 64 << 10, settings.maxValueBytes = 1 << 10, settings.maxDiskBytes = 2 << 20,
   settings.maxOpenFiles = 2;
-  const auto opened = makeStore(settings);
-  ASSERT_TRUE(opened->open(1).isOk());
+  const auto store = makeStore(settings);
+  ASSERT_TRUE(store->open(1).isOk());
   std::atomic<bool> stop = false;
   std::atomic<std::uint64_t> reads = 0, wrong = 0;
   std::thread reader([&] {
     for (std::uint32_t i = 0; !stop; ++i, ++reads) {
       const auto key = numbered("k", static_cast<std::uint64_t>(i % 100));
-      const auto got = opened->get(key);
-      wrong += !got.status.isOk() || (got.value && got.value->substr(0, key.size()) != key);
+      const auto result = store->get(key);
+      wrong += !result.status.isOk() || (result.value && result.value->substr(0, key.size()) != key);
     }
   });
   for (int i = 0; i < 20000; ++i) {
     const auto key = numbered("k", static_cast<std::uint64_t>(i % 100));
     while (
-        !opened->put(key, key + std::string(static_cast<std::size_t>(i % 300), 'y'), neverExpires, {}).isOk())
-      opened->waitUntilIdle();
+        !store->put(key, key + std::string(static_cast<std::size_t>(i % 300), 'y'), neverExpires, {}).isOk())
+      store->waitUntilIdle();
   }
-  opened->waitUntilIdle();
+  store->waitUntilIdle();
   stop = true;
   reader.join();
   EXPECT_EQ(wrong, 0u);
   EXPECT_GT(reads, 100u);
-  EXPECT_GT(opened->statistics().log.compactions, 0u);
+  EXPECT_GT(store->statistics().log.compactions, 0u);
 }
 
 }  // namespace
