--- a/src/store/store_settings.h
+++ b/src/store/store_settings.h
@@ -15,11 +15,10 @@
   std::uint64_t maxKeyBytes = 1024;         ///< Limit for a key.
   std::uint64_t maxValueBytes = 256 << 10;  ///< Limit for a value before compression.
   std::uint64_t maxOpenFiles = 32;          ///< Limit for segments open for reading at the same time.
-  std::uint64_t maintenanceStepBytes =
-      128 << 10;  ///< Limit for the bytes that one compaction or snapshot step reads.
-  std::uint64_t minCompressedValueBytes = 512;  ///< Shorter values are stored uncompressed.
-  std::uint64_t maxCommitWrites =
-      1024;  ///< Limit for the writes in one group commit; with 1, each write has its own sync.
+  std::uint64_t maintenanceStepBytes = 128 << 10;  ///< Limit for the reads of one maintenance step.
+  std::uint64_t minCompressedValueBytes = 512;     ///< Shorter values are stored uncompressed.
+  /// Limit for the writes in one group commit; with 1, each write has its own sync.
+  std::uint64_t maxCommitWrites = 1024;
 
   /// Compares all members.
   bool operator==(const StoreSettings&) const = default;
