--- a/src/membership/dependency_quota.h
+++ b/src/membership/dependency_quota.h
@@ -11,7 +11,7 @@
 /// In a larger fleet the configured total is divided by the number of quota holders, which are the members
 /// that may be calling. An increase of this number takes effect immediately. A decrease takes effect only
 /// after the view has been certain for the stabilization period, on the side of a partition that has a
-/// majority of the fleet; members that were declared dead less than two leases ago still count. An instance
+/// majority of the fleet; members that died or left less than two leases ago still count. An instance
 /// that has not reached half of the fleet for one lease, or was paused so long that it cannot know, stops
 /// calling until it has reached half of the fleet again for the stabilization period: the others may use its
 /// share meanwhile, and have to count it first.
@@ -33,7 +33,7 @@
   std::size_t fleetSize = 1;          ///< present members, and dead ones whose lease may still be valid
   bool isUncertain = false;           ///< whether the view may be wrong, see Membership::isViewUncertain
   std::size_t largestAdvertised = 0;  ///< largest fleet size that another member advertises
-  /// Smallest fleet size that a member advertises which is alive and may call.
+  /// Smallest fleet size that is advertised by a member that is alive and may call.
   std::size_t smallestAdvertised = std::numeric_limits<std::size_t>::max();
 };
 /// Counts the fleet. Dead and left members count for twice the lease.
@@ -44,8 +44,8 @@
  public:
   /// The settings of the quota, which are the same on all instances.
   struct Settings {
-    int servers = 1;  ///< number of servers for which the quota of each is configured
-    Duration lease = std::chrono::seconds(30);  ///< calls stop after this time without half of the fleet
+    int servers = 1;  ///< number of servers that the configured quota per server assumes
+    Duration lease = std::chrono::seconds(30);  ///< how long calls continue without half of the fleet
     /// How long a view has to last before it takes effect.
     Duration stabilizationPeriod = std::chrono::seconds(5);
   };
@@ -53,7 +53,8 @@
   explicit DependencyQuota(const Settings& settings) : settings_(settings) {}
 
   /// Returns the share of the configured quota that may be used from now on, 0 to 1. The caller calls this
-  /// many times per lease: a late call makes the view count as uncertain.
+  /// many times per lease: the view counts as uncertain if the previous call was more than a quarter of a
+  /// lease ago.
   double update(Duration now, const FleetView& view);
   /// Returns the number of members by which the configured total is divided.
   [[nodiscard]] std::size_t quotaHolders() const { return quotaHolders_; }
--- a/src/membership/dissemination.h
+++ b/src/membership/dissemination.h
@@ -13,8 +13,8 @@
 
 namespace rainhook::membership {
 
-/// Fills and encodes outgoing messages. The statuses of random members are drawn from the probe round,
-/// because it holds the present members in a vector.
+/// Fills and encodes outgoing messages. A datagram carries the statuses of random members. They are drawn
+/// from the probe round, which unlike the member table is a vector and allows random access.
 class Dissemination {
  public:
   /// Queues an update; it replaces an earlier one about the same member or zone.
--- a/src/membership/explain.cpp
+++ b/src/membership/explain.cpp
@@ -30,8 +30,9 @@
 
 void explainSuspicion(const Suspicion& suspicion, Duration now, std::vector<std::string>& lines) {
   lines.push_back("suspected by " + listOf(suspicion.accusers));
-  if (suspicion.lastCorroborated >= Duration{})
-    lines.push_back("another member received a message from it " + ago(now, suspicion.lastCorroborated));
+  if (suspicion.lastReceivedByAny >= Duration{})
+    lines.push_back("the latest message from it to any member was received " +
+                    ago(now, suspicion.lastReceivedByAny));
   std::string declaration =
       "may be declared dead in " + inMilliseconds(suspicion.deadline - now) + " at the earliest";
   if (suspicion.postponedBecause != PostponeReason::none)
@@ -59,7 +60,7 @@
   if (it == membership.members().end()) return {};
   const Member& member = it->second;
   std::vector<std::string> lines;
-  lines.push_back(std::string(nameOf(member.state)) + " since " + ago(now, member.stateSince) +
+  lines.push_back(std::string(nameOf(member.state)) + " for " + inMilliseconds(now - member.stateSince) +
                   ", incarnation " + textOf(member.record.incarnation));
   lines.push_back("last direct message from it " + ago(now, member.lastReceived) +
                   ", last evidence that it is alive " + ago(now, member.lastEvidence));
@@ -68,7 +69,7 @@
   if (member.state == MemberState::dead)
     lines.push_back("declared dead on reports by " + listOf(member.deathReporters));
   if (const auto since = membership.zones().unreachableSince(member.record.zone))
-    lines.push_back("its whole zone has been unreachable since " + ago(now, *since));
+    lines.push_back("its whole zone has been unreachable for " + inMilliseconds(now - *since));
   explainReachability(membership, member, lines);
   return lines;
 }
--- a/src/membership/failure_detector.cpp
+++ b/src/membership/failure_detector.cpp
@@ -13,14 +13,14 @@
 constexpr int maxLocalHealthMultiplier = 8;
 constexpr Duration minPause = 100ms;
 constexpr Duration minTimerWait = 1ms;
-constexpr int gracePeriods = 2;
+constexpr int graceProbeIntervals = 2;
 
 }  // namespace
 
 void FailureDetector::open(Duration now, RandomSource& random) {
-  constexpr int phases = 1000;
-  const auto phase = static_cast<Duration::rep>(random.below(phases));
-  nextProbeAt_ = now + Duration(phase * settings_.probeInterval.count() / phases);
+  constexpr int steps = 1000;
+  const auto step = static_cast<Duration::rep>(random.below(steps));
+  nextProbeAt_ = now + Duration(step * settings_.probeInterval.count() / steps);
   lastReceived_ = now;
 }
 
@@ -43,7 +43,7 @@
   }
   for (auto& [nonce, probe] : indirectProbes_) probe.deadline += pause;
   lastReceived_ += pause;
-  gracePeriodEnd_ = now + gracePeriods * settings_.probeInterval;
+  gracePeriodEnd_ = now + graceProbeIntervals * settings_.probeInterval;
   nextProbeAt_ = std::max(nextProbeAt_, now);
   nextDeadline_ = now;
 }
--- a/src/membership/failure_detector.h
+++ b/src/membership/failure_detector.h
@@ -98,7 +98,7 @@
                                                         Nonce requesterNonce, RandomSource& random);
   /// Returns whether fewer than 128 indirect probes are pending.
   [[nodiscard]] bool hasRoomForIndirectProbe() const;
-  /// Removes and returns the indirect probe with this nonce.
+  /// Removes and returns the indirect probe with this nonce; nothing if none is pending.
   std::optional<IndirectProbe> takeIndirectProbe(Nonce nonce);
   /// Removes and returns the indirect probes without an answer in time.
   std::vector<IndirectProbe> takeExpiredIndirectProbes(Duration now);
--- a/src/membership/gossip_queue.h
+++ b/src/membership/gossip_queue.h
@@ -33,7 +33,7 @@
   [[nodiscard]] std::size_t size() const { return entries_.size(); }
 
  private:
-  /// The topic of an update. Updates of equal rank are sent in the order of the topics.
+  /// The topic of an update. The queue holds one update for each topic and name.
   enum class Topic : char { receivedFrom = 'h', member = 'm', zone = 'z' };
   struct Key {
     Topic topic{};
@@ -44,7 +44,7 @@
   struct Entry {
     GossipUpdate update;
     std::size_t timesSent = 0;
-    std::int64_t number = 0;
+    std::int64_t number = 0;  ///< the value of newest_ when the update was added
   };
   /// The order of sending: updates sent least often first, among those the newest first.
   struct Rank {
--- a/src/membership/join.h
+++ b/src/membership/join.h
@@ -22,9 +22,10 @@
 struct PersistedIdentity {
   static constexpr std::size_t maxKnownMembers = 8;  ///< maximum number of persisted members
 
-  Incarnation firstIncarnation{1};                     ///< higher than all that were ever sent
-  Incarnation reservedIncarnation{~std::uint64_t{0}};  ///< no higher one is sent
-  std::vector<KnownMember> knownMembers;               ///< asked if no seed answers, at most maxKnownMembers
+  Incarnation firstIncarnation{1};  ///< higher than all that were ever sent
+  /// The highest that may be sent until more are reserved. The default does not limit it.
+  Incarnation reservedIncarnation{~std::uint64_t{0}};
+  std::vector<KnownMember> knownMembers;  ///< asked if no seed answers, at most maxKnownMembers
 };
 
 /// The incarnations that this member may use. None is sent before its reservation is on disk.
@@ -48,7 +49,8 @@
 };
 
 /// Asks the seeds in turn for three rounds, then each member known from earlier processes once. If none of
-/// them answers, this instance is the first member.
+/// them answers, this instance is the first member. Further calls of nextContact() repeat all contacts in
+/// turn.
 class JoinProtocol {
  public:
   /// Asks the seeds first, in the given order, then the known members.
@@ -73,9 +75,9 @@
   [[nodiscard]] bool isRejected() const { return isRejected_; }
   /// Records that this instance has to stop; this cannot be undone.
   void setRejected() { isRejected_ = true; }
-  /// Returns whether a probe of another process under this name is pending.
+  /// Returns whether a probe of another process under this member's name is pending.
   [[nodiscard]] bool isNameChallenged() const { return isNameChallenged_; }
-  /// Records the start or the end of the probe of another process under this name.
+  /// Records the start or the end of the probe of another process under this member's name.
   void setNameChallenged(bool isChallenged) { isNameChallenged_ = isChallenged; }
 
  private:
--- a/src/membership/member.h
+++ b/src/membership/member.h
@@ -29,10 +29,10 @@
 
 /// A suspicion against one member.
 struct Suspicion {
-  Duration since{};               ///< when the suspicion began
-  Duration deadline{};            ///< when the member may be declared dead at the earliest
-  std::set<Reporter> accusers;    ///< the members that confirm it, at most maxReporters
-  Duration lastCorroborated{-1};  ///< when any member last received a message from the suspect
+  Duration since{};                ///< when the suspicion began
+  Duration deadline{};             ///< when the member may be declared dead at the earliest
+  std::set<Reporter> accusers;     ///< the members that suspect it, at most maxReporters
+  Duration lastReceivedByAny{-1};  ///< when any member last received a message from the suspect
   PostponeReason postponedBecause = PostponeReason::none;  ///< why the declaration is postponed
   int zoneProbes = 0;  ///< probes of other members of its zone before the declaration
 };
@@ -45,11 +45,11 @@
   MemberRecord record;                     ///< the identity of the member
   MemberState state = MemberState::alive;  ///< its state in the view of this member
   Duration stateSince{};                   ///< when the state last changed
-  Duration lastReceived{-1};               ///< when a message arrived directly from it
+  Duration lastReceived{-1};               ///< when the latest message arrived directly from it
   /// When this member last had evidence, directly or through others, that the member is alive.
   Duration lastEvidence{-1};
-  Duration lastCorroborated{-1};         ///< when any member, including this one, received a message from it
-  int missedProbes = 0;                  ///< consecutive probes without a direct answer
+  Duration lastReceivedByAny{-1};  ///< when any member, including this one, last received a message from it
+  int missedProbes = 0;            ///< consecutive probes without a direct answer
   std::optional<Suspicion> suspicion;    ///< set while the state is `suspect`
   std::vector<Reporter> deathReporters;  ///< the members on whose reports it was declared dead
   MemberStatus status;                   ///< the latest status that it published
--- a/src/membership/membership.cpp
+++ b/src/membership/membership.cpp
@@ -82,7 +82,7 @@
   detector_.onPause(now, *pause);
   const Duration minDeadline = now + suspicions_.timeout(0, 2, members_.admittedCount());
   for (auto& [name, member] : members_.all()) {
-    for (Duration* at : {&member.lastReceived, &member.lastEvidence, &member.lastCorroborated})
+    for (Duration* at : {&member.lastReceived, &member.lastEvidence, &member.lastReceivedByAny})
       if (*at >= Duration{}) *at += *pause;
     if (!member.suspicion) continue;
     member.suspicion->since += *pause;
@@ -239,6 +239,8 @@
   if (const Member* const next = round_.next(members_, random_))
     probe(now, next->record, ProbePurpose::failureDetection, effects);
   probeTombstone(now, effects);
+  // A member that is alone keeps asking its contacts, because the fleet may have been unreachable when it
+  // joined.
   const bool isAlone = members_.admittedCount() == 1;
   if (isAlone && join_.hasContacts() && join_.isContactDue(now)) askNextContact(now, effects);
 }
@@ -282,14 +284,14 @@
   ++counters_.failedProbes;
   Member* const member = members_.find(probe.target.name);
   if (!member) return;
-  // Missing nacks from helpers indicate a problem of this member's own links.
+  // More than one missing nack from helpers indicates a problem of this member's own links.
   const bool lacksNacks = probe.helpersAsked > probe.nacks + 1;
   detector_.adjustLocalHealth(lacksNacks ? 2 : 1);
   countMissedProbe(*member, "three probes without an answer", effects);
   if (settings_.detectPauses && (isIsolated(now) || detector_.isInGracePeriod(now))) return;
   // A message from the target reached this member or another one after the probe started, so it is alive.
   const bool isKnownAlive =
-      member->lastReceived >= probe.started || member->lastCorroborated >= probe.started;
+      member->lastReceived >= probe.started || member->lastReceivedByAny >= probe.started;
   if (settings_.requireCorroboration && isKnownAlive) return;
   if (member->isPresent())
     applySuspect(now, *member, member->record.incarnation, {selfAsReporter()}, effects);
@@ -342,8 +344,8 @@
   member->lastReceived = now;
   member->lastEvidence = now;
   member->cannotReach = message.unreachable;
-  if (!member->suspicion || now - member->lastCorroborated <= settings_.probeInterval / 2) return;
-  corroborate(*member, selfAsReporter(), now);
+  if (!member->suspicion || now - member->lastReceivedByAny <= settings_.probeInterval / 2) return;
+  recordReceivedFrom(*member, selfAsReporter(), now);
   // The accusers learn of the message immediately, before they declare the member dead.
   const std::set<Reporter> accusers = member->suspicion->accusers;
   for (const auto& accuser : accusers)
@@ -394,7 +396,7 @@
   // A recent message from the target is evidence of life, even if the target does not answer the probe.
   Member* const member = members_.find(target.name);
   if (member && member->isPresent() && isRecent(now, member->lastReceived) && !isIsolated(now))
-    corroborate(*member, selfAsReporter(), member->lastReceived);
+    recordReceivedFrom(*member, selfAsReporter(), member->lastReceived);
   const auto nonce = detector_.beginIndirectProbe(now, message.sender.name, message.nonce, random_);
   sendDatagram(now, target.address, newMessage(Kind::ping, target.name, *nonce), effects);
 }
--- a/src/membership/membership.h
+++ b/src/membership/membership.h
@@ -161,7 +161,7 @@
   void scheduleDeclaration(Duration now, Member& member, bool isNew);
   void confirmOrRefute(Duration now, Member& member, Effects& effects);
   void applyDeadOrLeft(Duration now, Member& member, const GossipUpdate& update, Effects& effects);
-  void corroborate(Member& member, const Reporter& reporter, Duration observedAt);
+  void recordReceivedFrom(Member& member, const Reporter& reporter, Duration observedAt);
   void setState(Duration now, Member& member, MemberState state, std::string reason, Effects& effects);
   void raiseIncarnation(Incarnation wanted);
 
--- a/src/membership/membership_settings.h
+++ b/src/membership/membership_settings.h
@@ -51,9 +51,11 @@
 
   // Extensions of SWIM. Instances enable all of them; measurements disable them one by one to determine the
   // effect of each.
-  bool useLocalHealth = true;          ///< Lifeguard's local health multiplier
-  bool detectPauses = true;            ///< a pause of this process postpones suspicions and declarations
-  bool requireCorroboration = true;    ///< a declaration needs several accusers and no evidence of life
+  bool useLocalHealth = true;  ///< Lifeguard's local health multiplier
+  bool detectPauses = true;    ///< a pause of this process postpones suspicions and declarations
+  /// A declaration needs several accusers, and no member may have received a message from the suspect
+  /// recently.
+  bool requireCorroboration = true;
   bool shortenByConfirmations = true;  ///< Lifeguard's suspicion timeout, which confirmations shorten
 };
 
--- a/src/membership/membership_updates.cpp
+++ b/src/membership/membership_updates.cpp
@@ -26,7 +26,8 @@
   if (update.kind == Kind::alive) return applyAlive(now, subject, effects);
   Member* member = members_.find(subject.name);
   if (!member) {
-    // Updates about unknown members that are dead or have left are ignored.
+    // Except for `alive`, only suspicions are applied to unknown members, because they show that the member
+    // exists.
     if (update.kind != Kind::suspect || members_.size() >= settings_.maxMembers) return;
     applyAlive(now, subject, effects);
     member = members_.find(subject.name);
@@ -43,7 +44,7 @@
       break;
     case Kind::receivedFrom:
       if (subject.incarnation == member->record.incarnation && update.reporters.size() == 1)
-        corroborate(*member, update.reporters.front(), now - update.observed);
+        recordReceivedFrom(*member, update.reporters.front(), now - update.observed);
       break;
     default:
       break;
@@ -61,7 +62,7 @@
   const bool isOtherProcess = subject.processId != self_.processId;
   if (update.kind == Kind::alive && !isOtherProcess) return;
   // An update with this member's address concerns an earlier process of this member, because two processes
-  // cannot be bound to one address.
+  // cannot be bound to one address. A process that is dead or has left does not use the name anymore.
   const bool hasEnded = update.kind == Kind::dead || update.kind == Kind::left;
   if (isOtherProcess && subject.address != self_.address && !hasEnded)
     return challengeName(now, subject, effects);
@@ -127,10 +128,10 @@
   }
   if (!addAccusers(member, accusers) && !isNew) return;
   scheduleDeclaration(now, member, isNew);
-  const std::set<Reporter>& confirmed = member.suspicion->accusers;
+  const std::set<Reporter>& known = member.suspicion->accusers;
   if (!zones_.isUnreachable(member.record.zone))
-    dissemination_.announce(Kind::suspect, member.record, {confirmed.begin(), confirmed.end()});
-  if (isNew && !confirmed.contains(selfAsReporter())) confirmOrRefute(now, member, effects);
+    dissemination_.announce(Kind::suspect, member.record, {known.begin(), known.end()});
+  if (isNew && !known.contains(selfAsReporter())) confirmOrRefute(now, member, effects);
 }
 
 /// Returns whether the suspicion has a new accuser.
@@ -142,15 +143,15 @@
   return known.size() > before;
 }
 
-/// Sets the deadline of a suspicion, which each further accuser moves forward.
+/// Sets the deadline of a suspicion. Each further accuser may make the deadline earlier.
 void Membership::scheduleDeclaration(Duration now, Member& member, bool isNew) {
   const std::size_t admitted = members_.admittedCount();
   const Suspicion& suspicion = *member.suspicion;
   const Duration byTimeout =
       suspicion.since + suspicions_.timeout(suspicion.accusers.size(), admitted - 1, admitted);
-  const Duration byEvidence = member.lastCorroborated < Duration{}
+  const Duration byEvidence = member.lastReceivedByAny < Duration{}
                                   ? now
-                                  : member.lastCorroborated + suspicions_.corroborationHold(member, admitted);
+                                  : member.lastReceivedByAny + suspicions_.receivedFromHold(member, admitted);
   const Duration deadline = isNew ? byTimeout : std::min(suspicion.deadline, byTimeout);
   suspicions_.setDeadline(member, std::max({now, byEvidence, deadline}));
 }
@@ -159,7 +160,8 @@
 void Membership::confirmOrRefute(Duration now, Member& member, Effects& effects) {
   const bool hasRecentMessage =
       member.lastReceived >= Duration{} && now - member.lastReceived < settings_.probeInterval;
-  if (hasRecentMessage && !isIsolated(now)) return corroborate(member, selfAsReporter(), member.lastReceived);
+  if (hasRecentMessage && !isIsolated(now))
+    return recordReceivedFrom(member, selfAsReporter(), member.lastReceived);
   if (!settings_.shortenByConfirmations) return;
   // Some of the members that learn of a suspicion probe the suspect immediately, so that a declaration need
   // not wait for the regular probe rounds. More of them probe in a zone that has no accuser yet.
@@ -176,16 +178,16 @@
 
 /// Records and announces that a member received a message from this one. Accusers may have lost only their
 /// own connection to it, so a declaration is postponed.
-void Membership::corroborate(Member& member, const Reporter& reporter, Duration observedAt) {
+void Membership::recordReceivedFrom(Member& member, const Reporter& reporter, Duration observedAt) {
   if (!settings_.requireCorroboration) return;
-  const bool isCovered = member.lastCorroborated >= Duration{} &&
-                         observedAt - member.lastCorroborated < settings_.probeInterval / 2;
+  const bool isCovered = member.lastReceivedByAny >= Duration{} &&
+                         observedAt - member.lastReceivedByAny < settings_.probeInterval / 2;
   if (isCovered) return;
-  member.lastCorroborated = observedAt;
+  member.lastReceivedByAny = observedAt;
   dissemination_.announceReceivedFrom(member.record, reporter, observedAt);
   if (!member.suspicion) return;
-  member.suspicion->lastCorroborated = observedAt;
-  const Duration hold = observedAt + suspicions_.corroborationHold(member, members_.admittedCount());
+  member.suspicion->lastReceivedByAny = observedAt;
+  const Duration hold = observedAt + suspicions_.receivedFromHold(member, members_.admittedCount());
   suspicions_.setDeadline(member, std::max(member.suspicion->deadline, hold));
 }
 
@@ -195,10 +197,10 @@
   // A member that sends messages to this one is not dead, even if others declared it dead. This member
   // suspects it instead and announces the message, which gives it time to refute the declaration.
   const bool hasRecentMessage = isRecent(now, member.lastReceived);
-  const bool isCorroborated = hasRecentMessage || isRecent(now, member.lastCorroborated);
-  if (isDeath && settings_.requireCorroboration && !isIsolated(now) && isCorroborated) {
+  const bool isReceivedByAny = hasRecentMessage || isRecent(now, member.lastReceivedByAny);
+  if (isDeath && settings_.requireCorroboration && !isIsolated(now) && isReceivedByAny) {
     if (!member.suspicion) applySuspect(now, member, update.subject.incarnation, update.reporters, effects);
-    if (hasRecentMessage) corroborate(member, selfAsReporter(), member.lastReceived);
+    if (hasRecentMessage) recordReceivedFrom(member, selfAsReporter(), member.lastReceived);
     return;
   }
   member.record.incarnation = std::max(member.record.incarnation, update.subject.incarnation);
@@ -304,12 +306,12 @@
   const ZoneName& zone = update.subject.zone;
   if (zone == self_.zone || update.reporters.empty()) return;
   std::vector<Member*> members;
-  bool isAccusedByUs = false;
+  bool isAccusedBySelf = false;
   for (auto& [name, member] : members_.all()) {
     if (member.record.zone != zone) continue;
     if (isRecent(now, member.lastReceived) && !isIsolated(now))
-      return corroborate(member, selfAsReporter(), member.lastReceived);
-    if (member.suspicion && member.suspicion->accusers.contains(selfAsReporter())) isAccusedByUs = true;
+      return recordReceivedFrom(member, selfAsReporter(), member.lastReceived);
+    if (member.suspicion && member.suspicion->accusers.contains(selfAsReporter())) isAccusedBySelf = true;
     members.push_back(&member);
   }
   bool isNews = false;
@@ -322,7 +324,7 @@
   if (!isNews) return;
   auto reporters = update.reporters;
   const bool isNamed = std::find(reporters.begin(), reporters.end(), selfAsReporter()) != reporters.end();
-  if (isAccusedByUs && !isNamed && reporters.size() < maxReporters) reporters.push_back(selfAsReporter());
+  if (isAccusedBySelf && !isNamed && reporters.size() < maxReporters) reporters.push_back(selfAsReporter());
   dissemination_.announce(update.kind, update.subject, std::move(reporters));
 }
 
--- a/src/membership/message_codec.cpp
+++ b/src/membership/message_codec.cpp
@@ -171,7 +171,8 @@
   return out;
 }
 
-/// Encodes leading elements while `used` and their size do not exceed `room` bytes; returns their number.
+/// Encodes as many leading elements into `body` as fit into `room` bytes, of which `used` are taken. Adds the
+/// size of these elements to `used` and returns their number.
 template <typename Elements>
 std::size_t putLeadingElements(msgpack::sbuffer& body, std::size_t& used, std::size_t room,
                                const Elements& elements) {
--- a/src/membership/suspicion.cpp
+++ b/src/membership/suspicion.cpp
@@ -74,10 +74,11 @@
   return timeout(maxReporters, maxReporters, fleetSize);
 }
 
-Duration SuspicionTracker::corroborationHold(const Member& member, std::size_t fleetSize) const {
+Duration SuspicionTracker::receivedFromHold(const Member& member, std::size_t fleetSize) const {
   const Duration hold = minTimeout(fleetSize);
-  // A dead member sends nothing after the suspicion starts, so later evidence of life is stronger.
-  const bool isSinceSuspicion = member.suspicion && member.lastCorroborated > member.suspicion->since;
+  // A dead member sends nothing after the suspicion starts, so a message received later is stronger evidence
+  // of life.
+  const bool isSinceSuspicion = member.suspicion && member.lastReceivedByAny > member.suspicion->since;
   return isSinceSuspicion ? 3 * hold : hold;
 }
 
--- a/src/membership/suspicion.h
+++ b/src/membership/suspicion.h
@@ -31,15 +31,18 @@
   [[nodiscard]] bool isEmpty() const { return byDeadline_.empty(); }
 
   /// Returns the time from the start of a suspicion to its deadline. It lies between a minimum and six times
-  /// the minimum, and each confirmation by one of the `candidates` shortens it (Lifeguard, Dadgar, Phillips
-  /// and Currey, DSN-W 2018, section IV.B). The minimum grows with the logarithm of the fleet size, like the
-  /// time that an update needs to reach all members (SWIM, section 4.2).
+  /// the minimum, and each confirmation shortens it (Lifeguard, Dadgar, Phillips and Currey, DSN-W 2018,
+  /// section IV.B). The minimum grows with the logarithm of the fleet size, like the time that an update
+  /// needs to reach all members (SWIM, section 4.2).
+  /// @param confirmations number of accusers
+  /// @param candidates number of members that could be accusers
+  /// @param fleetSize number of members including this one
   [[nodiscard]] Duration timeout(std::size_t confirmations, std::size_t candidates,
                                  std::size_t fleetSize) const;
   /// Returns the minimum of that time.
   [[nodiscard]] Duration minTimeout(std::size_t fleetSize) const;
-  /// Returns how long after the latest evidence of life the member is not declared dead.
-  [[nodiscard]] Duration corroborationHold(const Member& member, std::size_t fleetSize) const;
+  /// Returns how long a member is not declared dead after any member received a message from it.
+  [[nodiscard]] Duration receivedFromHold(const Member& member, std::size_t fleetSize) const;
 
  private:
   const ProtocolSettings& settings_;
--- a/src/membership/types.h
+++ b/src/membership/types.h
@@ -108,8 +108,8 @@
   Kind kind = Kind::alive;          ///< what the update states
   MemberRecord subject;             ///< the member or zone that the update is about
   std::vector<Reporter> reporters;  ///< at most maxReporters
-  /// Used by `receivedFrom` only: the age of the observation in a message, its time in the queue. Sending the
-  /// age prevents a forwarded update from counting as a new observation.
+  /// Used by `receivedFrom` only. A queued update holds the time of the observation; a sent update holds its
+  /// age, so that a forwarded update does not count as a new observation.
   Duration observed{};
   /// Compares all fields.
   bool operator==(const GossipUpdate&) const = default;
--- a/src/membership/zone_health.cpp
+++ b/src/membership/zone_health.cpp
@@ -30,7 +30,8 @@
   return it == unreachableSince_.end() ? std::nullopt : std::optional(it->second);
 }
 
-bool ZoneHealth::isLost(Duration now, const ZoneObservation& zone, int localHealthMultiplier) const {
+bool ZoneHealth::meetsUnreachableCriteria(Duration now, const ZoneObservation& zone,
+                                          int localHealthMultiplier) const {
   // If all of its members are suspected, the local health is ignored: otherwise one of them might be declared
   // dead before the zone counts as unreachable.
   const bool areAllSuspected = zone.suspected == zone.present;
@@ -46,7 +47,8 @@
                                                       int localHealthMultiplier) const {
   std::vector<ZoneInRegion> out;
   for (const auto& [name, zone] : zones) {
-    if (name == ownZone || isUnreachable(name) || !isLost(now, zone, localHealthMultiplier)) continue;
+    if (name == ownZone || isUnreachable(name) || !meetsUnreachableCriteria(now, zone, localHealthMultiplier))
+      continue;
     if (unreachableSince_.size() + out.size() >= maxUnreachableZones) break;
     out.push_back({name, zone.region});
   }
@@ -57,7 +59,7 @@
   std::vector<ZoneInRegion> out;
   std::erase_if(unreachableSince_, [&](const auto& entry) {
     const auto& [name, since] = entry;
-    if (since == now) return false;
+    if (since == now) return false;  // may have been marked after the observations
     const auto it = zones.find(name);
     if (it == zones.end()) return now - since > settings_.probeInterval * settings_.declarationWindowPeriods;
     const ZoneObservation& zone = it->second;
--- a/src/membership/zone_health.h
+++ b/src/membership/zone_health.h
@@ -60,12 +60,13 @@
   std::vector<ZoneInRegion> removeReachable(Duration now, const ZoneObservations& zones);
 
   /// Returns another member of the suspected member's zone that has to be probed; null if none has to be.
-  /// Before a member is declared dead, either another member of its zone gives evidence of life, or a few
-  /// probes of such a member remain without an answer, which makes the zone unreachable.
+  /// A declaration of death waits until another member of the zone has given evidence of life since the
+  /// suspicion began, the zone is unreachable, or four probes of other members of the zone were sent.
   [[nodiscard]] const Member* memberToProbe(const Member& suspected, const MemberTable& members) const;
 
  private:
-  [[nodiscard]] bool isLost(Duration now, const ZoneObservation& zone, int localHealthMultiplier) const;
+  [[nodiscard]] bool meetsUnreachableCriteria(Duration now, const ZoneObservation& zone,
+                                              int localHealthMultiplier) const;
 
   const ProtocolSettings& settings_;
   std::map<ZoneName, Duration> unreachableSince_;
--- a/src/membership_transport/membership_transport.cpp
+++ b/src/membership_transport/membership_transport.cpp
@@ -159,8 +159,8 @@
   const auto message = payload ? membership::decodeMessage(*payload) : std::nullopt;
   if (!message) return dropInvalid(exchange);
   // This member does not answer a misdirected or forwarded message for another name.
-  const bool isForUs = message->recipient.text.empty() || message->recipient == settings_.name;
-  if (!isForUs) return dropInvalid(exchange);
+  const bool isForThisMember = message->recipient.text.empty() || message->recipient == settings_.name;
+  if (!isForThisMember) return dropInvalid(exchange);
   Effects effects;
   membership_.onMessage(now(), *message, effects);
   const bool isAnswered = message->kind == membership::Message::Kind::stateResponse;
--- a/src/membership_transport/message_authenticator.cpp
+++ b/src/membership_transport/message_authenticator.cpp
@@ -26,7 +26,7 @@
   for (int shift = 56; shift >= 0; shift -= 8) out.push_back(static_cast<char>(value >> shift & 0xff));
 }
 
-/// Returns the tag of the data before and after the position of the tag.
+/// Returns the tag that authenticates the head (magic number, sender, sequence number) and the message.
 Tag tagOf(std::string_view head, std::string_view message, const AuthenticationKey& key) {
   crypto_generichash_state state;
   Tag out{};
@@ -81,6 +81,7 @@
   });
 }
 
+/// Returns false if the message was received before or is older than the window.
 bool MessageAuthenticator::markReceived(std::uint64_t senderId, std::uint64_t sequenceNumber) {
   Sender& sender = senderOf(senderId);
   if (sequenceNumber + replayWindow <= sender.highest) return false;
@@ -90,7 +91,7 @@
   return true;
 }
 
-/// Returns the sender and marks it as the most recently verified one.
+/// Returns the sender and marks it as the most recently verified one. A new sender may evict another one.
 MessageAuthenticator::Sender& MessageAuthenticator::senderOf(std::uint64_t senderId) {
   const auto [it, isNew] = senders_.try_emplace(senderId);
   Sender& sender = it->second;
--- a/src/membership_transport/message_authenticator.h
+++ b/src/membership_transport/message_authenticator.h
@@ -53,7 +53,7 @@
   static constexpr std::size_t maxSenders = 4096;
 
   struct Sender {
-    std::uint64_t highest = 0;
+    std::uint64_t highest = 0;                    ///< the highest sequence number that was verified
     std::bitset<replayWindow> received;           ///< indexed by the sequence number modulo the window
     std::list<std::uint64_t>::iterator position;  ///< in byLastVerified_
   };
--- a/src/server/incarnation_store.cpp
+++ b/src/server/incarnation_store.cpp
@@ -20,7 +20,7 @@
 /// The number of incarnations that one write reserves.
 constexpr std::uint64_t reservationStep = 1024;
 /// The minimum number of probe intervals between two writes of the known members.
-constexpr int knownMembersInterval = 10;
+constexpr int knownMembersPeriods = 10;
 constexpr std::chrono::nanoseconds minUpdateInterval = 1s;
 
 /// Each key of the store consists of one of these prefixes, a slash and the member's name.
@@ -167,7 +167,7 @@
 void IncarnationStore::writeKnownMembers() {
   const auto now = net::Reactor::Clock::now().time_since_epoch();
   const bool hasWritten = knownMembersWrittenAt_ != std::chrono::nanoseconds{};
-  if (hasWritten && now - knownMembersWrittenAt_ < settings_.probeInterval * knownMembersInterval) return;
+  if (hasWritten && now - knownMembersWrittenAt_ < settings_.probeInterval * knownMembersPeriods) return;
   const std::string text = describeKnownMembers();
   // A member that is alone keeps the members that it knew before.
   if (text.empty() || text == writtenKnownMembers_) return;
@@ -179,7 +179,8 @@
   knownMembersWrittenAt_ = now;
 }
 
-/// Returns a line "NAME ADDRESS" for each of some members that are alive, from as many zones as possible.
+/// Returns a line "NAME ADDRESS" for each of at most maxKnownMembers living members, from as many
+/// zones as possible.
 std::string IncarnationStore::describeKnownMembers() const {
   std::map<membership::ZoneName, std::vector<const membership::MemberRecord*>> byZone;
   for (const auto& [name, member] : transport_->membership().members())
--- a/src/server/membership_service.cpp
+++ b/src/server/membership_service.cpp
@@ -96,8 +96,8 @@
   const double seconds =
       lastSampleAt_ ? std::max(std::chrono::duration<double>(now - *lastSampleAt_).count(), minSeconds) : 1;
   lastSampleAt_ = now;
-  const double isQueueing = status.queued > 0 ? 1.0 : 0.0;
-  queueingRatio_ += queueingSmoothing * (isQueueing - queueingRatio_);
+  const double queueingSample = status.queued > 0 ? 1.0 : 0.0;
+  queueingRatio_ += queueingSmoothing * (queueingSample - queueingRatio_);
   MemberStatus out;
   out.phase = phaseOf(status);
   out.warmUpProgress = status.warmUpProgress;
@@ -115,14 +115,14 @@
 void MembershipService::applyQuota(Duration now) {
   const auto& membership = transport_.membership();
   const auto view = membership::observeFleet(membership, now, lease_);
-  const double quota = membership.isRejected() ? 0 : quota_.update(now, view);
-  if (appliedQuota_ == quota) return;
-  appliedQuota_ = quota;
+  const double share = membership.isRejected() ? 0 : quota_.update(now, view);
+  if (appliedShare_ == share) return;
+  appliedShare_ = share;
   log_.event(logging::LogCategory::membership, "dependency-quota",
-             {{"quota", quota},
+             {{"quota", share},
               {"holders", static_cast<std::int64_t>(quota_.quotaHolders())},
               {"view_uncertain", view.isUncertain}});
-  server_.setDownstreamQuota(quota);
+  server_.setDownstreamQuota(share);
 }
 
 }  // namespace rainhook::server
--- a/src/server/membership_service.h
+++ b/src/server/membership_service.h
@@ -28,7 +28,7 @@
   /// @param log receives the events of membership; must outlive this object
   /// @param settings the membership settings of this server
   /// @param server the server whose status is published and whose quota is set; must outlive this object
-  /// @param servers number of servers for which the quota of each is configured
+  /// @param servers number of servers that the configured quota per server assumes
   /// @param processId a random number that identifies this process
   /// @throws StateLockedError if another process has the state folder open
   MembershipService(net::Reactor& reactor, logging::Log& log, const membership::MembershipSettings& settings,
@@ -59,7 +59,7 @@
   net::BufferPool pool_;
   membershipTransport::MembershipTransport transport_;
   membership::DependencyQuota quota_;
-  std::optional<double> appliedQuota_;
+  std::optional<double> appliedShare_;
   ServerStatus lastStatus_;
   std::optional<membership::Duration> lastSampleAt_;
   double queueingRatio_ = 0;  ///< exponentially weighted moving average
--- a/tests/dependency_quota_test.cpp
+++ b/tests/dependency_quota_test.cpp
@@ -11,7 +11,7 @@
 
 using namespace std::chrono_literals;
 
-constexpr int configuredServers = 4;  // number of servers for which the quota of each is configured
+constexpr int configuredServers = 4;  // number of servers that the configured quota per server assumes
 
 DependencyQuota newQuota() { return DependencyQuota({configuredServers, 30s, 5s}); }
 
@@ -140,7 +140,7 @@
           << "a majority uses the whole total, thirds of the fleet use nothing";
       fleet.pause(2, 200s);
       fleet.kill(4);
-      fleet.kill(8), fleet.start(8, parts == 5 ? 9 : 2);  // it knows only the members of its side
+      fleet.kill(8), fleet.start(8, parts == 5 ? 9 : 2);  // the restarted member knows only its side
       sums.quotas[8] = newQuota();
       sums.run(300s);
       fleet.healAllLinks();
--- a/tests/membership_recording_test.cpp
+++ b/tests/membership_recording_test.cpp
@@ -1,6 +1,6 @@
 /// @file
-/// Compares membership with recordings: the same seeds have to produce the same messages, events and
-/// estimates, bit for bit. A change of names or structure must not alter the recordings. After a deliberate
+/// Compares membership with recordings: the same seeds have to produce the same messages, events, views
+/// and quotas, bit for bit. A change of names or structure must not alter the recordings. After a deliberate
 /// change of behaviour, update them: run these tests with RAINHOOK_UPDATE_RECORDINGS=1 and state this in the
 /// commit.
 #include <gtest/gtest.h>
@@ -242,7 +242,7 @@
   EXPECT_EQ(linesOf(file), actual) << file;
 }
 
-/// Guards against unintended changes of messages, events or estimates under random faults.
+/// Guards against unintended changes of messages, events, views or quotas under random faults.
 TEST(MembershipRecording, MatchesTheRecordingWhenFaultsAreRandom) {
   std::vector<std::string> actual;
   for (std::uint64_t seed = 1; seed <= 48; ++seed)
--- a/tests/membership_test.cpp
+++ b/tests/membership_test.cpp
@@ -70,8 +70,8 @@
   }
 }
 
-/// Guards against declarations by a member that receives nothing, which looks the same as a loss of its own
-/// network.
+/// Guards against declarations by a member that receives nothing: it cannot distinguish the death of all
+/// others from a failure of its own network.
 TEST(Membership, DeclaresNoDeathWhenAllOtherMembersAreKilled) {
   SimulatedFleet fleet = convergedFleet(8, 3, 1);
   for (std::size_t i = 1; i < 8; ++i) fleet.kill(i);
@@ -376,28 +376,28 @@
 /// Guards against the use of an incarnation that is not on disk: after a restart, the member would use it
 /// again.
 TEST(Membership, RefutesOnlyWithReservedIncarnationsWhenSuspected) {
-  SingleMember fleet({Incarnation{5}, Incarnation{6}, {}});
+  SingleMember single({Incarnation{5}, Incarnation{6}, {}});
   const auto receiveSuspicion = [&] {
-    fleet.receive(2s, {{GossipUpdate::Kind::suspect, fleet.member.self(), {{{"n1"}, {"z1"}}}}});
+    single.receive(2s, {{GossipUpdate::Kind::suspect, single.member.self(), {{{"n1"}, {"z1"}}}}});
   };
-  EXPECT_EQ(fleet.incarnation(), 5u);
+  EXPECT_EQ(single.incarnation(), 5u);
   receiveSuspicion();
-  EXPECT_EQ(fleet.incarnation(), 6u);
-  EXPECT_EQ(fleet.member.counters().refutations, 1u);
+  EXPECT_EQ(single.incarnation(), 6u);
+  EXPECT_EQ(single.member.counters().refutations, 1u);
   receiveSuspicion();  // 6 is the highest reserved incarnation
-  EXPECT_EQ(fleet.incarnation(), 6u);
-  EXPECT_EQ(fleet.member.counters().refutations, 1u);
-  EXPECT_EQ(fleet.member.counters().postponedRefutations, 1u);
-  fleet.member.reserveUpTo(Incarnation{100});
+  EXPECT_EQ(single.incarnation(), 6u);
+  EXPECT_EQ(single.member.counters().refutations, 1u);
+  EXPECT_EQ(single.member.counters().postponedRefutations, 1u);
+  single.member.reserveUpTo(Incarnation{100});
   receiveSuspicion();
-  EXPECT_EQ(fleet.incarnation(), 7u);
+  EXPECT_EQ(single.incarnation(), 7u);
   // An earlier process of this member at another address, where no process answers anymore.
-  MemberRecord earlier = fleet.member.self();
+  MemberRecord earlier = single.member.self();
   earlier.processId = ProcessId{9}, earlier.address = {"n9:1"}, earlier.incarnation = Incarnation{500};
-  fleet.receive(3s, {{GossipUpdate::Kind::dead, earlier, {{{"n1"}, {"z1"}}}}});
-  EXPECT_EQ(fleet.incarnation(), 100u);
+  single.receive(3s, {{GossipUpdate::Kind::dead, earlier, {{{"n1"}, {"z1"}}}}});
+  EXPECT_EQ(single.incarnation(), 100u);
   // The next reservation has to cover this incarnation in one step.
-  EXPECT_EQ(fleet.member.requiredIncarnation(), Incarnation{501});
+  EXPECT_EQ(single.member.requiredIncarnation(), Incarnation{501});
 }
 
 /// Guards against wrong sums by zone or region when an operator configures a zone with two regions.
@@ -431,10 +431,10 @@
 /// Guards against sums that lack statuses, and against outdated statuses that look current.
 TEST(ZoneAggregate, SumsStatusesAndReportsTheOldestAgeWhenMembersPublish) {
   SimulatedFleet fleet = convergedFleet(5, 2, 1);  // zone z0 has n0, n2 and n4; each limit equals the index
-  MemberStatus cold;
-  cold.phase = Phase::warmingUp, cold.concurrencyLimit = 10, cold.warmUpProgress = 0.5,
-  cold.receivedPerSecond = 7, cold.queueingRatio = 0.5;
-  fleet.nodes[2].member->publishStatus(cold);
+  MemberStatus warmingUp;
+  warmingUp.phase = Phase::warmingUp, warmingUp.concurrencyLimit = 10, warmingUp.warmUpProgress = 0.5,
+  warmingUp.receivedPerSecond = 7, warmingUp.queueingRatio = 0.5;
+  fleet.nodes[2].member->publishStatus(warmingUp);
   EXPECT_TRUE(fleet.runUntil(30s, [&] {
     const auto sums = aggregateByZone(*fleet.nodes[1].member, fleet.now);
     return sums.size() == 2 && sums[0].warmingUp == 1 && sums[0].withoutStatus == 0;
@@ -471,10 +471,12 @@
   const auto& fields = object.get().via.array;
   out.pack_array(fields.size);
   for (std::uint32_t i = 0; i < fields.size; ++i) {
-    if (i != 7) {
+    constexpr std::uint32_t updatesField = 7;
+    if (i != updatesField) {
       out.pack(fields.ptr[i]);
       continue;
     }
+    // Packs the only update without its fourth element, the age.
     out.pack_array(1), out.pack_array(3);
     for (int part = 0; part < 3; ++part) out.pack(fields.ptr[i].via.array.ptr[0].via.array.ptr[part]);
   }
@@ -484,7 +486,7 @@
 }
 
 /// Guards against fields that the encoding loses, and against crashes on truncated or damaged bytes.
-RC_GTEST_PROP(MessageCodec, DecodesEncodedMessagesAndToleratesThemWhenDamaged,
+RC_GTEST_PROP(MessageCodec, DecodesEncodedMessagesAndDoesNotCrashWhenBytesAreDamaged,
               (std::string name, std::uint64_t number)) {
   Message message;
   message.sender.name.text = name.substr(0, maxIdentifierBytes) + "x";
--- a/tests/simulated_fleet.h
+++ b/tests/simulated_fleet.h
@@ -37,7 +37,7 @@
     std::uint64_t datagrams = 0;
     std::uint64_t bytes = 0;
     std::uint64_t stateBytes = 0;
-    std::uint64_t process = 0;
+    std::uint64_t process = 0;  ///< increases with each start and each end of a process
     std::size_t maxQueuedUpdates = 0;
     ZoneName zone;
   };
