--- a/bench/membership_measure.cpp
+++ b/bench/membership_measure.cpp
@@ -1,7 +1,8 @@
 /// @file
-/// Measures membership in one run against two baselines: heartbeats from each member to each with a fixed
-/// time-out, and plain SWIM (the same program without what was added to it). Simulated time and fixed seeds;
-/// then sixteen processes. Prints a table and, last, one line `measure membership: name=value ...`.
+/// Measures membership and two baselines in one run: heartbeats from each member to each other member with a
+/// fixed timeout, and plain SWIM (the same program with the extensions of SWIM disabled). The measurements
+/// use simulated time and fixed seeds, except the processor use, which is measured on sixteen processes.
+/// Prints a table and, as the last line, `measure membership: name=value ...`.
 #include <fmt/format.h>
 #include <unistd.h>
 
@@ -27,7 +28,7 @@
 
 double toSeconds(Duration span) { return std::chrono::duration<double>(span).count(); }
 
-/// The value below which this ratio of all values lies; 0 if there are none.
+/// Returns the value below which the given ratio of all values lies; 0 if there are no values.
 double quantile(std::vector<double> values, double ratio) {
   if (values.empty()) return 0;
   std::sort(values.begin(), values.end());
@@ -44,7 +45,7 @@
   return settings;
 }
 
-/// A fleet in which each member knows each other.
+/// Returns a fleet in which each member knows all other members.
 SimulatedFleet makeConvergedFleet(std::size_t count, int seed, const ProtocolSettings& settings) {
   SimulatedFleet fleet(count, zoneCount, static_cast<std::uint64_t>(seed), settings);
   fleet.startAll();
@@ -94,7 +95,7 @@
 
 using Disturbance = std::function<void(SimulatedFleet&, pcg32&)>;
 
-/// Deaths that are declared of living members, per hour, over all views.
+/// Returns how many deaths of running members are declared per hour, summed over all views.
 double measureFalseDeaths(std::size_t count, int seeds, const ProtocolSettings& settings,
                           const Disturbance& disturb) {
   double hours = 0;
@@ -111,7 +112,7 @@
   return static_cast<double>(deaths) / hours;
 }
 
-/// A tenth of the members pauses for one to five seconds, every 20 seconds.
+/// Pauses a tenth of the members for one to five seconds, every 20 seconds.
 void pauseMembers(SimulatedFleet& fleet, pcg32& random) {
   const std::size_t pausedCount = std::max<std::size_t>(1, fleet.nodes.size() / 10);
   for (int round = 0; round < 30; ++round) {
@@ -129,7 +130,7 @@
   fleet.runFor(600s);
 }
 
-/// Cuts the link between two members for a minute, in turn in both directions and in one.
+/// Cuts the link between two members for a minute, alternately in both directions and in one direction.
 void cutLinks(SimulatedFleet& fleet, pcg32& random) {
   for (int round = 0; round < 10; ++round) {
     const std::size_t first = random(static_cast<std::uint32_t>(fleet.nodes.size()));
@@ -145,7 +146,7 @@
   }
 }
 
-/// What each member sends per second.
+/// The average load that each member sends per second.
 struct MessageLoad {
   double messages = 0;
   double bytes = 0;
@@ -154,7 +155,7 @@
 
 MessageLoad measureMessageLoad(std::size_t count, const ProtocolSettings& settings) {
   SimulatedFleet fleet = makeConvergedFleet(count, 1, settings);
-  // Once the updates of the start are disseminated, the load is that of a fleet in which nothing happens.
+  // After the updates of the start are disseminated, the load is that of an idle fleet.
   fleet.runUntil(1200s, [&] {
     return std::all_of(fleet.nodes.begin(), fleet.nodes.end(),
                        [](const auto& node) { return node.member->queuedUpdates() == 0; });
@@ -176,9 +177,9 @@
   return load;
 }
 
-/// The baseline: each member sends a heartbeat to each in every second, and a member that was not heard for
-/// the time-out is dead. A pause of the receiver looks like the death of all others, because after it the
-/// time-outs expire before the socket is read, as timers do.
+/// The heartbeat baseline: each member sends one heartbeat per second to each other member, and a member
+/// whose heartbeats are missing for the timeout is declared dead. After a pause, a receiver declares all
+/// others dead, because its timers expire before it reads the socket.
 class HeartbeatBaseline {
  public:
   static constexpr double timeoutSeconds = 5;
@@ -188,7 +189,7 @@
   [[nodiscard]] double messagesPerSecond() const { return static_cast<double>(count_ - 1); }
   [[nodiscard]] double bytesPerSecond() const { return messagesPerSecond() * heartbeatBytes; }
 
-  /// False deaths per hour while heartbeats are lost, from a simulation of so many seconds.
+  /// Returns the false deaths per hour while heartbeats are lost, from a simulation of `seconds` seconds.
   [[nodiscard]] double falseDeathsByLoss(double loss, pcg32& random, double seconds) const {
     double deaths = 0;
     std::uniform_real_distribution<> distribution;
@@ -202,8 +203,8 @@
     return deaths / seconds * secondsPerHour;
   }
 
-  /// False deaths per hour while members pause as in `pauseMembers`. A pause beyond the time-out is the death
-  /// of all others in the view of the paused member, and its own death in theirs.
+  /// Returns the false deaths per hour while members pause as in `pauseMembers`. When a pause exceeds the
+  /// timeout, the paused member declares all others dead and all others declare it dead.
   [[nodiscard]] double falseDeathsByPauses(pcg32& random, int rounds) const {
     double deaths = 0;
     for (int round = 0; round < rounds; ++round)
@@ -214,8 +215,9 @@
     return deaths / (rounds * 20.0) * secondsPerHour;
   }
 
-  /// False deaths per hour while links are cut as in `cutLinks`: in ten minutes two for each of five links
-  /// that are cut both ways, one for each of five others.
+  /// Returns the false deaths per hour while links are cut as in `cutLinks`: in ten minutes, two for each of
+  /// the five links that are cut in both directions and one for each of the five that are cut in one
+  /// direction.
   static constexpr double falseDeathsByCuts() { return (10 + 5) * secondsPerHour / 600; }
 
  private:
@@ -224,7 +226,7 @@
   std::size_t count_;
 };
 
-/// Median of the seconds until all views agree after a split in halves has healed.
+/// Returns the median of the seconds until all views agree after the links between two halves are restored.
 double measureHealing(std::size_t count, int seeds) {
   std::vector<double> times;
   for (int seed = 1; seed <= seeds; ++seed) {
@@ -242,7 +244,8 @@
   return quantile(times, 0.5);
 }
 
-/// User and system time of a process in clock ticks: fields 14 and 15 of /proc/PID/stat (proc(5)).
+/// Returns the user and system time of a process in clock ticks: fields 14 and 15 of /proc/PID/stat
+/// (proc(5)).
 double processorTicks(pid_t process) {
   std::ifstream in("/proc/" + std::to_string(process) + "/stat");
   double ticks = 0;
@@ -252,25 +255,25 @@
   return ticks;
 }
 
-/// Cores that one of sixteen processes uses while nothing happens.
+/// Returns the number of cores that one of sixteen processes uses in an idle fleet.
 double measureProcessorUse() {
   constexpr std::size_t count = 16;
   constexpr int measuredSeconds = 20;
   rainhook::fleet::Fleet fleet(count, zoneCount, 1, 1s);
   fleet.startAll();
-  fleet.until([&] { return fleet.agreed(); });
+  fleet.waitUntil([&] { return fleet.viewsAgree(); });
   const auto ticksOfAll = [&] {
     double sum = 0;
     for (std::size_t i = 0; i < count; ++i) sum += processorTicks(fleet.process(i).id());
     return sum;
   };
   const double ticksBefore = ticksOfAll();
-  fleet.pass(std::chrono::seconds(measuredSeconds));
+  fleet.sleepFor(std::chrono::seconds(measuredSeconds));
   const double usedSeconds = (ticksOfAll() - ticksBefore) / static_cast<double>(::sysconf(_SC_CLK_TCK));
   return usedSeconds / measuredSeconds / count;
 }
 
-/// The table, and the line that sums it up.
+/// Prints the table and collects the summary line.
 class Report {
  public:
   Report() { fmt::print("{:<44} {:>10} {:>12} {:>12}\n", "", "ours", "plain SWIM", "beats"); }
--- a/tests/fleet/chaos.cpp
+++ b/tests/fleet/chaos.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// Random faults against 8 to 16 processes, for as long as one likes: chaos MINUTES SEED. After each script
-/// all faults are healed and all views have to agree; every history is held against the invariants. On a
-/// breach it prints the seed, the script and a shorter one that still shows the breach, and ends with
+/// Runs scripts of random faults on fleets of 8 to 16 processes for a given time: rainhook_chaos MINUTES
+/// SEED. After each script all faults are removed, all views have to agree, and the invariants are checked.
+/// If a check fails, it prints the seed, the script and a shorter script that still fails, and exits with
 /// status 1.
 #include <fmt/format.h>
 
@@ -19,15 +19,15 @@
 using namespace std::chrono_literals;
 
 constexpr std::int64_t nanosecondsPerHour = 3600LL * 1'000'000'000LL;
-constexpr std::uint32_t leastSteps = 3;
-constexpr std::uint32_t stepVariation = 8;
-constexpr std::uint32_t longestPauseMs = 4000;
+constexpr std::uint32_t minSteps = 3;
+constexpr std::uint32_t stepCountRange = 8;
+constexpr std::uint32_t maxDelayMs = 4000;
 
 enum class FaultKind {
   kill,
   start,
-  stop,
-  wake,
+  pause,
+  resume,
   cutLink,
   cutInto,
   cutOutOf,
@@ -42,68 +42,68 @@
 };
 
 const char* nameOf(FaultKind kind) {
-  constexpr const char* names[] = {"kill",  "start", "stop",  "wake", "cut link", "cut into", "cut out of",
-                                   "split", "loss",  "delay", "heal", "leave",    "clock",    "disk"};
+  constexpr const char* names[] = {"kill",  "start", "pause", "resume", "cut link", "cut into", "cut out of",
+                                   "split", "loss",  "delay", "heal",   "leave",    "clock",    "disk"};
   return names[static_cast<std::size_t>(kind)];
 }
 
-/// One fault and the pause after it. What the two members mean depends on the kind.
+/// One fault and the delay after it. The meaning of the two members depends on the kind of fault.
 struct Step {
   FaultKind kind{};
   std::size_t first = 0;
   std::size_t second = 0;
-  milliseconds pause{0};
+  milliseconds delay{0};
 
   std::string text() const {
-    return fmt::format("{} {} {}, then {} ms", nameOf(kind), first, second, pause.count());
+    return fmt::format("{} {} {}, then {} ms", nameOf(kind), first, second, delay.count());
   }
 };
 using Script = std::vector<Step>;
 
 Script drawScript(pcg32& random, std::size_t memberCount) {
   const auto members = static_cast<std::uint32_t>(memberCount);
-  const std::uint32_t stepCount = leastSteps + random(stepVariation);
+  const std::uint32_t stepCount = minSteps + random(stepCountRange);
   Script script;
   for (std::uint32_t i = 0; i < stepCount; ++i) {
     Step step;
     step.kind = static_cast<FaultKind>(random(static_cast<std::uint32_t>(FaultKind::count)));
     step.first = random(members);
     step.second = random(members);
-    step.pause = milliseconds(random(longestPauseMs));
+    step.delay = milliseconds(random(maxDelayMs));
     script.push_back(step);
   }
   return script;
 }
 
-/// A fleet to which a script is done.
+/// Runs one script on a new fleet.
 class ChaosRun {
  public:
   ChaosRun(std::size_t members, std::size_t zones, std::uint64_t seed)
-      : fleet_(members, zones, seed), isStopped_(members, false) {
+      : fleet_(members, zones, seed), isPaused_(members, false) {
     for (std::size_t i = 0; i < members; ++i) {
       fleet_.control(i);
-      if (i % 2 == 0) fleet_.write(i, "  state: state-" + std::to_string(i) + "\n");
-      if (i % 5 == 3) fleet_.runs(i, i % 2 ? RAINHOOK_OLDER : RAINHOOK_LATER);
+      if (i % 2 == 0) fleet_.writeOptions(i, "  state: state-" + std::to_string(i) + "\n");
+      if (i % 5 == 3) fleet_.setProgram(i, i % 2 ? RAINHOOK_OLDER : RAINHOOK_LATER);
     }
   }
 
-  /// What was breached first; empty where all held.
+  /// Runs the script. Returns the first failed check; empty if all passed.
   std::string run(const Script& script) {
     fleet_.startAll();
-    if (!converges()) return "the fleet did not come together";
+    if (!converges()) return "the views do not agree within a minute of the start";
     for (const Step& step : script) {
       apply(step);
-      fleet_.pass(step.pause);
+      fleet_.sleepFor(step.delay);
     }
     healAll();
-    if (!converges()) return "the views do not agree a minute after the last fault";
-    const auto breaches = fleet_.breaches();
-    return breaches.empty() ? std::string() : breaches.front();
+    if (!converges()) return "the views do not agree within a minute after the last fault";
+    const auto violations = fleet_.violations();
+    return violations.empty() ? std::string() : violations.front();
   }
 
  private:
   bool converges() {
-    return fleet_.until([this] { return fleet_.agreed(); });
+    return fleet_.waitUntil([this] { return fleet_.viewsAgree(); });
   }
 
   void apply(const Step& step) {
@@ -113,22 +113,22 @@
         kill(member);
         break;
       case FaultKind::leave:
-        if (fleet_.up(member) && !isStopped_[member]) fleet_.terminate(member);
+        if (fleet_.isUp(member) && !isPaused_[member]) fleet_.terminate(member);
         break;
       case FaultKind::start:
-        if (!fleet_.up(member)) fleet_.start(member);
+        if (!fleet_.isUp(member)) fleet_.start(member);
         break;
-      case FaultKind::stop:
-        stop(member);
+      case FaultKind::pause:
+        pause(member);
         break;
-      case FaultKind::wake:
-        wakeAll();
+      case FaultKind::resume:
+        resumeAll();
         break;
-      case FaultKind::clock:  // steps of an hour, forwards or back
+      case FaultKind::clock:  // sets the clock forwards or back by a number of hours
         fleet_.control(member).wallOffsetNs =
             (step.second % 2 ? 1 : -1) * nanosecondsPerHour * static_cast<int>(step.second);
         break;
-      case FaultKind::disk:  // full for one member, and no longer for another
+      case FaultKind::disk:  // fills the disk of one member and frees that of another
         fleet_.control(member).diskFault = ENOSPC;
         fleet_.control(step.second).diskFault = 0;
         break;
@@ -151,22 +151,23 @@
     const std::size_t second = step.second;
     switch (step.kind) {
       case FaultKind::cutLink:
-        fleet_.cut([=](auto from, auto to) { return from == first && to == second; });
+        fleet_.cutLinks([=](auto from, auto to) { return from == first && to == second; });
         break;
       case FaultKind::cutInto:
-        fleet_.cut([=](auto, auto to) { return to == first; });
+        fleet_.cutLinks([=](auto, auto to) { return to == first; });
         break;
       case FaultKind::cutOutOf:
-        fleet_.cut([=](auto from, auto) { return from == first; });
+        fleet_.cutLinks([=](auto from, auto) { return from == first; });
         break;
       case FaultKind::split:
-        fleet_.cut([=](auto from, auto to) { return (from < first) != (to < first); });
+        fleet_.cutLinks([=](auto from, auto to) { return (from < first) != (to < first); });
         break;
       case FaultKind::loss:
-        fleet_.faultAll({.lossRatio = 0.2, .duplicateRatio = 0.1, .reorderRatio = 0.2, .corruptRatio = 0.05});
+        fleet_.setAllFaults(
+            {.lossRatio = 0.2, .duplicateRatio = 0.1, .reorderRatio = 0.2, .corruptRatio = 0.05});
         break;
       case FaultKind::delay:
-        for (std::size_t to = 0; to < fleet_.size(); ++to) fleet_.fault(first, to, {.delay = 300ms});
+        for (std::size_t to = 0; to < fleet_.size(); ++to) fleet_.setFault(first, to, {.delay = 300ms});
         break;
       default:
         fleet_.heal();
@@ -175,39 +176,39 @@
   }
 
   void kill(std::size_t member) {
-    if (!fleet_.up(member)) return;
+    if (!fleet_.isUp(member)) return;
     fleet_.kill(member);
-    isStopped_[member] = false;
+    isPaused_[member] = false;
   }
 
-  void stop(std::size_t member) {
-    if (!fleet_.up(member)) return;
-    fleet_.stop(member);
-    isStopped_[member] = true;
+  void pause(std::size_t member) {
+    if (!fleet_.isUp(member)) return;
+    fleet_.pause(member);
+    isPaused_[member] = true;
   }
 
-  void wakeAll() {
+  void resumeAll() {
     for (std::size_t i = 0; i < fleet_.size(); ++i) {
-      if (!isStopped_[i] || !fleet_.up(i)) continue;
-      fleet_.wake(i);
-      isStopped_[i] = false;
+      if (!isPaused_[i] || !fleet_.isUp(i)) continue;
+      fleet_.resume(i);
+      isPaused_[i] = false;
     }
   }
 
   void healAll() {
     fleet_.heal();
     for (std::size_t i = 0; i < fleet_.size(); ++i) {
-      if (isStopped_[i] && fleet_.up(i)) fleet_.wake(i);
-      if (!fleet_.up(i)) fleet_.start(i);
+      if (isPaused_[i] && fleet_.isUp(i)) fleet_.resume(i);
+      if (!fleet_.isUp(i)) fleet_.start(i);
       fleet_.control(i).diskFault = 0;
     }
   }
 
   Fleet fleet_;
-  std::vector<bool> isStopped_;
+  std::vector<bool> isPaused_;
 };
 
-/// The size of the fleet that scripts are run on.
+/// The size of the fleet on which a script runs.
 struct FleetShape {
   std::size_t members = 0;
   std::size_t zones = 0;
@@ -221,17 +222,17 @@
   for (const Step& step : script) fmt::print("  {}\n", step.text());
 }
 
-/// Leaves out each step without which the script still shows a breach, and prints what remains.
-void shorten(const FleetShape& shape, std::uint64_t seed, Script script, std::string breach) {
+/// Removes each step without which the script still fails, and prints the remaining script.
+void shorten(const FleetShape& shape, std::uint64_t seed, Script script, std::string violation) {
   for (std::size_t i = script.size(); i-- > 0;) {
     Script shorter = script;
     shorter.erase(shorter.begin() + static_cast<std::ptrdiff_t>(i));
     const std::string remaining = runScript(shape, seed, shorter);
     if (remaining.empty()) continue;
     script = shorter;
-    breach = remaining;
+    violation = remaining;
   }
-  fmt::print("shorter, {}:\n", breach);
+  fmt::print("shorter script, {}:\n", violation);
   print(script);
 }
 
@@ -250,13 +251,13 @@
     shape.zones = 2 + random(3);
     const Script script = drawScript(random, shape.members);
     stepCount += script.size();
-    const std::string breach = runScript(shape, seed, script);
-    if (breach.empty()) continue;
-    fmt::print("seed {}: {} members in {} zones: {}\n", seed, shape.members, shape.zones, breach);
+    const std::string violation = runScript(shape, seed, script);
+    if (violation.empty()) continue;
+    fmt::print("seed {}: {} members in {} zones: {}\n", seed, shape.members, shape.zones, violation);
     print(script);
-    shorten(shape, seed, script, breach);
+    shorten(shape, seed, script, violation);
     return 1;
   }
-  fmt::print("chaos: seeds {} to {}, {} steps, no breach\n", firstSeed, seed - 1, stepCount);
+  fmt::print("chaos: seeds {} to {}, {} steps, no violation\n", firstSeed, seed - 1, stepCount);
   return 0;
 }
--- a/tests/fleet/clock_and_disk_control.cpp
+++ b/tests/fleet/clock_and_disk_control.cpp
@@ -1,7 +1,7 @@
 /// @file
-/// The library that stands before the C library; see clock_and_disk_control.h. It calls the kernel directly,
-/// so that it needs nothing that may not be set up yet. Source: POSIX.1-2017 clock_gettime, gettimeofday,
-/// time, pwrite, fdatasync.
+/// The library that replaces functions of the C library; see clock_and_disk_control.h. It calls the kernel
+/// directly, because it may be called before other libraries are initialized. Source: POSIX.1-2017
+/// clock_gettime, gettimeofday, time, pwrite, fdatasync.
 #include "fleet/clock_and_disk_control.h"
 
 #include <errno.h>
@@ -19,7 +19,7 @@
 
 constexpr std::int64_t nanosecondsPerSecond = 1'000'000'000;
 
-/// Null where the process is not controlled.
+/// Maps the control file. Returns null if the process is not controlled.
 ClockAndDiskControl* mapControl() {
   const char* file = ::getenv(rainhook::fleet::controlFileVariable);
   const int descriptor = file ? ::open(file, O_RDWR | O_CLOEXEC) : -1;
@@ -35,7 +35,7 @@
   return mapped;
 }
 
-/// Sets errno and returns true where the disk is to fail.
+/// Sets errno and returns true if the test set a disk fault.
 bool failsOnDisk() {
   ClockAndDiskControl* const controlled = control();
   const int fault = controlled ? controlled->diskFault.load() : 0;
--- a/tests/fleet/clock_and_disk_control.h
+++ b/tests/fleet/clock_and_disk_control.h
@@ -1,7 +1,7 @@
 /// @file
-/// Controls one process from outside: its wall clock and the disk under it. A library of the tests stands
-/// before the C library in that process (LD_PRELOAD) and reads this from a mapped file; the program itself
-/// knows nothing of it.
+/// Controls the wall clock and the disk of one process from the test. A test library is loaded into that
+/// process before the C library (LD_PRELOAD) and reads the control from a mapped file. The program contains
+/// no code for it.
 #pragma once
 
 #include <atomic>
@@ -9,15 +9,19 @@
 
 namespace rainhook::fleet {
 
-/// Shared between the test and the process, in a mapped file that begins with zeros.
+/// Shared between the test and the process through a mapped file, which initially contains only zeros.
 struct ClockAndDiskControl {
+  /// Added to the wall clock that the process reads.
   std::atomic<std::int64_t> wallOffsetNs{0};
-  std::atomic<std::int32_t> diskFault{0};    ///< errno of each write and sync of a file; 0: none
-  std::atomic<std::uint64_t> wallReads{0};   ///< how often the process has read a clock with an offset
-  std::atomic<std::uint64_t> diskFaults{0};  ///< how often the process has met a disk fault
+  /// The errno with which each write and sync of a file fails; 0: none fails.
+  std::atomic<std::int32_t> diskFault{0};
+  /// Number of times the process read the wall clock with an offset.
+  std::atomic<std::uint64_t> wallReads{0};
+  /// Number of writes and syncs that failed with `diskFault`.
+  std::atomic<std::uint64_t> diskFaults{0};
 };
 
-/// The variable of the environment that names the mapped file.
+/// Name of the environment variable that contains the path of the mapped file.
 inline constexpr const char* controlFileVariable = "RAINHOOK_TEST_CONTROL";
 
 }  // namespace rainhook::fleet
--- a/tests/fleet/converged_fleet.h
+++ b/tests/fleet/converged_fleet.h
@@ -1,5 +1,5 @@
 /// @file
-/// A fleet whose members all know each other, for tests.
+/// A test fleet in which all members know each other.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -12,44 +12,45 @@
 
 namespace rainhook::fleet {
 
-/// Starts all processes and waits until their views agree. At its end it holds the histories against the
-/// invariants and, if the test has failed, keeps the fleet's folder with its logs.
+/// Starts all processes and waits until their views agree. The destructor checks the invariants and keeps the
+/// fleet's folder with its logs if the test has failed.
 class ConvergedFleet : public Fleet {
  public:
-  /// What is set before the first start.
+  /// Changes the fleet before the first start.
   using Preparation = std::function<void(ConvergedFleet&)>;
 
   ConvergedFleet(std::size_t count, std::size_t zones, std::uint64_t seed,
-                 milliseconds every = std::chrono::milliseconds(200), const Preparation& prepare = {})
-      : Fleet(count, zones, seed, every) {
+                 milliseconds probeInterval = std::chrono::milliseconds(200), const Preparation& prepare = {})
+      : Fleet(count, zones, seed, probeInterval) {
     if (prepare) prepare(*this);
     startAll();
     expectConvergence();
-    from = clock();
+    convergedAt = now();
   }
   ~ConvergedFleet() {
-    for (const auto& breach : breaches()) ADD_FAILURE() << breach;
+    for (const auto& violation : violations()) ADD_FAILURE() << violation;
     if (!testing::Test::HasFailure()) return;
-    keep();
+    keepFolder();
     std::cerr << "logs: " << folder() << std::endl;
   }
   ConvergedFleet(const ConvergedFleet&) = delete;
   ConvergedFleet& operator=(const ConvergedFleet&) = delete;
 
+  /// Expects that all views agree within a minute.
   void expectConvergence() {
-    EXPECT_TRUE(until([&] { return agreed(); }));
+    EXPECT_TRUE(waitUntil([&] { return viewsAgree(); }));
   }
-  /// Waits for so many probe intervals, in which something must not happen.
-  void waitIntervals(int count) const { pass(every() * count); }
-  /// How often the member has logged the event since this time.
-  std::size_t said(std::size_t by, const std::string& event, std::int64_t since) {
-    const auto& all = history(by).all;
-    const auto isMeant = [&](const Seen& seen) { return seen.at >= since && seen.event == event; };
-    return static_cast<std::size_t>(std::count_if(all.begin(), all.end(), isMeant));
+  /// Waits for `count` probe intervals.
+  void waitIntervals(int count) const { sleepFor(probeInterval() * count); }
+  /// Returns how many times a member logged the event since the time `since`.
+  std::size_t eventCount(std::size_t member, const std::string& event, std::int64_t since) {
+    const auto& entries = log(member).entries;
+    const auto matches = [&](const LogEntry& entry) { return entry.time >= since && entry.event == event; };
+    return static_cast<std::size_t>(std::count_if(entries.begin(), entries.end(), matches));
   }
 
-  /// When the fleet had converged for the first time, by clock().
-  std::int64_t from = 0;
+  /// Time, as now() returns it, at which the views agreed first.
+  std::int64_t convergedAt = 0;
 };
 
 }  // namespace rainhook::fleet
--- a/tests/fleet/fault_proxy.cpp
+++ b/tests/fleet/fault_proxy.cpp
@@ -26,7 +26,7 @@
 using Clock = std::chrono::steady_clock;
 using testDoubles::asSockaddr;
 
-/// The process that sends and the one that receives.
+/// The sending and the receiving process.
 using LinkId = std::pair<std::size_t, std::size_t>;
 
 constexpr int pollIntervalMs = 2;
@@ -65,7 +65,8 @@
     link.target = testDoubles::parseSocketAddress(address);
     for (int attempt = 0; attempt < maxPortAttempts; ++attempt)
       if (const int port = bindSockets(link); port != 0) return "127.0.0.1:" + std::to_string(port);
-    throw std::runtime_error("no port for a fault proxy");
+    throw std::runtime_error("no port of 127.0.0.1 that is free for UDP and TCP found in " +
+                             std::to_string(maxPortAttempts) + " attempts for the fault proxy to " + address);
   }
 
   void redirect(std::size_t to, const std::string& address) {
@@ -96,8 +97,8 @@
     Clock::time_point rateWindowStart{};
     std::size_t bytesInRateWindow = 0;
   };
-  /// What the client's side sends goes in the direction of the link, what the server's side sends in the
-  /// other.
+  /// A forwarded TCP connection. Bytes from the client's side go in the direction of the link, bytes from the
+  /// server's side in the opposite direction.
   struct Connection {
     int clientSide = -1;
     int serverSide = -1;
@@ -105,7 +106,7 @@
   };
   struct DelayedBytes {
     Clock::time_point due;
-    std::uint64_t sequence;  ///< keeps the order of what is due at one time
+    std::uint64_t sequence;  ///< keeps the order of bytes that are due at the same time
     int descriptor;
     bool isDatagram;
     sockaddr_in target;
@@ -115,8 +116,8 @@
     }
   };
 
-  /// Binds both sockets of the link to one port. Returns it, or 0 where the port that the system names for
-  /// one is not free for the other.
+  /// Binds both sockets of the link to one port. Returns the port, or 0 if the port that the system chose for
+  /// UDP is not free for TCP.
   int bindSockets(Link& link) {
     sockaddr_in address = testDoubles::parseSocketAddress("127.0.0.1:0");
     socklen_t size = sizeof address;
@@ -277,10 +278,10 @@
 
   pcg32 random_;
   const int poll_;
-  std::mutex mutex_;  ///< guards all below but the atomics
+  std::mutex mutex_;  ///< guards all members declared below except the atomics
   std::map<LinkId, Link> links_;
   std::map<int, LinkId> linkOfSocket_;
-  std::map<int, Connection> connections_;  ///< by each of its two descriptors
+  std::map<int, Connection> connections_;  ///< each connection is stored under both of its descriptors
   std::priority_queue<DelayedBytes> delayed_;
   std::uint64_t sequence_ = 0;
   std::atomic<std::uint64_t> forwardedDatagrams_{0};
--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -1,5 +1,6 @@
-// Several processes of the program with fault proxies between them, their histories, and the invariants that
-// every history has to keep. docs/fleet-tests.md tells how a test is written.
+/// @file
+/// A fleet of several processes of the program with fault proxies between them, their logs, and the check of
+/// the invariants. docs/fleet-tests.md describes how to write a test.
 #pragma once
 
 #include <functional>
@@ -18,93 +19,121 @@
 
 using std::chrono::milliseconds;
 
-struct History {
-  std::vector<Seen> all;
-  std::map<std::string, std::string> now;  // the state of each other, as seen last
+/// What was read from the log of one member.
+struct MemberLog {
+  std::vector<LogEntry> entries;
+  std::map<std::string, std::string> states;  ///< last logged state of each other member, by its name
 };
 
+/// Starts, controls and observes the members of one fleet. All of its files are in one temporary folder.
 class Fleet {
  public:
-  // So many witnesses in so many zones, one probe in `every` each. Started by start().
-  Fleet(std::size_t count, std::size_t zones, std::uint64_t seed, milliseconds every = milliseconds(200));
+  /// Prepares `count` witnesses in `zones` zones, which probe once per `probeInterval`. start() starts them.
+  Fleet(std::size_t count, std::size_t zones, std::uint64_t seed,
+        milliseconds probeInterval = milliseconds(200));
+  /// Kills all processes and removes the folder unless keepFolder() was called.
   ~Fleet();
 
   static std::string name(std::size_t i) { return "m" + std::to_string(i); }
   std::string zone(std::size_t i) const { return "z" + std::to_string(i % zones_); }
   std::size_t size() const { return addresses_.size(); }
-  milliseconds every() const { return every_; }
+  milliseconds probeInterval() const { return probeInterval_; }
   const std::string& folder() const { return folder_; }
   const std::string& address(std::size_t i) const { return addresses_[i]; }
+  /// Returns the path of the options file of a member.
   std::string options(std::size_t i) const { return folder_ + "/" + name(i) + ".yaml"; }
 
+  /// Starts the process of a member that is down.
   void start(std::size_t i);
   void startAll();
+  /// Kills the process of a member with SIGKILL.
   void kill(std::size_t i);
-  void stop(std::size_t i);
-  void wake(std::size_t i);
-  // Lets it leave; the status it ended with, nothing where it did not within ten seconds and was killed.
+  /// Pauses the process with SIGSTOP.
+  void pause(std::size_t i);
+  /// Resumes a paused process with SIGCONT.
+  void resume(std::size_t i);
+  /// Asks a member to leave with SIGTERM. Returns its exit status; no value if it was still running after ten
+  /// seconds and was therefore killed.
   std::optional<int> terminate(std::size_t i);
-  bool up(std::size_t i) const { return processes_[i] != nullptr; }
+  /// Returns whether a member was started and not killed or terminated since.
+  bool isUp(std::size_t i) const { return processes_[i] != nullptr; }
   Process& process(std::size_t i) { return *processes_[i]; }
-  // Cuts the links from and to, one way.
-  void cut(const std::function<bool(std::size_t, std::size_t)>& is);
-  void fault(std::size_t from, std::size_t to, const Fault& fault);
-  void faultAll(const Fault& fault);
+  /// Blocks each one-way link from one member to another for which `isCut` returns true, and clears the
+  /// faults of all other links.
+  void cutLinks(const std::function<bool(std::size_t from, std::size_t to)>& isCut);
+  /// Sets the faults of the link from one member to another.
+  void setFault(std::size_t from, std::size_t to, const Fault& fault);
+  void setAllFaults(const Fault& fault);
+  /// Clears the faults of all links.
   void heal();
-  // Controls its wall clock and its disk from its next start on.
+  /// Returns the control of the wall clock and the disk of a member, which takes effect from its next start.
   ClockAndDiskControl& control(std::size_t i);
-  // From its next start on it runs another release of the program: RAINHOOK_OLDER or RAINHOOK_LATER.
-  void runs(std::size_t i, const std::string& program) { programs_[i] = program; }
-  // Writes the settings of one anew, with more lines of its section.
-  void write(std::size_t i, const std::string& more = "", const std::string& key = "key");
-  // From its next start on this one is a server: the rest of its configuration as JSON (agent, backend,
-  // settings).
-  void serves(std::size_t i, nlohmann::json configuration);
-  const std::string& front(std::size_t i) const { return fronts_[i]; }
-  // Something else was done to it that the invariants have to know of: "harm" to its folder.
-  void harm(std::size_t i) { did("harm", i); }
-  // Another address for one that is down; the links lead there, or where they are not `led` to nobody.
-  void move(std::size_t i, bool led = true);
+  /// Sets the program that a member runs from its next start: RAINHOOK_OLDER and RAINHOOK_LATER are other
+  /// releases.
+  void setProgram(std::size_t i, const std::string& program) { programs_[i] = program; }
+  /// Rewrites the options file of a member. `moreLines` are added to its `membership` section; `key` is the
+  /// name of its key file.
+  void writeOptions(std::size_t i, const std::string& moreLines = "", const std::string& key = "key");
+  /// Makes a member a server from its next start. `configuration` is the rest of its JSON configuration
+  /// (agent, backend, settings).
+  void configureServer(std::size_t i, nlohmann::json configuration);
+  /// Returns the address at which a server accepts clients.
+  const std::string& serverAddress(std::size_t i) const { return serverAddresses_[i]; }
+  /// Records that the test damages the state folder of a member, which exempts it from an invariant.
+  void recordStateDamage(std::size_t i) { recordAction("damage", i); }
+  /// Gives a member that is down another address. If `redirectLinks` is false, the links to the member still
+  /// lead to the old address.
+  void changeAddress(std::size_t i, bool redirectLinks = true);
 
-  // The histories as they are now.
-  const History& history(std::size_t i);
-  std::string state(std::size_t by, std::size_t of);
-  // All that are up see all that are up as alive, and nobody else as alive or suspect.
-  bool agreed();
-  // Waits, with a wide bound, until it holds.
-  bool until(const std::function<bool()>& holds, milliseconds most = milliseconds(60000));
-  void pass(milliseconds span) const { std::this_thread::sleep_for(span); }
-  // What the command prints, and its status.
-  std::pair<int, std::string> command(const std::vector<std::string>& words) const;
+  /// Reads the log of a member up to now.
+  const MemberLog& log(std::size_t i);
+  /// Returns the last state of `subject` that `viewer` logged, "unknown" if there is none.
+  std::string state(std::size_t viewer, std::size_t subject);
+  /// Returns whether every member that is up sees every other member that is up as alive, and no member that
+  /// is down as alive or suspect.
+  bool viewsAgree();
+  /// Waits until `condition` returns true, at most `timeout`. Returns whether it did.
+  bool waitUntil(const std::function<bool()>& condition, milliseconds timeout = milliseconds(60000));
+  void sleepFor(milliseconds duration) const { std::this_thread::sleep_for(duration); }
+  /// Runs a command of the program. Returns its exit status, -2 after a timeout, and its output.
+  std::pair<int, std::string> runCommand(const std::vector<std::string>& arguments) const;
 
-  std::size_t verdictsOn(std::size_t of, std::int64_t from = 0);
-  std::size_t verdicts(std::int64_t from = 0);
-  static std::int64_t clock();
-  // A line for each breach of what must hold on every history (invariants.h), or a process that ended by
-  // itself; empty where all is well.
-  std::vector<std::string> breaches();
-  void boundShares(double most) { shares_ = most; }
-  // Its folder, with settings and logs, stays: for a test that has failed.
-  void keep() { kept_ = true; }
+  /// Returns how many times members declared `subject` dead since the time `from`.
+  std::size_t deathsDeclaredOf(std::size_t subject, std::int64_t from = 0);
+  /// Returns how many times members declared any member dead since the time `from`.
+  std::size_t deathsDeclared(std::int64_t from = 0);
+  /// Returns the steady clock in nanoseconds, the clock of the log entries.
+  static std::int64_t now();
+  /// Returns one line for each violated invariant (invariants.h) and for each process that ended
+  /// unexpectedly.
+  std::vector<std::string> violations();
+  /// Sets the limit that violations() checks for the sum of all quota shares.
+  void setMaxShareSum(double maxShareSum) { maxShareSum_ = maxShareSum; }
+  /// Keeps the folder with options and logs, for a test that has failed.
+  void keepFolder() { isFolderKept_ = true; }
 
  private:
-  void did(const std::string& what, std::size_t who) { done_.push_back({clock(), what, who}); }
+  void recordAction(const std::string& action, std::size_t member) {
+    actions_.push_back({now(), action, member});
+  }
 
   const std::size_t zones_;
-  const milliseconds every_;
+  const milliseconds probeInterval_;
   std::string folder_;
   FaultProxy proxy_;
-  std::vector<std::string> addresses_, fronts_;  // fronts: where a server listens, empty for a witness
-  std::vector<std::map<std::size_t, std::string>> reach_;
-  std::vector<std::unique_ptr<Process>> processes_;
-  std::vector<std::size_t> lives_;
-  std::vector<History> histories_;
-  std::vector<std::streamoff> read_;
-  std::vector<Done> done_;
-  std::vector<std::string> programs_, more_;
+  std::vector<std::string> addresses_;
+  std::vector<std::string> serverAddresses_;                       // empty for a witness
+  std::vector<std::map<std::size_t, std::string>> linkAddresses_;  // by sender and receiver
+  std::vector<std::unique_ptr<Process>> processes_;                // null for a member that is down
+  std::vector<std::size_t> startCounts_;
+  std::vector<MemberLog> logs_;
+  std::vector<std::streamoff> logOffsets_;  // up to which each log was read
+  std::vector<TestAction> actions_;
+  std::vector<std::string> programs_;
+  std::vector<std::string> moreOptionLines_;
   std::vector<std::shared_ptr<ClockAndDiskControl>> controls_;  // null where a process is not controlled
-  double shares_ = 0;
-  bool kept_ = false;
+  double maxShareSum_ = 0;
+  bool isFolderKept_ = false;
 };
 
 }  // namespace rainhook::fleet
--- a/tests/fleet/invariants.cpp
+++ b/tests/fleet/invariants.cpp
@@ -8,192 +8,205 @@
 
 std::string nameOf(std::size_t i) { return "m" + std::to_string(i); }
 
-struct Stretch {
+struct Period {
   std::int64_t from = 0, to = 0;
 };
 
-// When a member ran, and since when nothing was wrong with the links.
-class Times {
+/// The periods in which each member ran and those in which no fault was set on any link.
+class Timeline {
  public:
-  explicit Times(const Course& course) : runs_(course.histories.size()), until_(course.until) {
-    std::vector<std::int64_t> since(runs_.size(), -1);
-    std::int64_t calm = 0;
-    const auto end = [&](std::size_t who, std::int64_t at) {
-      if (since[who] >= 0) runs_[who].push_back({since[who], at});
-      since[who] = -1;
+  explicit Timeline(const FleetRun& run) : runPeriods_(run.logs.size()), end_(run.end) {
+    std::vector<std::int64_t> runningSince(runPeriods_.size(), -1);
+    std::int64_t faultFreeSince = 0;
+    const auto endPeriod = [&](std::size_t member, std::int64_t time) {
+      if (runningSince[member] >= 0) runPeriods_[member].push_back({runningSince[member], time});
+      runningSince[member] = -1;
     };
-    for (const auto& done : course.done) {
-      if (done.what == "start" || done.what == "wake") {
-        if (since[done.who] < 0) since[done.who] = done.at;
-      } else if (done.what == "kill" || done.what == "stop" || done.what == "leave") {
-        end(done.who, done.at);
-      } else if (done.what == "fault") {
-        if (calm >= 0) calms_.push_back({calm, done.at});
-        calm = -1;
-      } else if (done.what == "heal") {
-        if (calm < 0) calm = done.at;
+    for (const auto& action : run.actions) {
+      if (action.action == "start" || action.action == "resume") {
+        if (runningSince[action.member] < 0) runningSince[action.member] = action.time;
+      } else if (action.action == "kill" || action.action == "pause" || action.action == "leave") {
+        endPeriod(action.member, action.time);
+      } else if (action.action == "fault") {
+        if (faultFreeSince >= 0) faultFreePeriods_.push_back({faultFreeSince, action.time});
+        faultFreeSince = -1;
+      } else if (action.action == "heal") {
+        if (faultFreeSince < 0) faultFreeSince = action.time;
       }
     }
-    for (std::size_t i = 0; i < runs_.size(); ++i) end(i, until_);
-    if (calm >= 0) calms_.push_back({calm, until_});
+    for (std::size_t i = 0; i < runPeriods_.size(); ++i) endPeriod(i, end_);
+    if (faultFreeSince >= 0) faultFreePeriods_.push_back({faultFreeSince, end_});
   }
-  bool ran(std::size_t who, std::int64_t from, std::int64_t to) const { return within(runs_[who], from, to); }
-  bool calm(std::int64_t from, std::int64_t to) const { return within(calms_, from, to); }
-  // When something changed for this pair: between two of these times nothing did.
-  std::vector<std::int64_t> edges(std::size_t a, std::size_t b) const {
-    std::set<std::int64_t> out{until_};
-    for (const auto* of : {&runs_[a], &runs_[b], &calms_})
-      for (const auto& stretch : *of) out.insert(stretch.from), out.insert(stretch.to);
+  bool ran(std::size_t member, std::int64_t from, std::int64_t to) const {
+    return within(runPeriods_[member], from, to);
+  }
+  bool wasFaultFree(std::int64_t from, std::int64_t to) const { return within(faultFreePeriods_, from, to); }
+  /// Returns the times at which one of the two members started or stopped running or a fault-free period
+  /// began or ended, in ascending order.
+  std::vector<std::int64_t> changeTimes(std::size_t a, std::size_t b) const {
+    std::set<std::int64_t> out{end_};
+    for (const auto* of : {&runPeriods_[a], &runPeriods_[b], &faultFreePeriods_})
+      for (const auto& period : *of) out.insert(period.from), out.insert(period.to);
     return {out.begin(), out.end()};
   }
 
  private:
-  static bool within(const std::vector<Stretch>& all, std::int64_t from, std::int64_t to) {
+  static bool within(const std::vector<Period>& all, std::int64_t from, std::int64_t to) {
     return std::any_of(all.begin(), all.end(),
-                       [&](const Stretch& s) { return s.from <= from && to <= s.to; });
+                       [&](const Period& period) { return period.from <= from && to <= period.to; });
   }
-  std::vector<std::vector<Stretch>> runs_;
-  std::vector<Stretch> calms_;
-  const std::int64_t until_;
+  std::vector<std::vector<Period>> runPeriods_;
+  std::vector<Period> faultFreePeriods_;
+  const std::int64_t end_;
 };
 
-// The state of `of` in a view at that time, as said last before it in that life; empty where nothing was.
-std::string stateAt(const std::vector<Seen>& history, const std::string& of, std::int64_t at) {
-  std::string out;
-  std::size_t life = 0;
-  for (const auto& seen : history) {
-    if (seen.at > at) break;
-    if (seen.life != life) out.clear(), life = seen.life;
-    if (seen.event == "state-changed" && seen.about == of) out = seen.state;
+/// Returns the state of `subject` in the view of a member at `time`: the last state that the process running
+/// then had logged. Empty if that process had logged none.
+std::string stateAt(const std::vector<LogEntry>& log, const std::string& subject, std::int64_t time) {
+  std::string state;
+  std::size_t startNumber = 0;
+  for (const auto& entry : log) {
+    if (entry.time > time) break;
+    if (entry.startNumber != startNumber) state.clear(), startNumber = entry.startNumber;
+    if (entry.event == "state-changed" && entry.subject == subject) state = entry.state;
   }
-  return out;
+  return state;
 }
 
-void incarnations(const Course& course, std::vector<std::string>& out) {
-  for (std::size_t i = 0; i < course.histories.size(); ++i) {
+/// Checks that incarnations never decrease and that members that left are not declared dead.
+void checkIncarnations(const FleetRun& run, std::vector<std::string>& out) {
+  for (std::size_t i = 0; i < run.logs.size(); ++i) {
     std::map<std::pair<std::size_t, std::string>, std::pair<std::uint64_t, std::string>> last;
-    for (const auto& seen : course.histories[i]) {
-      if (seen.event != "state-changed" || seen.about == nameOf(i)) continue;
-      auto& [incarnation, state] = last[{seen.life, seen.about}];
-      if (seen.incarnation < incarnation)
-        out.push_back(nameOf(i) + ": the incarnation of " + seen.about + " goes back to " +
-                      std::to_string(seen.incarnation));
-      if (seen.state == "dead" && state == "left" && seen.incarnation <= incarnation)
-        out.push_back(nameOf(i) + ": " + seen.about + " left and is called dead");
-      incarnation = std::max(incarnation, seen.incarnation), state = seen.state;
+    for (const auto& entry : run.logs[i]) {
+      if (entry.event != "state-changed" || entry.subject == nameOf(i)) continue;
+      auto& [incarnation, state] = last[{entry.startNumber, entry.subject}];
+      if (entry.incarnation < incarnation)
+        out.push_back(nameOf(i) + ": the incarnation of " + entry.subject + " decreases from " +
+                      std::to_string(incarnation) + " to " + std::to_string(entry.incarnation));
+      if (entry.state == "dead" && state == "left" && entry.incarnation <= incarnation)
+        out.push_back(nameOf(i) + ": " + entry.subject + " left but is declared dead");
+      incarnation = std::max(incarnation, entry.incarnation), state = entry.state;
     }
   }
-  // Whoever keeps a state starts beyond all that anybody had heard from it. Where the disk failed it once,
-  // it can't.
-  for (std::size_t i = 0; i < course.histories.size(); ++i) {
-    bool lost = std::any_of(course.done.begin(), course.done.end(),
-                            [i](const Done& done) { return done.what == "harm" && done.who == i; });
-    for (const auto& start : course.histories[i]) {
-      lost = lost || start.event == "state-unavailable";
-      if (start.event != "state-restored" || start.about != nameOf(i) || lost) continue;
-      const auto from = std::stoull(start.why.substr(start.why.find(' ') + 1));
-      for (std::size_t by = 0; by < course.histories.size(); ++by)
-        for (const auto& seen : course.histories[by])
-          if (by != i && seen.at < start.at && seen.event == "state-changed" && seen.about == nameOf(i) &&
-              seen.incarnation >= from) {
-            out.push_back(nameOf(i) + " starts at " + std::to_string(from) + ", though " + nameOf(by) +
-                          " saw " + std::to_string(seen.incarnation));
+  // A member that keeps its state folder starts at an incarnation above all that other members saw of it. A
+  // member whose disk failed or whose folder was damaged before that start is not checked.
+  for (std::size_t i = 0; i < run.logs.size(); ++i) {
+    bool isStateLost = std::any_of(run.actions.begin(), run.actions.end(), [i](const TestAction& action) {
+      return action.action == "damage" && action.member == i;
+    });
+    for (const auto& start : run.logs[i]) {
+      isStateLost = isStateLost || start.event == "state-unavailable";
+      if (start.event != "state-restored" || start.subject != nameOf(i) || isStateLost) continue;
+      const auto from = std::stoull(start.reason.substr(start.reason.find(' ') + 1));
+      for (std::size_t by = 0; by < run.logs.size(); ++by)
+        for (const auto& entry : run.logs[by])
+          if (by != i && entry.time < start.time && entry.event == "state-changed" &&
+              entry.subject == nameOf(i) && entry.incarnation >= from) {
+            out.push_back(nameOf(i) + " starts at incarnation " + std::to_string(from) + ", but " +
+                          nameOf(by) + " already saw " + std::to_string(entry.incarnation));
             break;
           }
     }
   }
 }
 
-void views(const Course& course, std::vector<std::string>& out) {
-  const Times times(course);
-  const std::int64_t bound = (course.every * calmPeriods + calmBeside).count();
-  const std::size_t count = course.histories.size();
+/// Checks that views agree with which members run, after a long enough fault-free period.
+void checkViews(const FleetRun& run, std::vector<std::string>& out) {
+  const Timeline timeline(run);
+  const std::int64_t bound = (run.probeInterval * minFaultFreeIntervals + loadAllowance).count();
+  const std::size_t count = run.logs.size();
   for (std::size_t by = 0; by < count; ++by)
     for (std::size_t of = 0; of < count; ++of) {
       if (by == of) continue;
-      const auto edges = times.edges(by, of);
-      for (std::size_t e = 1; e < edges.size(); ++e) {
-        const auto from = edges[e - 1], to = edges[e];
-        if (to - from < bound || !times.calm(from, to) || !times.ran(by, from, to) ||
-            !times.ran(of, from, to))
+      const auto times = timeline.changeTimes(by, of);
+      for (std::size_t i = 1; i < times.size(); ++i) {
+        const auto from = times[i - 1], to = times[i];
+        if (to - from < bound || !timeline.wasFaultFree(from, to) || !timeline.ran(by, from, to) ||
+            !timeline.ran(of, from, to))
           continue;
-        if (const auto state = stateAt(course.histories[by], nameOf(of), to);
-            state != "alive" && state != "suspect")
+        if (const auto state = stateAt(run.logs[by], nameOf(of), to); state != "alive" && state != "suspect")
           out.push_back(nameOf(by) + ": " + nameOf(of) + " is " + (state.empty() ? "unknown" : state) +
-                        " though both ran in a calm of " + std::to_string((to - from) / 1'000'000) + " ms");
+                        " although both ran during a fault-free period of " +
+                        std::to_string((to - from) / 1'000'000) + " ms");
       }
     }
-  for (const auto& kill : course.done) {
-    if (kill.what != "kill") continue;
-    const auto by = kill.at + bound;
-    if (by > course.until || !times.calm(kill.at, by)) continue;
-    if (std::any_of(course.done.begin(), course.done.end(), [&](const Done& done) {
-          return done.what == "start" && done.who == kill.who && done.at > kill.at && done.at <= by;
+  for (const auto& kill : run.actions) {
+    if (kill.action != "kill") continue;
+    const auto by = kill.time + bound;
+    if (by > run.end || !timeline.wasFaultFree(kill.time, by)) continue;
+    if (std::any_of(run.actions.begin(), run.actions.end(), [&](const TestAction& action) {
+          return action.action == "start" && action.member == kill.member && action.time > kill.time &&
+                 action.time <= by;
         }))
       continue;
-    std::vector<std::size_t> there;
+    std::vector<std::size_t> running;
     std::set<std::size_t> zones;
     for (std::size_t i = 0; i < count; ++i)
-      if (times.ran(i, kill.at, by)) there.push_back(i), zones.insert(i % course.zones);
-    // Verdicts wait where most are gone, or where all witnesses stand in one zone of several.
-    if (there.size() * 2 <= count || (course.zones > 1 && zones.size() < 2)) continue;
-    for (const auto viewer : there)
-      if (const auto state = stateAt(course.histories[viewer], nameOf(kill.who), by);
+      if (timeline.ran(i, kill.time, by)) running.push_back(i), zones.insert(i % run.zones);
+    // Members declare no deaths while at least half of the fleet is missing, or while all running members are
+    // in one of several zones.
+    if (running.size() * 2 <= count || (run.zones > 1 && zones.size() < 2)) continue;
+    for (const auto viewer : running)
+      if (const auto state = stateAt(run.logs[viewer], nameOf(kill.member), by);
           state == "alive" || state == "suspect")
-        out.push_back(nameOf(viewer) + ": " + nameOf(kill.who) + " is " + state + ", though it was killed " +
-                      std::to_string(bound / 1'000'000) + " ms before");
+        out.push_back(nameOf(viewer) + ": " + nameOf(kill.member) + " is " + state +
+                      ", although it was killed " + std::to_string(bound / 1'000'000) + " ms earlier");
   }
 }
 
-void figures(const Course& course, std::vector<std::string>& out) {
-  const double count = static_cast<double>(course.histories.size());
-  for (std::size_t i = 0; i < course.histories.size(); ++i)
-    for (const auto& seen : course.histories[i]) {
-      if (seen.event != "statistics") continue;
-      const auto is = [&](const char* what) {
-        const auto it = seen.figures.find(what);
-        return it == seen.figures.end() ? 0.0 : it->second;
+/// Checks the figures of `statistics` against their limits.
+void checkFigures(const FleetRun& run, std::vector<std::string>& out) {
+  const double count = static_cast<double>(run.logs.size());
+  for (std::size_t i = 0; i < run.logs.size(); ++i)
+    for (const auto& entry : run.logs[i]) {
+      if (entry.event != "statistics") continue;
+      const auto valueOf = [&](const char* name) {
+        const auto it = entry.figures.find(name);
+        return it == entry.figures.end() ? 0.0 : it->second;
       };
-      const double periods = is("interval_ms") * 1e6 / static_cast<double>(course.every.count());
-      const auto most = [&](const char* what, double bound) {
-        if (is(what) > bound)
-          out.push_back(nameOf(i) + ": " + what + " are " + std::to_string(is(what)) + ", over " +
-                        std::to_string(bound));
+      const double intervals = valueOf("interval_ms") * 1e6 / static_cast<double>(run.probeInterval.count());
+      const auto checkLimit = [&](const char* name, double limit) {
+        if (valueOf(name) > limit)
+          out.push_back(nameOf(i) + ": " + name + " is " + std::to_string(valueOf(name)) + ", limit " +
+                        std::to_string(limit));
       };
-      most("members", count + 1), most("queued_updates", 2 * count + static_cast<double>(course.zones) + 8);
-      most("exchanges", 24);
-      most("datagrams_sent", 64 * (periods + 10)), most("bytes_sent", 64 * (periods + 10) * 1400);
+      checkLimit("members", count + 1);
+      checkLimit("queued_updates", 2 * count + static_cast<double>(run.zones) + 8);
+      checkLimit("exchanges", 24);
+      checkLimit("datagrams_sent", 64 * (intervals + 10));
+      checkLimit("bytes_sent", 64 * (intervals + 10) * 1400);
     }
 }
 
-// At every moment the shares of those that run; a share is over with its process.
-void shares(const Course& course, std::vector<std::string>& out) {
-  if (course.shares <= 0) return;
+/// Checks the sum of the shares of all running processes at every time. A share ends with its process.
+void checkShares(const FleetRun& run, std::vector<std::string>& out) {
+  if (run.maxShareSum <= 0) return;
   std::multimap<std::int64_t, std::pair<std::size_t, double>> all;
-  for (std::size_t i = 0; i < course.histories.size(); ++i)
-    for (const auto& seen : course.histories[i])
-      if (seen.event == "dependency-quota") all.emplace(seen.at, std::pair(i, seen.share));
-  for (const auto& done : course.done)
-    if (done.what == "kill" || done.what == "leave") all.emplace(done.at, std::pair(done.who, 0.0));
-  std::vector<double> now(course.histories.size(), 0);
+  for (std::size_t i = 0; i < run.logs.size(); ++i)
+    for (const auto& entry : run.logs[i])
+      if (entry.event == "dependency-quota") all.emplace(entry.time, std::pair(i, entry.share));
+  for (const auto& action : run.actions)
+    if (action.action == "kill" || action.action == "leave")
+      all.emplace(action.time, std::pair(action.member, 0.0));
+  std::vector<double> now(run.logs.size(), 0);
   for (const auto& [at, change] : all) {
     now[change.first] = change.second;
     double sum = 0;
     for (const double share : now) sum += share;
-    if (sum > course.shares + 1e-6)
-      out.push_back("the shares are " + std::to_string(sum) + " of " + std::to_string(course.shares) +
-                    " at " + std::to_string(at));
+    if (sum > run.maxShareSum + 1e-6)
+      out.push_back("the sum of the quota shares is " + std::to_string(sum) + ", limit " +
+                    std::to_string(run.maxShareSum) + ", at time " + std::to_string(at));
   }
 }
 
 }  // namespace
 
-std::vector<std::string> breachesOf(const Course& course) {
+std::vector<std::string> findViolations(const FleetRun& run) {
   std::vector<std::string> out;
-  incarnations(course, out);
-  views(course, out);
-  figures(course, out);
-  shares(course, out);
+  checkIncarnations(run, out);
+  checkViews(run, out);
+  checkFigures(run, out);
+  checkShares(run, out);
   return out;
 }
 
--- a/tests/fleet/invariants.h
+++ b/tests/fleet/invariants.h
@@ -1,5 +1,7 @@
-// What must hold on every history, whatever was done: looked for in what each process wrote, beside what the
-// script did and when. Pure, so that the check itself can be checked.
+/// @file
+/// Checks the invariants that hold in every run of a fleet, whatever faults are injected. The input is what
+/// each process logged and what the test did and when. The check has no side effects, so that tests can run
+/// it on runs that are written by hand.
 #pragma once
 
 #include <chrono>
@@ -10,45 +12,50 @@
 
 namespace rainhook::fleet {
 
-// What a process said, a line of its log in the JSON form.
-struct Seen {
-  std::int64_t at = 0;   // steady time, one clock for all processes of a machine
-  std::size_t life = 0;  // of the viewer: which of its processes
-  std::string event, about, state, zone, why;
+/// One line of the JSON log of a process.
+struct LogEntry {
+  std::int64_t time = 0;  ///< steady clock in nanoseconds, the same clock for all processes of a machine
+  std::size_t startNumber = 0;  ///< number of the start of the process that wrote the line, counted from 1
+  std::string event, subject, state, zone, reason;
   std::uint64_t incarnation = 0;
-  double share = 0;                       // of the dependency, in `dependency-quota`
-  std::map<std::string, double> figures;  // in `statistics`
+  double share = 0;                       ///< share of the dependency quota, in `dependency-quota`
+  std::map<std::string, double> figures;  ///< numeric fields, in `statistics`
 };
 
-// What the script did and when: start, kill, stop, wake, leave with the member, fault and heal of the
-// links, harm to a folder.
-struct Done {
-  std::int64_t at = 0;
-  std::string what;
-  std::size_t who = 0;
+/// One action of the test: `start`, `kill`, `pause`, `resume` or `leave` of a member, `fault` or `heal` of
+/// the links, or `damage` of a member's state folder.
+struct TestAction {
+  std::int64_t time = 0;  ///< steady clock in nanoseconds
+  std::string action;
+  std::size_t member = 0;
 };
 
-struct Course {
-  std::size_t zones = 1;  // member i, named m<i>, stands in zone i % zones
-  std::chrono::nanoseconds every{};
-  std::vector<std::vector<Seen>> histories;
-  std::vector<Done> done;
-  std::int64_t until = 0;  // when the histories were read
-  double shares = 0;       // what all shares together may be at most; 0: not looked at
+/// One run of a fleet: the log entries of all members and the actions of the test.
+struct FleetRun {
+  std::size_t zones = 1;                     ///< member i has the name m<i> and is in zone i % zones
+  std::chrono::nanoseconds probeInterval{};  ///< probe interval of all members
+  std::vector<std::vector<LogEntry>> logs;   ///< log entries of each member in the order of the log
+  std::vector<TestAction> actions;           ///< actions of the test in order of time
+  std::int64_t end = 0;                      ///< time at which the logs were read
+  double maxShareSum = 0;                    ///< upper limit of the sum of all quota shares; 0: not checked
 };
 
-// How long a calm has to last before a view may be held against it.
-constexpr int calmPeriods = 60;
-constexpr std::chrono::seconds calmBeside{10};  // what a loaded machine may add
-
-// A line for each breach; empty where all is well:
-//  - an incarnation goes back in a view, or a member with a kept state starts at one that was said before
-//  - `left` is called dead
-//  - a member that ran and could be reached all through a calm is not alive in the view of one who did too
-//  - one who was killed lives on in the view of one who saw a calm since, while most of the fleet, of two
-//    zones, was there
-//  - figures over their bounds
-//  - shares of the dependency that together pass what is stated
-std::vector<std::string> breachesOf(const Course& course);
+/// A view is checked only after a fault-free period of this many probe intervals plus `loadAllowance`.
+constexpr int minFaultFreeIntervals = 60;
+/// Additional time for the delays of a loaded machine.
+constexpr std::chrono::seconds loadAllowance{10};
+
+/// Returns one line for each violated invariant:
+///  - An incarnation decreases in a view, or a member that kept its state folder starts at an incarnation
+///  that
+///    another member already saw.
+///  - A member that left is declared dead.
+///  - A member that ran and was reachable during a whole fault-free period is not alive in the view of a
+///    member that ran during the same period.
+///  - A killed member is still alive or suspect in the view of a member that ran through a fault-free period
+///    after the kill, while more than half of the fleet, in at least two zones if there are several, ran.
+///  - A figure of `statistics` exceeds its limit.
+///  - The sum of the quota shares exceeds its limit.
+std::vector<std::string> findViolations(const FleetRun& run);
 
 }  // namespace rainhook::fleet
--- a/tests/fleet/other_release.cpp
+++ b/tests/fleet/other_release.cpp
@@ -1,5 +1,7 @@
-// Another release of the program: all the same but for its messages. RAINHOOK_OLDER leaves out, and passes
-// over, what came last to each of them; otherwise it is a later one, which says more at the end of each.
+/// @file
+/// Another release of the program, which differs from this one only in its messages. With RAINHOOK_OLDER it
+/// is an older release, which omits and ignores the fields that were added last to each kind of message.
+/// Otherwise it is a later release, which appends additional fields.
 #include <algorithm>
 #include <chrono>
 #include <cmath>
@@ -16,40 +18,51 @@
 namespace {
 
 using Buffer = msgpack::sbuffer;
-constexpr std::uint32_t from = 1, about = 5, updates = 7, statuses = 8;  // places in a message
+/// Positions of these fields in an encoded message.
+constexpr std::uint32_t senderField = 1, subjectField = 5, updatesField = 7, statusesField = 8;
 
-// The elements of an array, some of them by another hand; `last` of them at most, and `more` behind.
-template <typename Other>
-void copy(Packer& out, const msgpack::object& object, std::uint32_t last, std::uint32_t more, Other other) {
+/// Copies at most `maxSize` elements of an array and appends `addedCount` additional ones. `copyElement` may
+/// copy an element itself and then returns true; all other elements are copied unchanged.
+template <typename CopyElement>
+void copyArray(Packer& out, const msgpack::object& object, std::uint32_t maxSize, std::uint32_t addedCount,
+               CopyElement copyElement) {
   const auto& array = object.via.array;
-  const auto size = std::min(array.size, last);
-  out.pack_array(size + more);
+  const auto size = std::min(array.size, maxSize);
+  out.pack_array(size + addedCount);
   for (std::uint32_t i = 0; i < size; ++i)
-    if (!other(i, array.ptr[i])) out.pack(array.ptr[i]);
-  for (std::uint32_t i = 0; i < more; ++i) out.pack(std::string("later"));
+    if (!copyElement(i, array.ptr[i])) out.pack(array.ptr[i]);
+  for (std::uint32_t i = 0; i < addedCount; ++i) out.pack(std::string("later"));
 }
-constexpr auto none = [](std::uint32_t, const msgpack::object&) { return false; };
+constexpr auto copyUnchanged = [](std::uint32_t, const msgpack::object&) { return false; };
 
-std::string changed(std::string_view bytes, bool older) {
+/// Converts an encoded message of this release to one of an older or a later release.
+std::string convertMessage(std::string_view bytes, bool toOlder) {
   const auto handle = msgpack::unpack(bytes.data(), bytes.size());
   Buffer buffer;
   Packer out(buffer);
-  const std::uint32_t any = ~std::uint32_t{0}, more = older ? 0 : 1;
-  const auto record = [&](const msgpack::object& object) { copy(out, object, 6, more, none); };
-  copy(out, handle.get(), older ? 9 : any, 2 * more, [&](std::uint32_t i, const msgpack::object& part) {
-    if (i == from || i == about) return record(part), true;
-    if (i != updates && i != statuses) return false;
+  const std::uint32_t unlimited = ~std::uint32_t{0};
+  const std::uint32_t addedCount = toOlder ? 0 : 1;
+  const auto copyMember = [&](const msgpack::object& object) {
+    copyArray(out, object, 6, addedCount, copyUnchanged);
+  };
+  const auto copyField = [&](std::uint32_t field, const msgpack::object& part) {
+    if (field == senderField || field == subjectField) return copyMember(part), true;
+    if (field != updatesField && field != statusesField) return false;
     out.pack_array(part.via.array.size);
-    for (std::uint32_t k = 0; k < part.via.array.size; ++k)
-      if (i == updates)  // without the age of a hearing; a later one says more of whom it is about
-        copy(out, part.via.array.ptr[k], older ? 3 : any, more,
-             [&](std::uint32_t at, const msgpack::object& who) {
-               return at == 1 ? (record(who), true) : false;
-             });
-      else  // without the fleet by which the dependency is divided
-        copy(out, part.via.array.ptr[k], older ? 10 : any, more, none);
+    for (std::uint32_t i = 0; i < part.via.array.size; ++i)
+      // An older release omits the age of the observation in an update. In a status it omits the fleet size
+      // by which the dependency quota is divided. A later release also extends the member that an update
+      // contains.
+      if (field == updatesField)
+        copyArray(out, part.via.array.ptr[i], toOlder ? 3 : unlimited, addedCount,
+                  [&](std::uint32_t position, const msgpack::object& member) {
+                    return position == 1 ? (copyMember(member), true) : false;
+                  });
+      else
+        copyArray(out, part.via.array.ptr[i], toOlder ? 10 : unlimited, addedCount, copyUnchanged);
     return true;
-  });
+  };
+  copyArray(out, handle.get(), toOlder ? 9 : unlimited, 2 * addedCount, copyField);
   return {buffer.data(), buffer.size()};
 }
 
@@ -62,14 +75,14 @@
 }  // namespace
 
 EncodedMessage encodeMessage(const Message& message, std::size_t maxBytes) {
-  // What a later one adds has to fit too.
+  // Leaves space for the fields that a later release adds.
   auto encoded = encodeMessageOfThisRelease(message, isOlder ? maxBytes : maxBytes * 2 / 3);
-  encoded.bytes = changed(encoded.bytes, isOlder);
+  encoded.bytes = convertMessage(encoded.bytes, isOlder);
   return encoded;
 }
 std::optional<Message> decodeMessage(std::string_view bytes) {
   if (!isOlder) return decodeMessageOfThisRelease(bytes);
-  // An older one takes each hearing for new.
+  // An older release treats each observation as new and does not know the advertised fleet size.
   auto out = decodeMessageOfThisRelease(bytes);
   if (!out) return out;
   for (auto& update : out->updates) update.observed = Duration{};
--- a/tests/fleet/persisted_state.h
+++ b/tests/fleet/persisted_state.h
@@ -1,5 +1,5 @@
 /// @file
-/// What the fleet's tests ask about the state folders of members, by their logs and those of the others.
+/// Reads from the logs of a fleet what its members logged about their state folders.
 #pragma once
 
 #include <algorithm>
@@ -11,36 +11,37 @@
 
 namespace rainhook::fleet {
 
-/// The line of a member's settings that names its state folder.
+/// Returns the line of a member's options that names its state folder.
 inline std::string stateSetting(const std::string& folder) { return "  state: " + folder + "\n"; }
 
-/// What a member logged about its state folder in all of its lives.
+/// The log entries of a member about its state folder, from all of its processes.
 struct StateLog {
-  std::vector<std::uint64_t> firstIncarnations;  ///< Where each life began.
-  std::vector<std::string> knownMembers;         ///< As each life's log line tells them.
+  std::vector<std::uint64_t> firstIncarnations;  ///< first incarnation of each process
+  /// The number of known members as each process logged it, for example "3 known members restored".
+  std::vector<std::string> knownMembers;
   std::size_t unavailableEvents = 0;
   std::size_t recoveredEvents = 0;
 };
 
 inline StateLog stateLogOf(Fleet& fleet, std::size_t member) {
   StateLog out;
-  for (const auto& seen : fleet.history(member).all) {
-    if (seen.event == "state-unavailable") ++out.unavailableEvents;
-    if (seen.event == "state-recovered") ++out.recoveredEvents;
-    if (seen.event != "state-restored") continue;
+  for (const auto& entry : fleet.log(member).entries) {
+    if (entry.event == "state-unavailable") ++out.unavailableEvents;
+    if (entry.event == "state-recovered") ++out.recoveredEvents;
+    if (entry.event != "state-restored") continue;
     // "from INCARNATION, COUNT known members restored"
-    out.firstIncarnations.push_back(std::stoull(seen.why.substr(seen.why.find(' ') + 1)));
-    out.knownMembers.push_back(seen.why.substr(seen.why.find(',') + 2));
+    out.firstIncarnations.push_back(std::stoull(entry.reason.substr(entry.reason.find(' ') + 1)));
+    out.knownMembers.push_back(entry.reason.substr(entry.reason.find(',') + 2));
   }
   return out;
 }
 
-/// The highest incarnation of the member that any other one saw.
+/// Returns the highest incarnation of the member that any other member logged.
 inline std::uint64_t highestSeenIncarnation(Fleet& fleet, std::size_t member) {
   std::uint64_t out = 0;
   for (std::size_t observer = 0; observer < fleet.size(); ++observer)
-    for (const auto& seen : fleet.history(observer).all)
-      if (observer != member && seen.about == Fleet::name(member)) out = std::max(out, seen.incarnation);
+    for (const auto& entry : fleet.log(observer).entries)
+      if (observer != member && entry.subject == Fleet::name(member)) out = std::max(out, entry.incarnation);
   return out;
 }
 
--- a/tests/fleet/process.h
+++ b/tests/fleet/process.h
@@ -1,5 +1,5 @@
 /// @file
-/// One process of the program, started as a user starts it, with its log in a file.
+/// One process of the program, started from its command line, with its log in a file.
 #pragma once
 
 #include <fcntl.h>
@@ -17,11 +17,11 @@
 
 namespace rainhook::fleet {
 
-/// Owns the process: it is killed, by its id, with this object. Not thread-safe.
+/// Owns one process and kills it on destruction. Not thread-safe.
 class Process {
  public:
-  /// Starts the program `words[0]` with the other words as its arguments; its output is appended to `log`.
-  /// `environment` is added to the environment, NAME=value each.
+  /// Starts the program `words[0]` with the other words as its arguments and appends its output to the file
+  /// `log`. `environment` contains variables of the form NAME=value that are added to the environment.
   Process(std::vector<std::string> words, const std::string& log, std::vector<std::string> environment = {})
       : log_(log) {
     std::vector<char*> arguments;
@@ -38,24 +38,29 @@
   Process(const Process&) = delete;
   Process& operator=(const Process&) = delete;
 
-  bool lives() {
+  /// Returns whether the process has not ended yet.
+  bool isRunning() {
     if (!status_ && ::waitpid(pid_, &rawStatus_, WNOHANG) == pid_) recordEnd();
     return !status_;
   }
   void kill() {
-    if (!lives()) return;
+    if (!isRunning()) return;
     ::kill(pid_, SIGKILL);
     ::waitpid(pid_, &rawStatus_, 0);
     recordEnd();
   }
   void terminate() { sendSignal(SIGTERM); }
-  void stop() { sendSignal(SIGSTOP); }
-  void wake() { sendSignal(SIGCONT); }
+  /// Pauses the process.
+  void pause() { sendSignal(SIGSTOP); }
+  /// Resumes the paused process.
+  void resume() { sendSignal(SIGCONT); }
 
-  /// The status with which it ended, -1 for a signal; nothing where it still runs after `timeout`.
+  /// Waits until the process ends, at most `timeout`. Returns its exit status, -1 if a signal ended it, and
+  /// no value if it is still running.
   std::optional<int> waitFor(std::chrono::milliseconds timeout) {
     const auto deadline = std::chrono::steady_clock::now() + timeout;
-    while (lives() && std::chrono::steady_clock::now() < deadline) std::this_thread::sleep_for(pollInterval);
+    while (isRunning() && std::chrono::steady_clock::now() < deadline)
+      std::this_thread::sleep_for(pollInterval);
     return status_;
   }
   const std::string& log() const { return log_; }
@@ -64,26 +69,26 @@
  private:
   static constexpr std::chrono::milliseconds pollInterval{5};
 
-  /// Between fork and exec.
+  /// Runs in the child between fork and exec.
   static void prepareChild(const std::string& log) {
-    ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // also where the test is aborted
+    ::prctl(PR_SET_PDEATHSIG, SIGKILL);  // ends the child also if the test aborts
     ::dup2(::open("/dev/null", O_RDONLY), STDIN_FILENO);
     const int output = ::open(log.c_str(), O_WRONLY | O_CREAT | O_APPEND, 0600);
     ::dup2(output, STDOUT_FILENO);
     ::dup2(output, STDERR_FILENO);
-    ::close_range(STDERR_FILENO + 1, ~0U, 0);  // the test's descriptors are not the program's
+    ::close_range(STDERR_FILENO + 1, ~0U, 0);  // closes the inherited descriptors of the test
     sigset_t none;
     sigemptyset(&none);
     ::sigprocmask(SIG_SETMASK, &none, nullptr);
   }
   void sendSignal(int signal) {
-    if (lives()) ::kill(pid_, signal);
+    if (isRunning()) ::kill(pid_, signal);
   }
   void recordEnd() { status_ = WIFEXITED(rawStatus_) ? WEXITSTATUS(rawStatus_) : -1; }
 
   const std::string log_;
   pid_t pid_ = -1;
-  int rawStatus_ = 0;  ///< as waitpid gives it
+  int rawStatus_ = 0;  ///< set by waitpid
   std::optional<int> status_;
 };
 
--- a/tests/fleet/serve_test.cpp
+++ b/tests/fleet/serve_test.cpp
@@ -1,6 +1,7 @@
 /// @file
-/// Servers that are members, with fakes of what they speak with: what a member publishes of its work, and the
-/// quota of the downstream service, through network splits and kills, while clients send.
+/// Tests of servers that are members of a fleet, with fake engines, a fake downstream service and clients
+/// that send requests: which status a member publishes, and whether the quota of the downstream service holds
+/// during network splits, kills and pauses.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -22,7 +23,7 @@
 using testDoubles::OpenLoopClient;
 
 constexpr milliseconds clientTimeout = 2s;
-constexpr milliseconds answerGrace = 500ms;  // beyond the client's timeout, on a busy machine
+constexpr milliseconds responseGrace = 500ms;  // allowance for a busy machine, added to the client timeout
 
 nlohmann::json settings(int servers, double callQuota) {
   auto settings = nlohmann::json::parse(R"({
@@ -38,52 +39,54 @@
   return settings;
 }
 
-// A share of the downstream quota that a server took.
+/// A share of the downstream quota that a server took.
 struct QuotaShare {
-  std::int64_t at = 0;  // by the clock of histories
+  std::int64_t time = 0;  // steady clock in nanoseconds, as in the log
   double share = 0;
 };
 
-// What became of the requests of all clients.
+/// The outcomes of the requests of all clients.
 struct RequestTotals {
   std::size_t requests = 0;
   std::size_t completed = 0;
-  std::size_t unanswered = 0;  // or answered more than once, too late, or without having been asked
+  /// Requests without exactly one response in time, and responses that belong to no request.
+  std::size_t incorrectResponses = 0;
 };
 
-// Servers with a fake engine and a client each, and one fake downstream service for all.
+/// Servers that each have a fake engine and a client, and share one fake downstream service.
 class ServingFleet : public Fleet {
  public:
-  static constexpr std::size_t nobody = static_cast<std::size_t>(-1);
+  static constexpr std::size_t noServer = static_cast<std::size_t>(-1);
 
-  // `statedServers` and `callQuota` are what the settings say: how many servers share how many calls each.
+  /// The settings of each server state that `statedServers` servers run, with `callQuota` downstream calls
+  /// each.
   ServingFleet(std::size_t count, std::uint64_t seed, int statedServers, double callQuota)
       : Fleet(count, 3, seed) {
     for (std::size_t i = 0; i < count; ++i) {
       engines.push_back(
           std::make_unique<FakeEngine>(FakeEngine::Behavior{.workDuration = 40ms, .callsDownstream = true}));
-      serves(i, {{"agent", engines[i]->address()},
-                 {"roster", ""},
-                 {"backend", downstream.address()},
-                 {"stop_ms", 1500},
-                 {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 256}}},
-                 {"settings", settings(statedServers, callQuota)}});
+      configureServer(i, {{"agent", engines[i]->address()},
+                          {"roster", ""},
+                          {"backend", downstream.address()},
+                          {"stop_ms", 1500},
+                          {"limits", {{"cores", 1.0}, {"memory_mb", 192}, {"sockets", 256}}},
+                          {"settings", settings(statedServers, callQuota)}});
     }
     startAll();
-    EXPECT_TRUE(until([&] { return agreed(); }));
+    EXPECT_TRUE(waitUntil([&] { return viewsAgree(); }));
   }
   ~ServingFleet() {
-    for (const auto& breach : breaches()) ADD_FAILURE() << breach;
+    for (const auto& violation : violations()) ADD_FAILURE() << violation;
     if (!testing::Test::HasFailure()) return;
-    keep();
+    keepFolder();
     std::cerr << "logs: " << folder() << std::endl;
   }
 
-  // Waits until each server takes its part of a sum of shares.
+  /// Waits until the shares of all servers are equal and their sum is `sum`.
   bool waitForEqualShares(double sum) {
     constexpr double tolerance = 0.01;
     const double part = sum / static_cast<double>(size());
-    return until([&] {
+    return waitUntil([&] {
       for (std::size_t i = 0; i < size(); ++i)
         if (std::abs(lastShare(i) - part) > tolerance) return false;
       return true;
@@ -92,7 +95,7 @@
   void startClients(milliseconds interval) {
     for (std::size_t i = 0; i < size(); ++i)
       clients.push_back(
-          std::make_unique<OpenLoopClient>(OpenLoopClient::Options{.address = front(i),
+          std::make_unique<OpenLoopClient>(OpenLoopClient::Options{.address = serverAddress(i),
                                                                    .handler = "score",
                                                                    .interval = interval,
                                                                    .timeout = clientTimeout,
@@ -101,22 +104,22 @@
   void stopClients() {
     for (auto& client : clients) client->stopAndWait();
   }
-  // Rule 1, for every request that was sent: one answer by its deadline, unless its connection was lost with
-  // its server; a process that was paused answers once it goes on, still once.
+  /// Checks rule 1 for every request: exactly one response before its deadline, unless the connection was
+  /// lost because the server was killed. A server that was paused may respond late, but still exactly once.
   RequestTotals requestTotals(std::size_t pausedServer) const {
     RequestTotals totals;
     for (std::size_t i = 0; i < clients.size(); ++i) {
       for (const auto& [name, request] : clients[i]->history()) {
-        const bool isLate = request.latency > clientTimeout + answerGrace && i != pausedServer;
-        if (!request.isConnectionLost && (request.responseCount != 1 || isLate)) ++totals.unanswered;
+        const bool isLate = request.latency > clientTimeout + responseGrace && i != pausedServer;
+        if (!request.isConnectionLost && (request.responseCount != 1 || isLate)) ++totals.incorrectResponses;
         if (request.isCompleted) ++totals.completed;
         ++totals.requests;
       }
-      totals.unanswered += static_cast<std::size_t>(clients[i]->unexpectedResponses());
+      totals.incorrectResponses += static_cast<std::size_t>(clients[i]->unexpectedResponses());
     }
     return totals;
   }
-  // Rule 2: no request was executed twice.
+  /// Checks rule 2: returns how many requests an engine executed more than once.
   std::size_t executedTwice() const {
     std::size_t count = 0;
     for (const auto& engine : engines)
@@ -130,13 +133,13 @@
   }
   std::vector<QuotaShare> shares(std::size_t server) {
     std::vector<QuotaShare> taken;
-    for (const auto& seen : history(server).all)
-      if (seen.event == "dependency-quota") taken.push_back({seen.at, seen.share});
+    for (const auto& entry : log(server).entries)
+      if (entry.event == "dependency-quota") taken.push_back({entry.time, entry.share});
     return taken;
   }
-  // Cuts the links between servers of even and of odd number.
+  /// Cuts the links between servers with even and servers with odd numbers.
   void splitInHalves() {
-    cut([](std::size_t from, std::size_t to) { return from % 2 != to % 2; });
+    cutLinks([](std::size_t from, std::size_t to) { return from % 2 != to % 2; });
   }
 
   FakeDownstream downstream{50ms};
@@ -144,16 +147,16 @@
   std::vector<std::unique_ptr<OpenLoopClient>> clients;
 };
 
-// A field of a member's record as another one sees it.
+/// Returns a field of the record of `member` as `viewer` prints it.
 std::string memberField(Fleet& fleet, std::size_t viewer, std::size_t member, const char* field) {
-  const auto [status, output] = fleet.command({"members", "--json", "--options", fleet.options(viewer)});
-  if (status != 0) return "no answer: " + output;
+  const auto [status, output] = fleet.runCommand({"members", "--json", "--options", fleet.options(viewer)});
+  if (status != 0) return "command failed: " + output;
   for (const auto& row : nlohmann::json::parse(output))
     if (row.at("name") == Fleet::name(member)) return row.at(field).get<std::string>();
   return "absent";
 }
 
-// The largest average over a second of values that are averages over a tenth each.
+/// Returns the largest average over one second, from averages over a tenth of a second each.
 double maxOverOneSecond(const std::vector<double>& tenths) {
   constexpr std::ptrdiff_t tenthsPerSecond = 10;
   double max = 0;
@@ -163,76 +166,77 @@
   return max;
 }
 
+// Guards against a server that publishes itself as able to serve while its engine does not respond.
 TEST(FleetServe, MemberIsAliveAndUnfitWhileItsEngineHangs) {
   ServingFleet fleet(3, 1, 3, 2);
-  EXPECT_TRUE(fleet.until([&] { return memberField(fleet, 0, 1, "phase") == "serving"; }));
+  EXPECT_TRUE(fleet.waitUntil([&] { return memberField(fleet, 0, 1, "phase") == "serving"; }));
   fleet.engines[1]->setHanging(true);
-  EXPECT_TRUE(fleet.until([&] { return memberField(fleet, 0, 1, "phase") == "unfit"; }));
+  EXPECT_TRUE(fleet.waitUntil([&] { return memberField(fleet, 0, 1, "phase") == "unfit"; }));
   EXPECT_EQ(memberField(fleet, 0, 1, "state"), "alive");
   fleet.engines[1]->setHanging(false);
-  EXPECT_TRUE(fleet.until([&] { return memberField(fleet, 0, 1, "phase") == "serving"; }));
+  EXPECT_TRUE(fleet.waitUntil([&] { return memberField(fleet, 0, 1, "phase") == "serving"; }));
   fleet.process(2).terminate();
-  EXPECT_TRUE(fleet.until([&] { return memberField(fleet, 0, 2, "state") == "left"; }));
+  EXPECT_TRUE(fleet.waitUntil([&] { return memberField(fleet, 0, 2, "state") == "left"; }));
   EXPECT_EQ(fleet.process(2).waitFor(10s), 0);
   fleet.start(2);
-  EXPECT_TRUE(fleet.until([&] { return fleet.agreed(); }));
+  EXPECT_TRUE(fleet.waitUntil([&] { return fleet.viewsAgree(); }));
 }
 
-// Six servers where the settings state four, two calls each: eight in all. Halves, a kill and a pause
-// meanwhile.
-TEST(FleetServe, OpenCallsStayWithinTheQuotaThroughASplit) {
+// Guards against more open downstream calls than the quota during a split in halves, a kill and a pause. The
+// settings state four servers with two calls each, so the quota is eight; six servers share it.
+TEST(FleetServe, OpenCallsStayWithinTheQuotaDuringASplit) {
   constexpr double quota = 8;
   constexpr std::size_t killed = 4;
   constexpr std::size_t paused = 3;
   ServingFleet fleet(6, 2, 4, 2);
-  fleet.boundShares(4);
+  fleet.setMaxShareSum(4);
   EXPECT_TRUE(fleet.waitForEqualShares(4));
   fleet.startClients(20ms);
-  fleet.pass(3s);
+  fleet.sleepFor(3s);
   fleet.splitInHalves();
-  fleet.pass(5s);
+  fleet.sleepFor(5s);
   fleet.kill(killed);
-  fleet.stop(paused);
-  fleet.pass(4s);
-  fleet.wake(paused);
+  fleet.pause(paused);
+  fleet.sleepFor(4s);
+  fleet.resume(paused);
   fleet.heal();
   fleet.start(killed);
-  EXPECT_TRUE(fleet.until([&] { return fleet.agreed(); }));
-  fleet.pass(2s);
+  EXPECT_TRUE(fleet.waitUntil([&] { return fleet.viewsAgree(); }));
+  fleet.sleepFor(2s);
   fleet.stopClients();
   const double maxOpenCalls = maxOverOneSecond(fleet.downstream.averageOpenCalls());
   const RequestTotals totals = fleet.requestTotals(paused);
   EXPECT_LE(maxOpenCalls, quota);
   EXPECT_GT(fleet.downstream.callCount(), 200u);
-  EXPECT_EQ(totals.unanswered, 0u);
+  EXPECT_EQ(totals.incorrectResponses, 0u);
   EXPECT_EQ(fleet.executedTwice(), 0u);
   EXPECT_GT(totals.completed, 100u);
-  std::cout << "most open calls over a second " << maxOpenCalls << " of " << quota << ", completed "
-            << totals.completed << " of " << totals.requests << '\n';
+  std::cout << "largest average of open calls over one second: " << maxOpenCalls << ", quota " << quota
+            << "; completed requests: " << totals.completed << " of " << totals.requests << '\n';
 }
 
-// A shutdown notice that only one half learns of: all that was read is answered, and once the halves meet the
-// server has left for all.
-TEST(FleetServe, DrainInASplitLosesNothingAndIsKnownToAllAfterIt) {
+// Guards against lost requests and a stale view when a server shuts down during a split: it answers all
+// requests that it has read, and after the split all members see that it left.
+TEST(FleetServe, ShutdownDuringASplitLosesNoRequestAndIsSeenByAllAfterwards) {
   constexpr std::size_t leaving = 3;
   ServingFleet fleet(6, 3, 4, 2);
-  fleet.boundShares(4);
+  fleet.setMaxShareSum(4);
   EXPECT_TRUE(fleet.waitForEqualShares(4));
   fleet.startClients(20ms);
   fleet.splitInHalves();
-  fleet.pass(fleet.every() * 10);
+  fleet.sleepFor(fleet.probeInterval() * 10);
   EXPECT_EQ(fleet.terminate(leaving), 0);
   const auto hasLeftFor = [&](std::initializer_list<std::size_t> viewers) {
     return std::all_of(viewers.begin(), viewers.end(),
                        [&](std::size_t viewer) { return fleet.state(viewer, leaving) == "left"; });
   };
-  EXPECT_TRUE(fleet.until([&] { return hasLeftFor({1, 5}); }));
-  fleet.pass(fleet.every() * 30);
+  EXPECT_TRUE(fleet.waitUntil([&] { return hasLeftFor({1, 5}); }));
+  fleet.sleepFor(fleet.probeInterval() * 30);
   fleet.heal();
-  EXPECT_TRUE(fleet.until([&] { return fleet.agreed() && hasLeftFor({0, 1, 2, 4, 5}); }));
+  EXPECT_TRUE(fleet.waitUntil([&] { return fleet.viewsAgree() && hasLeftFor({0, 1, 2, 4, 5}); }));
   fleet.stopClients();
-  const RequestTotals totals = fleet.requestTotals(ServingFleet::nobody);
-  EXPECT_EQ(totals.unanswered, 0u);
+  const RequestTotals totals = fleet.requestTotals(ServingFleet::noServer);
+  EXPECT_EQ(totals.incorrectResponses, 0u);
   EXPECT_EQ(fleet.executedTwice(), 0u);
   EXPECT_GT(totals.completed, 100u);
 }
--- a/tests/recording.h
+++ b/tests/recording.h
@@ -1,14 +1,16 @@
 /// @file
 /// Support for recording tests: they run a module on seeded inputs, hash everything it decides and compare
-/// the hashes with a file under tests/data. A recording does not judge the decisions: it shows that a change
-/// that is meant to keep the behaviour (a rename, a split) did keep it.
+/// the hashes with a file under tests/data. A recording does not check that the decisions are right. It
+/// checks that a change that must not alter the behaviour, such as a rename, does not alter it.
 ///
-/// After a change that is meant to decide differently, record again and review the change by the other tests:
+/// After a change that is meant to alter the decisions, record again and review the change with the other
+/// tests:
 ///   RAINHOOK_RECORD=1 rainhook_tests --gtest_filter='*Recording.*'
-/// Such a run fails by design, so that no check passes by recording.
+/// Such a run always fails, so that recording again cannot make a test pass.
 ///
-/// All random draws are integers of this file's own generator, so inputs are the same on every machine. The
-/// modules compute with doubles: a recording holds for x86-64 at any optimization that keeps to IEEE 754.
+/// All random values are integers from the generator in this file, so inputs are the same on every machine.
+/// The modules compute with doubles, so a recording is valid for x86-64 at any optimization level that
+/// conforms to IEEE 754.
 #pragma once
 
 #include <gtest/gtest.h>
@@ -26,7 +28,8 @@
 
 namespace rainhook::recording {
 
-/// SplitMix64 (Steele, Lea, Flood, OOPSLA 2014) with integer draws that need no library.
+/// SplitMix64 (Steele, Lea, Flood, OOPSLA 2014) with integer distributions that are independent of the
+/// standard library.
 class SplitMix64 {
  public:
   explicit SplitMix64(std::uint64_t seed) : state_(seed) {}
@@ -39,18 +42,19 @@
     return mixed ^ (mixed >> 31);
   }
 
-  /// A whole number from `least` to `most`, both included.
+  /// Returns an integer from `least` to `most`, both included.
   std::int64_t between(std::int64_t least, std::int64_t most) {
     const auto width = static_cast<std::uint64_t>(most - least + 1);
     return least + static_cast<std::int64_t>(next() % width);
   }
 
-  /// An index below `size`.
+  /// Returns an index below `size`.
   std::size_t index(std::size_t size) { return static_cast<std::size_t>(next() % size); }
 
+  /// Returns true with a probability of `probability` percent.
   bool percent(int probability) { return between(0, 99) < probability; }
 
-  /// A number of thousandths; one division of two whole numbers is rounded the same everywhere.
+  /// Returns a multiple of 0.001. A single division of two integers is rounded the same on every machine.
   double thousandths(std::int64_t least, std::int64_t most) {
     return static_cast<double>(between(least, most)) / 1000;
   }
@@ -64,7 +68,7 @@
   std::uint64_t state_;
 };
 
-/// FNV-1a over 64-bit words, lowest byte first. Doubles count by their bit patterns.
+/// FNV-1a over 64-bit words, lowest byte first. Doubles are hashed by their bit patterns.
 class Fnv1aHash {
  public:
   void add(std::uint64_t word) {
@@ -85,7 +89,7 @@
   std::uint64_t value_ = 0xcbf29ce484222325;
 };
 
-/// One run of the module: a line of the recording.
+/// One run of the module, which is one line of the recording.
 struct RecordedRun {
   std::string name;                   ///< one word that is unique in the file
   std::vector<std::uint64_t> hashes;  ///< the running hash after each group of steps
@@ -115,7 +119,7 @@
   for (const RecordedRun& run : runs) out << formatRun(run) << '\n';
 }
 
-/// Names the first group of steps in which two lines differ.
+/// Describes the first word in which two lines differ, which identifies the group of steps.
 inline std::string describeDifference(const std::string& recorded, const std::string& actual) {
   std::istringstream recordedWords(recorded);
   std::istringstream actualWords(actual);
@@ -132,7 +136,7 @@
   const std::string path = std::string(RAINHOOK_SOURCES "/tests/data/") + fileName;
   if (isRecordingRequested()) {
     writeRecording(path, runs);
-    FAIL() << "recorded again, not compared: " << path;
+    FAIL() << "recorded again and not compared: " << path;
   }
   const std::vector<std::string> recorded = readLines(path);
   ASSERT_EQ(recorded.size(), runs.size()) << path;
@@ -143,7 +147,7 @@
     ++differences;
     if (differences <= 10) ADD_FAILURE() << describeDifference(recorded[i], actual);
   }
-  EXPECT_EQ(differences, 0) << "runs differ, of " << runs.size();
+  EXPECT_EQ(differences, 0) << "differing runs out of " << runs.size();
 }
 
 }  // namespace rainhook::recording
