--- a/tests/fleet/invariants.cpp
+++ b/tests/fleet/invariants.cpp
@@ -98,12 +98,12 @@
       isStateLost = isStateLost || start.event == "state-unavailable";
       if (start.event != "state-restored" || start.subject != nameOf(i) || isStateLost) continue;
       const auto from = std::stoull(start.reason.substr(start.reason.find(' ') + 1));
-      for (std::size_t by = 0; by < run.logs.size(); ++by)
-        for (const auto& entry : run.logs[by])
-          if (by != i && entry.time < start.time && entry.event == "state-changed" &&
+      for (std::size_t observer = 0; observer < run.logs.size(); ++observer)
+        for (const auto& entry : run.logs[observer])
+          if (observer != i && entry.time < start.time && entry.event == "state-changed" &&
               entry.subject == nameOf(i) && entry.incarnation >= from) {
             out.push_back(nameOf(i) + " starts at incarnation " + std::to_string(from) + ", but " +
-                          nameOf(by) + " already saw " + std::to_string(entry.incarnation));
+                          nameOf(observer) + " already saw " + std::to_string(entry.incarnation));
             break;
           }
     }
@@ -115,39 +115,41 @@
   const Timeline timeline(run);
   const std::int64_t bound = (run.probeInterval * minFaultFreeIntervals + loadAllowance).count();
   const std::size_t count = run.logs.size();
-  for (std::size_t by = 0; by < count; ++by)
-    for (std::size_t of = 0; of < count; ++of) {
-      if (by == of) continue;
-      const auto times = timeline.changeTimes(by, of);
+  for (std::size_t viewer = 0; viewer < count; ++viewer)
+    for (std::size_t subject = 0; subject < count; ++subject) {
+      if (viewer == subject) continue;
+      const auto times = timeline.changeTimes(viewer, subject);
       for (std::size_t i = 1; i < times.size(); ++i) {
         const auto from = times[i - 1], to = times[i];
-        if (to - from < bound || !timeline.wasFaultFree(from, to) || !timeline.ran(by, from, to) ||
-            !timeline.ran(of, from, to))
+        if (to - from < bound || !timeline.wasFaultFree(from, to) || !timeline.ran(viewer, from, to) ||
+            !timeline.ran(subject, from, to))
           continue;
-        if (const auto state = stateAt(run.logs[by], nameOf(of), to); state != "alive" && state != "suspect")
-          out.push_back(nameOf(by) + ": " + nameOf(of) + " is " + (state.empty() ? "unknown" : state) +
+        if (const auto state = stateAt(run.logs[viewer], nameOf(subject), to);
+            state != "alive" && state != "suspect")
+          out.push_back(nameOf(viewer) + ": " + nameOf(subject) + " is " +
+                        (state.empty() ? "unknown" : state) +
                         " although both ran during a fault-free period of " +
                         std::to_string((to - from) / 1'000'000) + " ms");
       }
     }
   for (const auto& kill : run.actions) {
     if (kill.action != "kill") continue;
-    const auto by = kill.time + bound;
-    if (by > run.end || !timeline.wasFaultFree(kill.time, by)) continue;
+    const auto checkTime = kill.time + bound;
+    if (checkTime > run.end || !timeline.wasFaultFree(kill.time, checkTime)) continue;
     if (std::any_of(run.actions.begin(), run.actions.end(), [&](const TestAction& action) {
           return action.action == "start" && action.member == kill.member && action.time > kill.time &&
-                 action.time <= by;
+                 action.time <= checkTime;
         }))
       continue;
     std::vector<std::size_t> running;
     std::set<std::size_t> zones;
     for (std::size_t i = 0; i < count; ++i)
-      if (timeline.ran(i, kill.time, by)) running.push_back(i), zones.insert(i % run.zones);
+      if (timeline.ran(i, kill.time, checkTime)) running.push_back(i), zones.insert(i % run.zones);
     // Members declare no deaths while at least half of the fleet is missing, or while all running members are
     // in one of several zones.
     if (running.size() * 2 <= count || (run.zones > 1 && zones.size() < 2)) continue;
     for (const auto viewer : running)
-      if (const auto state = stateAt(run.logs[viewer], nameOf(kill.member), by);
+      if (const auto state = stateAt(run.logs[viewer], nameOf(kill.member), checkTime);
           state == "alive" || state == "suspect")
         out.push_back(nameOf(viewer) + ": " + nameOf(kill.member) + " is " + state +
                       ", although it was killed " + std::to_string(bound / 1'000'000) + " ms earlier");
