--- a/bench/membership_measure.cpp
+++ b/bench/membership_measure.cpp
@@ -1,6 +1,6 @@
 /// @file
 /// Measures membership and two baselines in one run: heartbeats from each member to each other member with a
-/// fixed timeout, and plain SWIM (the same program with the extensions of SWIM disabled). The measurements
+/// fixed timeout, and plain SWIM (the same program with its extensions to SWIM disabled). The measurements
 /// use simulated time and fixed seeds, except the processor use, which is measured on sixteen processes.
 /// Prints a table and, as the last line, `measure membership: name=value ...`.
 #include <fmt/format.h>
@@ -55,7 +55,8 @@
   return fleet;
 }
 
-/// Seconds from the death of a member to its first and to its last detection, one pair for each seed.
+/// Seconds from the kill of a member to its first and to its last detection, one pair for each seed with
+/// which all other members detect it.
 struct DetectionTimes {
   std::vector<double> first;
   std::vector<double> last;
@@ -276,7 +277,7 @@
 /// Prints the table and collects the summary line.
 class Report {
  public:
-  Report() { fmt::print("{:<44} {:>10} {:>12} {:>12}\n", "", "ours", "plain SWIM", "beats"); }
+  Report() { fmt::print("{:<44} {:>10} {:>12} {:>12}\n", "", "rainhook", "plain SWIM", "heartbeats"); }
 
   void add(const std::string& name, double value, double swim, double heartbeats) {
     fmt::print("{:<44} {:>10.3f} {:>12.3f} {:>12.3f}\n", name, value, swim, heartbeats);
--- a/tests/fleet/chaos.cpp
+++ b/tests/fleet/chaos.cpp
@@ -1,8 +1,8 @@
 /// @file
 /// Runs scripts of random faults on fleets of 8 to 16 processes for a given time: rainhook_chaos MINUTES
 /// SEED. After each script all faults are removed, all views have to agree, and the invariants are checked.
-/// If a check fails, it prints the seed, the script and a shorter script that still fails, and exits with
-/// status 1.
+/// If a check fails, the program prints the seed, the script and a shorter script that still fails, and exits
+/// with status 1.
 #include <fmt/format.h>
 
 #include <cerrno>
@@ -21,7 +21,7 @@
 constexpr std::int64_t nanosecondsPerHour = 3600LL * 1'000'000'000LL;
 constexpr std::uint32_t minSteps = 3;
 constexpr std::uint32_t stepCountRange = 8;
-constexpr std::uint32_t maxDelayMs = 4000;
+constexpr std::uint32_t maxWaitMs = 4000;
 
 enum class FaultKind {
   kill,
@@ -29,8 +29,8 @@
   pause,
   resume,
   cutLink,
-  cutInto,
-  cutOutOf,
+  cutLinksTo,
+  cutLinksFrom,
   split,
   loss,
   delay,
@@ -42,20 +42,22 @@
 };
 
 const char* nameOf(FaultKind kind) {
-  constexpr const char* names[] = {"kill",  "start", "pause", "resume", "cut link", "cut into", "cut out of",
-                                   "split", "loss",  "delay", "heal",   "leave",    "clock",    "disk"};
+  constexpr const char* names[] = {"kill",         "start",          "pause", "resume", "cut link",
+                                   "cut links to", "cut links from", "split", "loss",   "delay",
+                                   "heal",         "leave",          "clock", "disk"};
   return names[static_cast<std::size_t>(kind)];
 }
 
-/// One fault and the delay after it. The meaning of the two members depends on the kind of fault.
+/// One fault and the wait after it. Depending on the kind of fault, `first` and `second` are numbers of fleet
+/// members, the size of one part of a split, a number of hours, or unused.
 struct Step {
   FaultKind kind{};
   std::size_t first = 0;
   std::size_t second = 0;
-  milliseconds delay{0};
+  milliseconds waitAfter{0};
 
   std::string text() const {
-    return fmt::format("{} {} {}, then {} ms", nameOf(kind), first, second, delay.count());
+    return fmt::format("{} {} {}, then {} ms", nameOf(kind), first, second, waitAfter.count());
   }
 };
 using Script = std::vector<Step>;
@@ -69,7 +71,7 @@
     step.kind = static_cast<FaultKind>(random(static_cast<std::uint32_t>(FaultKind::count)));
     step.first = random(members);
     step.second = random(members);
-    step.delay = milliseconds(random(maxDelayMs));
+    step.waitAfter = milliseconds(random(maxWaitMs));
     script.push_back(step);
   }
   return script;
@@ -93,7 +95,7 @@
     if (!converges()) return "the views do not agree within a minute of the start";
     for (const Step& step : script) {
       apply(step);
-      fleet_.sleepFor(step.delay);
+      fleet_.sleepFor(step.waitAfter);
     }
     healAll();
     if (!converges()) return "the views do not agree within a minute after the last fault";
@@ -133,8 +135,8 @@
         fleet_.control(step.second).diskFault = 0;
         break;
       case FaultKind::cutLink:
-      case FaultKind::cutInto:
-      case FaultKind::cutOutOf:
+      case FaultKind::cutLinksTo:
+      case FaultKind::cutLinksFrom:
       case FaultKind::split:
       case FaultKind::loss:
       case FaultKind::delay:
@@ -153,10 +155,10 @@
       case FaultKind::cutLink:
         fleet_.cutLinks([=](auto from, auto to) { return from == first && to == second; });
         break;
-      case FaultKind::cutInto:
+      case FaultKind::cutLinksTo:
         fleet_.cutLinks([=](auto, auto to) { return to == first; });
         break;
-      case FaultKind::cutOutOf:
+      case FaultKind::cutLinksFrom:
         fleet_.cutLinks([=](auto from, auto) { return from == first; });
         break;
       case FaultKind::split:
--- a/tests/fleet/clock_and_disk_control.cpp
+++ b/tests/fleet/clock_and_disk_control.cpp
@@ -19,7 +19,7 @@
 
 constexpr std::int64_t nanosecondsPerSecond = 1'000'000'000;
 
-/// Maps the control file. Returns null if the process is not controlled.
+/// Maps the control file. Returns null if the environment names none or it cannot be mapped.
 ClockAndDiskControl* mapControl() {
   const char* file = ::getenv(rainhook::fleet::controlFileVariable);
   const int descriptor = file ? ::open(file, O_RDWR | O_CLOEXEC) : -1;
--- a/tests/fleet/clock_and_disk_control.h
+++ b/tests/fleet/clock_and_disk_control.h
@@ -13,7 +13,7 @@
 struct ClockAndDiskControl {
   /// Added to the wall clock that the process reads.
   std::atomic<std::int64_t> wallOffsetNs{0};
-  /// The errno with which each write and sync of a file fails; 0: none fails.
+  /// The errno with which each write and sync of a file fails; 0 if none fails.
   std::atomic<std::int32_t> diskFault{0};
   /// Number of times the process read the wall clock with an offset.
   std::atomic<std::uint64_t> wallReads{0};
--- a/tests/fleet/crossing_test.cpp
+++ b/tests/fleet/crossing_test.cpp
@@ -275,8 +275,9 @@
 }
 
 // Guards against a SIGTERM that is lost or kills the program while it starts, before it has read its
-// configuration. The server then listens, reports to the registry that it accepts no work, and shuts down in
-// good order. The configuration file is a pipe, so that the program blocks there while the signal is sent.
+// configuration. The server then listens, reports to the registry that it accepts no work, and shuts down
+// with exit status 0. The configuration file is a pipe, so that the program blocks there while the signal is
+// sent.
 TEST(CrossingEvents, ShutdownSignalBeforeTheConfigurationIsReadIsHandled) {
   FakePeers peers;
   ServerProcess server(peers, 600, 256);
@@ -306,9 +307,9 @@
 }
 
 // Guards against a reload and a shutdown that interfere when both signals are pending at once and the reload
-// moves all peers. The last report to the new registry is that the server accepts no work, the new engine
-// continues the execution, a request after the grace period is shed, and all requests are answered before the
-// process exits.
+// changes the addresses of all peers. The last report to the new registry is that the server accepts no work,
+// the new engine continues the execution, a request after the grace period is shed, and all requests are
+// answered before the process exits.
 TEST(CrossingEvents, ReloadAndShutdownInTheSameIterationAreBothCompleted) {
   FakePeers peers;
   ServerProcess server(peers, 2500, 256);
@@ -335,7 +336,8 @@
     if (last == R"({"duty":"on"})") reports = 0;
     report.send("HTTP/1.1 204 No Content\r\n\r\n");
   }
-  EXPECT_EQ(last, R"({"duty":"off"})");  // more than half a second after SIGTERM and after the grace period
+  // The last of these reports follows SIGTERM by more than half a second and comes after the grace period.
+  EXPECT_EQ(last, R"({"duty":"off"})");
   client.sendRequest(2, FakeBalancer::requestFields(requestName(2)));
   const auto lateResponse = client.receiveResponse();
   EXPECT_EQ(lateResponse.sequenceNumber, 2);
@@ -413,8 +415,9 @@
     slowest = std::max(slowest, startupTime);
   }
   EXPECT_GE(healthyCount, 18);
-  std::cout << healthyCount << " of 20 servers healthy; the slowest " << slowest.count()
-            << " ms after the previous one\n";
+  std::cout << healthyCount
+            << " of 20 servers healthy within 10 s; longest wait for the next healthy server: "
+            << slowest.count() << " ms\n";
 }
 
 // Guards against too many concurrent executions on cold servers. Thirty servers start cold at once and
@@ -444,7 +447,7 @@
     for (int number = 1; number <= 30; ++number)
       clients.back().sendRequest(number, FakeBalancer::requestFields(requestName(number)));
   }
-  // The servers that started last are then also observed for the whole time.
+  // After this wait, the servers that started last have also been observed for the whole time.
   std::this_thread::sleep_for(observedFor);
   std::size_t startedSum = 0;
   double allowedSum = 0;
@@ -456,11 +459,11 @@
     }
     startedSum += startedByOne, allowedSum += allowed(observedFor);
   }
-  // The servers are loaded, so that the limit is effective.
+  // The servers start more executions than they have cores, so the load is high enough to check the limit.
   EXPECT_GT(startedSum, size * static_cast<std::size_t>(cores));
   EXPECT_LE(static_cast<double>(startedSum), allowedSum);
   for (const double openCalls : downstream.averageOpenCalls()) EXPECT_LE(openCalls, allowedSum);
-  std::cout << startedSum << " executions started at most by " << size << " servers, limit " << allowedSum
+  std::cout << startedSum << " concurrent executions at most on " << size << " servers, limit " << allowedSum
             << "\n";
 }
 
--- a/tests/fleet/fleet.cpp
+++ b/tests/fleet/fleet.cpp
@@ -15,7 +15,8 @@
 namespace {
 
 /// Returns an address whose port is free for UDP and TCP. The port is released before the process binds it.
-/// Each fleet uses different loopback addresses, so that no other fleet binds it in between.
+/// Fleets of different test processes use different loopback addresses, so that none binds the port of
+/// another one in the meantime.
 std::string findFreeAddress(const std::string& host) {
   for (int attempt = 0; attempt < 100; ++attempt) {
     sockaddr_in address{};
@@ -196,7 +197,8 @@
     if (entry.event == "statistics")
       for (const auto& [key, value] : line.items())
         if (value.is_number()) entry.figures[key] = value.get<double>();
-    // A process logs first at which address it is a member. That line marks the beginning of a new process.
+    // The first line that a process logs contains the address at which it is a member. The states before it
+    // are those of the previous process.
     if (entry.event == "message" && line.value("text", "").find(" is a member at ") != std::string::npos)
       log.states.clear();
     entry.startNumber = startCounts_[i];
--- a/tests/fleet/fleet.h
+++ b/tests/fleet/fleet.h
@@ -22,13 +22,15 @@
 /// What was read from the log of one member.
 struct MemberLog {
   std::vector<LogEntry> entries;
-  std::map<std::string, std::string> states;  ///< last logged state of each other member, by its name
+  /// Last state of each other member that the current process logged, by the name of the other member.
+  std::map<std::string, std::string> states;
 };
 
 /// Starts, controls and observes the members of one fleet. All of its files are in one temporary folder.
 class Fleet {
  public:
-  /// Prepares `count` witnesses in `zones` zones, which probe once per `probeInterval`. start() starts them.
+  /// Prepares `count` members in `zones` zones, which probe once per `probeInterval`. start() starts them. A
+  /// member is a witness, which serves no requests, unless configureServer() makes it a server.
   Fleet(std::size_t count, std::size_t zones, std::uint64_t seed,
         milliseconds probeInterval = milliseconds(200));
   /// Kills all processes and removes the folder unless keepFolder() was called.
@@ -66,7 +68,8 @@
   void setAllFaults(const Fault& fault);
   /// Clears the faults of all links.
   void heal();
-  /// Returns the control of the wall clock and the disk of a member, which takes effect from its next start.
+  /// Returns the control of the wall clock and the disk of a member. It has an effect on the processes that
+  /// the member starts after the first call.
   ClockAndDiskControl& control(std::size_t i);
   /// Sets the program that a member runs from its next start: RAINHOOK_OLDER and RAINHOOK_LATER are other
   /// releases.
@@ -79,13 +82,14 @@
   void configureServer(std::size_t i, nlohmann::json configuration);
   /// Returns the address at which a server accepts clients.
   const std::string& serverAddress(std::size_t i) const { return serverAddresses_[i]; }
-  /// Records that the test damages the state folder of a member, which exempts it from an invariant.
+  /// Records that the test damages the state folder of a member. The invariant about the first incarnation
+  /// after a start is then not checked for this member.
   void recordStateDamage(std::size_t i) { recordAction("damage", i); }
   /// Gives a member that is down another address. If `redirectLinks` is false, the links to the member still
   /// lead to the old address.
   void changeAddress(std::size_t i, bool redirectLinks = true);
 
-  /// Reads the log of a member up to now.
+  /// Reads the lines that were added to the log of a member and returns all that was read so far.
   const MemberLog& log(std::size_t i);
   /// Returns the last state of `subject` that `viewer` logged, "unknown" if there is none.
   std::string state(std::size_t viewer, std::size_t subject);
@@ -95,7 +99,8 @@
   /// Waits until `condition` returns true, at most `timeout`. Returns whether it did.
   bool waitUntil(const std::function<bool()>& condition, milliseconds timeout = milliseconds(60000));
   void sleepFor(milliseconds duration) const { std::this_thread::sleep_for(duration); }
-  /// Runs a command of the program. Returns its exit status, -2 after a timeout, and its output.
+  /// Runs a command of the program. Returns its exit status, or -2 if it was still running after 20 s, and
+  /// its output.
   std::pair<int, std::string> runCommand(const std::vector<std::string>& arguments) const;
 
   /// Returns how many times members declared `subject` dead since the time `from`.
@@ -127,7 +132,7 @@
   std::vector<std::unique_ptr<Process>> processes_;                // null for a member that is down
   std::vector<std::size_t> startCounts_;
   std::vector<MemberLog> logs_;
-  std::vector<std::streamoff> logOffsets_;  // up to which each log was read
+  std::vector<std::streamoff> logOffsets_;  // position up to which each log was read
   std::vector<TestAction> actions_;
   std::vector<std::string> programs_;
   std::vector<std::string> moreOptionLines_;
--- a/tests/fleet/fleet_test.cpp
+++ b/tests/fleet/fleet_test.cpp
@@ -44,7 +44,7 @@
     run.logs[viewer].push_back(entry);
     return run.logs[viewer].back();
   }
-  /// Each member sees each other member as alive from the first second.
+  /// Adds log entries in which each member sees each other member as alive from the first second.
   RunBuilder& makeAllAlive() {
     for (std::size_t viewer = 0; viewer < run.logs.size(); ++viewer)
       for (std::size_t subject = 0; subject < run.logs.size(); ++subject)
@@ -139,8 +139,8 @@
 }
 
 // Guards against a flood of zone events: when all members of a zone are killed, each remaining member logs
-// the zone as unreachable at most once.
-TEST(Fleet, LogsOneZoneEventPerMemberWhenAWholeZoneIsKilled) {
+// the zone as unreachable at most once, and at least one of them logs it.
+TEST(Fleet, LogsAtMostOneZoneEventPerMemberWhenAWholeZoneIsKilled) {
   ConvergedFleet fleet(6, 3, 2);
   fleet.kill(1), fleet.kill(4);
   fleet.expectConvergence();
@@ -281,9 +281,9 @@
 class FleetLinkCuts : public testing::TestWithParam<LinkCuts> {};
 void PrintTo(const LinkCuts& cuts, std::ostream* out) { *out << cuts.name; }
 
-// Guards against false deaths by failed links: a member from which any other member receives answers must not
-// be declared dead. After the links are restored all views agree.
-TEST_P(FleetLinkCuts, DeclareNoDeathOfMemberThatAnyMemberHears) {
+// Guards against false deaths by failed links: a member from which any other member receives messages must
+// not be declared dead. After the links are restored all views agree.
+TEST_P(FleetLinkCuts, CauseNoDeathOfMemberWhoseMessagesReachAnyMember) {
   ConvergedFleet fleet(5, 3, 8);
   fleet.cutLinks(GetParam().isCut);
   fleet.waitIntervals(30);
@@ -300,9 +300,9 @@
                     LinkCuts{[](auto, auto to) { return to == 3; }, "AllLinksToOneMember"}),
     [](const auto& info) { return info.param.name; });
 
-// Guards against a member that cannot be reached but stays alive in the views, or that stays dead after its
-// links work again.
-TEST(Fleet, DeclaresUnheardMemberDeadUntilItsLinksWorkAgain) {
+// Guards against a member that stays alive in the views although none of its messages arrives, or that stays
+// dead after its links are restored.
+TEST(Fleet, DeclaresMemberDeadWhileAllLinksFromItAreCut) {
   ConvergedFleet fleet(5, 3, 9);
   fleet.cutLinks([](auto from, auto) { return from == 3; });
   EXPECT_TRUE(fleet.waitUntil([&] {
@@ -328,7 +328,8 @@
 
 // Guards against false deaths while all datagrams from one member arrive two seconds late.
 TEST(Fleet, DeclaresNoDeathsWhileOneDirectionIsDelayedByTwoSeconds) {
-  // With the usual interval of 200 ms the delay would be ten intervals, long enough to be declared dead.
+  // With the usual interval of 200 ms the delay would be ten intervals, long enough for the member to be
+  // declared dead.
   ConvergedFleet fleet(5, 3, 11, 1s);
   Fault fault;
   fault.delay = 2s;
@@ -366,8 +367,8 @@
 INSTANTIATE_TEST_SUITE_P(All, FleetSplits, testing::Values(2, 3),
                          [](const auto& info) { return info.param == 2 ? "Halves" : "Thirds"; });
 
-// Guards against declaring a member dead that left in good order, also when only half of the fleet received
-// its message during a split.
+// Guards against declaring a member dead after it has left: member 4 leaves before a split, and all members
+// see it. Member 3 leaves during the split, so that only half of the fleet receives its message.
 TEST(Fleet, MemberThatLeavesIsNotDeclaredDeadAfterASplit) {
   ConvergedFleet fleet(6, 3, 13);
   fleet.terminate(4);
@@ -384,7 +385,7 @@
   EXPECT_EQ(fleet.deathsDeclaredOf(4, fleet.convergedAt), 0u);
 }
 
-// Guards against a view that changes through datagrams that fail authentication: a flood of corrupted,
+// Guards against views that change because of datagrams that fail authentication: a flood of corrupted,
 // duplicated and meaningless datagrams, and a command that uses another key.
 TEST(Fleet, ViewsDoNotChangeDuringAFloodOfInvalidDatagrams) {
   ConvergedFleet fleet(4, 2, 14);
--- a/tests/fleet/invariants.cpp
+++ b/tests/fleet/invariants.cpp
@@ -45,8 +45,8 @@
   /// began or ended, in ascending order.
   std::vector<std::int64_t> changeTimes(std::size_t a, std::size_t b) const {
     std::set<std::int64_t> out{end_};
-    for (const auto* of : {&runPeriods_[a], &runPeriods_[b], &faultFreePeriods_})
-      for (const auto& period : *of) out.insert(period.from), out.insert(period.to);
+    for (const auto* periods : {&runPeriods_[a], &runPeriods_[b], &faultFreePeriods_})
+      for (const auto& period : *periods) out.insert(period.from), out.insert(period.to);
     return {out.begin(), out.end()};
   }
 
@@ -60,8 +60,8 @@
   const std::int64_t end_;
 };
 
-/// Returns the state of `subject` in the view of a member at `time`: the last state that the process running
-/// then had logged. Empty if that process had logged none.
+/// Returns the state of `subject` in the view of a member at `time`: the last state that the process which
+/// ran at that time had logged. Empty if it had logged none.
 std::string stateAt(const std::vector<LogEntry>& log, const std::string& subject, std::int64_t time) {
   std::string state;
   std::size_t startNumber = 0;
@@ -97,64 +97,66 @@
     for (const auto& start : run.logs[i]) {
       isStateLost = isStateLost || start.event == "state-unavailable";
       if (start.event != "state-restored" || start.subject != nameOf(i) || isStateLost) continue;
-      const auto from = std::stoull(start.reason.substr(start.reason.find(' ') + 1));
-      for (std::size_t by = 0; by < run.logs.size(); ++by)
-        for (const auto& entry : run.logs[by])
-          if (by != i && entry.time < start.time && entry.event == "state-changed" &&
-              entry.subject == nameOf(i) && entry.incarnation >= from) {
-            out.push_back(nameOf(i) + " starts at incarnation " + std::to_string(from) + ", but " +
-                          nameOf(by) + " already saw " + std::to_string(entry.incarnation));
+      const auto firstIncarnation = std::stoull(start.reason.substr(start.reason.find(' ') + 1));
+      for (std::size_t viewer = 0; viewer < run.logs.size(); ++viewer)
+        for (const auto& entry : run.logs[viewer])
+          if (viewer != i && entry.time < start.time && entry.event == "state-changed" &&
+              entry.subject == nameOf(i) && entry.incarnation >= firstIncarnation) {
+            out.push_back(nameOf(i) + " starts at incarnation " + std::to_string(firstIncarnation) +
+                          ", but " + nameOf(viewer) + " already saw " + std::to_string(entry.incarnation));
             break;
           }
     }
   }
 }
 
-/// Checks that views agree with which members run, after a long enough fault-free period.
+/// Checks after each long enough fault-free period that the views match which members ran.
 void checkViews(const FleetRun& run, std::vector<std::string>& out) {
   const Timeline timeline(run);
-  const std::int64_t bound = (run.probeInterval * minFaultFreeIntervals + loadAllowance).count();
+  const std::int64_t minPeriod = (run.probeInterval * minFaultFreeIntervals + loadAllowance).count();
   const std::size_t count = run.logs.size();
-  for (std::size_t by = 0; by < count; ++by)
-    for (std::size_t of = 0; of < count; ++of) {
-      if (by == of) continue;
-      const auto times = timeline.changeTimes(by, of);
+  for (std::size_t viewer = 0; viewer < count; ++viewer)
+    for (std::size_t subject = 0; subject < count; ++subject) {
+      if (viewer == subject) continue;
+      const auto times = timeline.changeTimes(viewer, subject);
       for (std::size_t i = 1; i < times.size(); ++i) {
         const auto from = times[i - 1], to = times[i];
-        if (to - from < bound || !timeline.wasFaultFree(from, to) || !timeline.ran(by, from, to) ||
-            !timeline.ran(of, from, to))
+        if (to - from < minPeriod || !timeline.wasFaultFree(from, to) || !timeline.ran(viewer, from, to) ||
+            !timeline.ran(subject, from, to))
           continue;
-        if (const auto state = stateAt(run.logs[by], nameOf(of), to); state != "alive" && state != "suspect")
-          out.push_back(nameOf(by) + ": " + nameOf(of) + " is " + (state.empty() ? "unknown" : state) +
+        if (const auto state = stateAt(run.logs[viewer], nameOf(subject), to);
+            state != "alive" && state != "suspect")
+          out.push_back(nameOf(viewer) + ": " + nameOf(subject) + " is " +
+                        (state.empty() ? "unknown" : state) +
                         " although both ran during a fault-free period of " +
                         std::to_string((to - from) / 1'000'000) + " ms");
       }
     }
   for (const auto& kill : run.actions) {
     if (kill.action != "kill") continue;
-    const auto by = kill.time + bound;
-    if (by > run.end || !timeline.wasFaultFree(kill.time, by)) continue;
+    const auto checkedAt = kill.time + minPeriod;
+    if (checkedAt > run.end || !timeline.wasFaultFree(kill.time, checkedAt)) continue;
     if (std::any_of(run.actions.begin(), run.actions.end(), [&](const TestAction& action) {
           return action.action == "start" && action.member == kill.member && action.time > kill.time &&
-                 action.time <= by;
+                 action.time <= checkedAt;
         }))
       continue;
     std::vector<std::size_t> running;
     std::set<std::size_t> zones;
     for (std::size_t i = 0; i < count; ++i)
-      if (timeline.ran(i, kill.time, by)) running.push_back(i), zones.insert(i % run.zones);
+      if (timeline.ran(i, kill.time, checkedAt)) running.push_back(i), zones.insert(i % run.zones);
     // Members declare no deaths while at least half of the fleet is missing, or while all running members are
     // in one of several zones.
     if (running.size() * 2 <= count || (run.zones > 1 && zones.size() < 2)) continue;
     for (const auto viewer : running)
-      if (const auto state = stateAt(run.logs[viewer], nameOf(kill.member), by);
+      if (const auto state = stateAt(run.logs[viewer], nameOf(kill.member), checkedAt);
           state == "alive" || state == "suspect")
         out.push_back(nameOf(viewer) + ": " + nameOf(kill.member) + " is " + state +
-                      ", although it was killed " + std::to_string(bound / 1'000'000) + " ms earlier");
+                      ", although it was killed " + std::to_string(minPeriod / 1'000'000) + " ms earlier");
   }
 }
 
-/// Checks the figures of `statistics` against their limits.
+/// Checks the figures in `statistics` events against their limits.
 void checkFigures(const FleetRun& run, std::vector<std::string>& out) {
   const double count = static_cast<double>(run.logs.size());
   for (std::size_t i = 0; i < run.logs.size(); ++i)
@@ -178,24 +180,25 @@
     }
 }
 
-/// Checks the sum of the shares of all running processes at every time. A share ends with its process.
+/// Checks the sum of the quota shares of all running processes at every time. The share of a process is 0
+/// after its end.
 void checkShares(const FleetRun& run, std::vector<std::string>& out) {
   if (run.maxShareSum <= 0) return;
-  std::multimap<std::int64_t, std::pair<std::size_t, double>> all;
+  std::multimap<std::int64_t, std::pair<std::size_t, double>> changes;
   for (std::size_t i = 0; i < run.logs.size(); ++i)
     for (const auto& entry : run.logs[i])
-      if (entry.event == "dependency-quota") all.emplace(entry.time, std::pair(i, entry.share));
+      if (entry.event == "dependency-quota") changes.emplace(entry.time, std::pair(i, entry.share));
   for (const auto& action : run.actions)
     if (action.action == "kill" || action.action == "leave")
-      all.emplace(action.time, std::pair(action.member, 0.0));
-  std::vector<double> now(run.logs.size(), 0);
-  for (const auto& [at, change] : all) {
-    now[change.first] = change.second;
+      changes.emplace(action.time, std::pair(action.member, 0.0));
+  std::vector<double> shares(run.logs.size(), 0);
+  for (const auto& [time, change] : changes) {
+    shares[change.first] = change.second;
     double sum = 0;
-    for (const double share : now) sum += share;
+    for (const double share : shares) sum += share;
     if (sum > run.maxShareSum + 1e-6)
       out.push_back("the sum of the quota shares is " + std::to_string(sum) + ", limit " +
-                    std::to_string(run.maxShareSum) + ", at time " + std::to_string(at));
+                    std::to_string(run.maxShareSum) + ", at time " + std::to_string(time));
   }
 }
 
--- a/tests/fleet/invariants.h
+++ b/tests/fleet/invariants.h
@@ -18,8 +18,8 @@
   std::size_t startNumber = 0;  ///< number of the start of the process that wrote the line, counted from 1
   std::string event, subject, state, zone, reason;
   std::uint64_t incarnation = 0;
-  double share = 0;                       ///< share of the dependency quota, in `dependency-quota`
-  std::map<std::string, double> figures;  ///< numeric fields, in `statistics`
+  double share = 0;                       ///< share of the dependency quota, in the event `dependency-quota`
+  std::map<std::string, double> figures;  ///< numeric fields, in the event `statistics`
 };
 
 /// One action of the test: `start`, `kill`, `pause`, `resume` or `leave` of a member, `fault` or `heal` of
@@ -37,7 +37,7 @@
   std::vector<std::vector<LogEntry>> logs;   ///< log entries of each member in the order of the log
   std::vector<TestAction> actions;           ///< actions of the test in order of time
   std::int64_t end = 0;                      ///< time at which the logs were read
-  double maxShareSum = 0;                    ///< upper limit of the sum of all quota shares; 0: not checked
+  double maxShareSum = 0;  ///< upper limit of the sum of all quota shares; 0 if it is not checked
 };
 
 /// A view is checked only after a fault-free period of this many probe intervals plus `loadAllowance`.
@@ -47,14 +47,14 @@
 
 /// Returns one line for each violated invariant:
 ///  - An incarnation decreases in a view, or a member that kept its state folder starts at an incarnation
-///  that
-///    another member already saw.
+///    that another member already saw.
 ///  - A member that left is declared dead.
-///  - A member that ran and was reachable during a whole fault-free period is not alive in the view of a
-///    member that ran during the same period.
-///  - A killed member is still alive or suspect in the view of a member that ran through a fault-free period
-///    after the kill, while more than half of the fleet, in at least two zones if there are several, ran.
-///  - A figure of `statistics` exceeds its limit.
+///  - A member that ran during a whole fault-free period is neither alive nor suspect in the view of a member
+///    that ran during the same period.
+///  - A killed member is still alive or suspect in the view of a member that ran during a whole fault-free
+///    period after the kill. This is checked only if more than half of the fleet ran during that period and,
+///    in a fleet with several zones, if these members are in at least two zones.
+///  - A figure in a `statistics` event exceeds its limit.
 ///  - The sum of the quota shares exceeds its limit.
 std::vector<std::string> findViolations(const FleetRun& run);
 
--- a/tests/fleet/persisted_state.h
+++ b/tests/fleet/persisted_state.h
@@ -39,9 +39,9 @@
 /// Returns the highest incarnation of the member that any other member logged.
 inline std::uint64_t highestSeenIncarnation(Fleet& fleet, std::size_t member) {
   std::uint64_t out = 0;
-  for (std::size_t observer = 0; observer < fleet.size(); ++observer)
-    for (const auto& entry : fleet.log(observer).entries)
-      if (observer != member && entry.subject == Fleet::name(member)) out = std::max(out, entry.incarnation);
+  for (std::size_t viewer = 0; viewer < fleet.size(); ++viewer)
+    for (const auto& entry : fleet.log(viewer).entries)
+      if (viewer != member && entry.subject == Fleet::name(member)) out = std::max(out, entry.incarnation);
   return out;
 }
 
--- a/tests/fleet/persisted_state_test.cpp
+++ b/tests/fleet/persisted_state_test.cpp
@@ -37,8 +37,8 @@
   EXPECT_EQ(log.unavailableEvents, 0u);
 }
 
-// Guards against a restarted member that cannot join because its seed is down. The other members still have
-// its old address, so only the known members in its state folder lead it back.
+// Guards against a restarted member that cannot join because its seed is down. The other members still
+// have its old address, so it can reach them only through the known members in its state folder.
 TEST(FleetPersistedState, MemberJoinsThroughKnownMembersWhenNoSeedAnswers) {
   ConvergedFleet fleet(4, 2, 22, 200ms,
                        [](auto& unstarted) { unstarted.writeOptions(3, stateSetting("state-3")); });
@@ -49,7 +49,8 @@
   }));
   fleet.kill(0);
   fleet.expectConvergence();
-  fleet.changeAddress(3, false);  // the links do not follow, so the member has to contact the others
+  // The links still lead to the old address, so the member has to contact the others.
+  fleet.changeAddress(3, false);
   fleet.start(3);
   fleet.expectConvergence();
   ASSERT_EQ(stateLogOf(fleet, 3).knownMembers.size(), 2u);
@@ -98,8 +99,8 @@
                                 "FileInsteadOfFolder", true}),
     [](const auto& info) { return info.param.name; });
 
-// Guards against a member that raises its incarnation one by one after its state folder was lost. The others
-// know it at a high incarnation, which it has to exceed in one step.
+// Guards against a member that raises its incarnation one by one after its state folder was lost. The other
+// members know a high incarnation of it, which it has to exceed in one step.
 TEST(FleetPersistedState, MemberWithoutItsStateExceedsItsKnownIncarnationInOneStep) {
   ConvergedFleet fleet(3, 3, 30, 200ms,
                        [](auto& unstarted) { unstarted.writeOptions(1, stateSetting("state-1")); });
--- a/tests/fleet/releases_test.cpp
+++ b/tests/fleet/releases_test.cpp
@@ -20,7 +20,8 @@
   ConvergedFleet fleet(5, 3, 27, 200ms, [](auto& unstarted) {
     unstarted.setProgram(0, RAINHOOK_OLDER), unstarted.setProgram(3, RAINHOOK_OLDER),
         unstarted.setProgram(1, RAINHOOK_LATER);
-    // Member 0 has no seed, so after it left only its stored state leads it back.
+    // Member 0 has no seed, so after a restart it finds the fleet only through the known members in its state
+    // folder.
     unstarted.writeOptions(0, stateSetting("state-0"));
   });
   fleet.waitIntervals(15);
@@ -64,7 +65,7 @@
   EXPECT_TRUE(fleet.viewsAgree());
   EXPECT_EQ(fleet.deathsDeclared(fleet.convergedAt), 0u);
   const auto highestSeen = highestSeenIncarnation(fleet, 2);
-  fleet.kill(2), fleet.start(2);  // the clock is a year back, but the stored state is still valid
+  fleet.kill(2), fleet.start(2);  // the clock is set back by a year, but the stored state is still valid
   fleet.expectConvergence();
   EXPECT_GT(stateLogOf(fleet, 2).firstIncarnations.back(), highestSeen);
 }
--- a/tests/fleet/serve_test.cpp
+++ b/tests/fleet/serve_test.cpp
@@ -1,7 +1,7 @@
 /// @file
 /// Tests of servers that are members of a fleet, with fake engines, a fake downstream service and clients
-/// that send requests: which status a member publishes, and whether the quota of the downstream service holds
-/// during network splits, kills and pauses.
+/// that send requests: which status a member publishes, and whether the open downstream calls stay within
+/// the dependency quota during network splits, kills and pauses.
 #include <gtest/gtest.h>
 
 #include <algorithm>
@@ -39,7 +39,7 @@
   return settings;
 }
 
-/// A share of the downstream quota that a server took.
+/// A share of the dependency quota, which limits the open downstream calls, that a server took.
 struct QuotaShare {
   std::int64_t time = 0;  // steady clock in nanoseconds, as in the log
   double share = 0;
@@ -85,10 +85,10 @@
   /// Waits until the shares of all servers are equal and their sum is `sum`.
   bool waitForEqualShares(double sum) {
     constexpr double tolerance = 0.01;
-    const double part = sum / static_cast<double>(size());
+    const double expectedShare = sum / static_cast<double>(size());
     return waitUntil([&] {
       for (std::size_t i = 0; i < size(); ++i)
-        if (std::abs(lastShare(i) - part) > tolerance) return false;
+        if (std::abs(lastShare(i) - expectedShare) > tolerance) return false;
       return true;
     });
   }
@@ -104,8 +104,9 @@
   void stopClients() {
     for (auto& client : clients) client->stopAndWait();
   }
-  /// Checks rule 1 for every request: exactly one response before its deadline, unless the connection was
-  /// lost because the server was killed. A server that was paused may respond late, but still exactly once.
+  /// Counts the requests, and those that violate rule 1: each request has exactly one response before its
+  /// deadline, unless the connection was lost because the server was killed. A server that was paused may
+  /// respond late, but still exactly once.
   RequestTotals requestTotals(std::size_t pausedServer) const {
     RequestTotals totals;
     for (std::size_t i = 0; i < clients.size(); ++i) {
@@ -119,7 +120,7 @@
     }
     return totals;
   }
-  /// Checks rule 2: returns how many requests an engine executed more than once.
+  /// Returns how many requests violate rule 2: no engine executes a request more than once.
   std::size_t executedTwice() const {
     std::size_t count = 0;
     for (const auto& engine : engines)
@@ -127,6 +128,7 @@
         if (starts > 1) ++count;
     return count;
   }
+  /// Returns the last share that a server took, -1 if it took none.
   double lastShare(std::size_t server) {
     const auto taken = shares(server);
     return taken.empty() ? -1 : taken.back().share;
--- a/tests/recording.h
+++ b/tests/recording.h
@@ -51,8 +51,8 @@
   /// Returns an index below `size`.
   std::size_t index(std::size_t size) { return static_cast<std::size_t>(next() % size); }
 
-  /// Returns true with a probability of `probability` percent.
-  bool percent(int probability) { return between(0, 99) < probability; }
+  /// Returns true with a probability of `percentage` percent.
+  bool percent(int percentage) { return between(0, 99) < percentage; }
 
   /// Returns a multiple of 0.001. A single division of two integers is rounded the same on every machine.
   double thousandths(std::int64_t least, std::int64_t most) {
